--- /dev/null
+++ b/tests/compatibility/test_replication_bytes.py
@@ -0,0 +1,234 @@
+"""Replication messages and stored records keep the bytes that release b7ff903 gave them.
+
+The story: a gateway of an older release holds replicas in the same group, or has left its files behind.
+It knows the order of fields and the tags, not the names of classes and attributes. Each case is a value of
+every field and the MessagePack bytes (hexadecimal) that the older release wrote for it. A class or an
+attribute may be renamed here together with the code; the bytes stay.
+"""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+
+from rosedeal.copies import clock as copies_clock
+from rosedeal.copies import learnt as copies_learnt
+from rosedeal.copies import placement as copies_placement
+from rosedeal.copies import record as copies_record
+from rosedeal.copies import register as copies_register
+from rosedeal.copies import snapshot as copies_snapshot
+from rosedeal.copies import words as copies_words
+from tests.compatibility.stored_bytes import assert_same_bytes, identify
+
+CASES: tuple[tuple[msgspec.Struct, str], ...] = (
+    # replication messages
+    (
+        copies_words.Prepare(op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9)),
+        "96a1700203a27334c40262359406070809",
+    ),
+    (
+        copies_words.Promised(
+            op=2,
+            epoch=3,
+            holder="s4",
+            ballot=(5, 6, 7, 8),
+            ok=False,
+            accepted=(10, 11, 12, 13),
+            value=b"b14",
+            promised=(15, 16, 17, 18),
+        ),
+        "99a1710203a273349405060708c2940a0b0c0dc403623134940f101112",
+    ),
+    (
+        copies_words.Accept(
+            op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9), prior=(10, 11, 12, 13), value=b"b14"
+        ),
+        "98a1610203a27334c40262359406070809940a0b0c0dc403623134",
+    ),
+    (
+        copies_words.Accepted(
+            op=2, epoch=3, holder="s4", ballot=(5, 6, 7, 8), ok=False, promised=(10, 11, 12, 13), full=True
+        ),
+        "98a1620203a273349405060708c2940a0b0c0dc3",
+    ),
+    (copies_words.Compare(epoch=2, holder="s3", part=4, sums=(5,), had=6), "96a16302a2733304910506"),
+    (
+        copies_words.Compared(
+            epoch=2, holder="s3", part=4, same=(5,), marks={6: [(b"b7", (8, 9, 10, 11), 12)]}
+        ),
+        "96a16402a2733304910581069193c40262379408090a0b0c",
+    ),
+    (copies_words.Fetch(epoch=2, holder="s3", part=4, keys=[b"b5"]), "95a16602a273330491c4026235"),
+    (
+        copies_words.Fetched(
+            epoch=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], gone=[b"b11"]
+        ),
+        "96a16702a27333049193c40262359406070809c40362313091c403623131",
+    ),
+    (copies_words.Ask(op=2, life=3, claim="s4"), "94a1770203a27334"),
+    (copies_words.Told(op=2, state="s3"), "93a17802a27333"),
+    (
+        copies_words.Report(
+            zone="s2",
+            holder="s3",
+            epoch=4,
+            filled=b"b5",
+            behind=b"b6",
+            records=7,
+            size=8,
+            doubt=9,
+            broken="s10",
+            scrubbed_us=11,
+            mended=12,
+        ),
+        "9ca172a27332a2733304c4026235c4026236070809a37331300b0c",
+    ),
+    (copies_words.Look(), "91a16c"),
+    (
+        copies_words.Looked(
+            epoch=2,
+            lines={
+                "s3": copies_words.Report(
+                    zone="s4",
+                    holder="s5",
+                    epoch=6,
+                    filled=b"b7",
+                    behind=b"b8",
+                    records=9,
+                    size=10,
+                    doubt=11,
+                    broken="s12",
+                    scrubbed_us=13,
+                    mended=14,
+                )
+            },
+        ),
+        "93a16d0281a273339ca172a27334a2733506c4026237c4026238090a0ba37331320d0e",
+    ),
+    (copies_words.Freeze(id=2, epoch=3, holder="s4"), "94a17a0203a27334"),
+    (copies_words.Frozen(id=2, holder="s3"), "93a17902a27333"),
+    (copies_words.Thaw(id=2, holder="s3"), "93a17402a27333"),
+    (copies_words.Page(id=2, holder="s3", part=4, after=b"b5"), "95a16e02a2733304c4026235"),
+    (
+        copies_words.Paged(id=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], more=False),
+        "96a16f02a27333049193c40262359406070809c403623130c2",
+    ),
+    # learned state
+    (copies_learnt.Keep(lesson=b"b2"), "92a16bc4026232"),
+    (copies_learnt.Want(), "91a177"),
+    (copies_learnt.Have(lesson=b"b2", age_us=3), "93a168c402623203"),
+    (
+        copies_learnt.Lesson(taken_us=2, classes=("s3",), pools={"s4": {"s5": {"mean_out": 6}}}),
+        "930291a2733381a2733481a2733581a86d65616e5f6f757406",
+    ),
+    # replication data
+    (
+        copies_register.Line(epoch=2, reserve=3, key=b"b4", ballot=(5, 6, 7, 8), value=b"b9"),
+        "950203c40262349405060708c4026239",
+    ),
+    (copies_clock.Tick(now_us=2, sure_since_us=3), "920203"),
+    (
+        copies_placement.Placement(
+            epoch=2,
+            copies=3,
+            seats=(copies_placement.Seat(name="s4", zone="s5", holder="s6"),),
+            before=(copies_placement.Seat(name="s7", zone="s8", holder="s9"),),
+            holes={10: 11},
+            lost=(12,),
+            parts=13,
+            format=1,
+        ),
+        "9802039193a27334a27335a273369193a27337a27338a27339810a0b910c0d01",
+    ),
+    (
+        copies_snapshot.Head(format=1, group="s2", epoch=3, at_us=4, settings="s5", out={"s6": "s7"}),
+        "97a46865616401a273320304a2733581a27336a27337",
+    ),
+    (copies_snapshot.Page(records=[(b"b2", b"b3")]), "92a4706167659192c4026232c4026233"),
+    (copies_snapshot.Foot(count=2, digest=b"b3"), "93a4666f6f7402c4026233"),
+    (
+        copies_record.Record(
+            state="begun",
+            claim="s2",
+            owner="s3",
+            life=4,
+            digest=b"b5",
+            tenant="s6",
+            label="s7",
+            at_us=8,
+            expires_us=9,
+            boxes=(10,),
+            again=False,
+            status=12,
+            headers=((b"b13", b"b14"),),
+            body=b"b15",
+            whole=True,
+        ),
+        "9fa5626567756ea27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
+    ),
+    (
+        copies_record.Record(
+            state="free",
+            claim="s2",
+            owner="s3",
+            life=4,
+            digest=b"b5",
+            tenant="s6",
+            label="s7",
+            at_us=8,
+            expires_us=9,
+            boxes=(10,),
+            again=False,
+            status=12,
+            headers=((b"b13", b"b14"),),
+            body=b"b15",
+            whole=True,
+        ),
+        "9fa466726565a27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
+    ),
+    (
+        copies_record.Record(
+            state="done",
+            claim="s2",
+            owner="s3",
+            life=4,
+            digest=b"b5",
+            tenant="s6",
+            label="s7",
+            at_us=8,
+            expires_us=9,
+            boxes=(10,),
+            again=False,
+            status=12,
+            headers=((b"b13", b"b14"),),
+            body=b"b15",
+            whole=True,
+        ),
+        "9fa4646f6e65a27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
+    ),
+    (
+        copies_record.Record(
+            state="doubt",
+            claim="s2",
+            owner="s3",
+            life=4,
+            digest=b"b5",
+            tenant="s6",
+            label="s7",
+            at_us=8,
+            expires_us=9,
+            boxes=(10,),
+            again=False,
+            status=12,
+            headers=((b"b13", b"b14"),),
+            body=b"b15",
+            whole=True,
+        ),
+        "9fa5646f756274a27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
+    ),
+)
+
+
+@pytest.mark.parametrize(("value", "written"), CASES, ids=identify)
+def test_a_replication_message_keeps_its_bytes(value: msgspec.Struct, written: str) -> None:
+    assert_same_bytes(value, bytes.fromhex(written))
--- /dev/null
+++ b/tests/compatibility/test_stored_files.py
@@ -0,0 +1,142 @@
+"""Files and frames that release b7ff903 wrote are read, and written again as the same bytes.
+
+The story: a gateway is upgraded in place. Its state folder, its group's log, a snapshot of the replicas and
+the state that the running process hands over were all written by the older release. The files under `data/`
+are what that release wrote; nothing here makes them anew.
+"""
+
+from __future__ import annotations
+
+import json
+import shutil
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from rosedeal.agreement import lists, state
+from rosedeal.agreement.durable import decode
+from rosedeal.agreement.raft import Durable, Entry, Peer, Snapshot
+from rosedeal.copies import snapshot
+from rosedeal.gateway.drains import DrainStore
+from rosedeal.gateway.roster import HandDrain
+from rosedeal.handover import will
+from rosedeal.interface import ListKind
+from rosedeal.store.log import Log, System
+from tests.helpers import Driver
+from tests.staffed.test_out import COLD
+from tests.staffed.test_will import worked
+
+DATA = Path(__file__).parent / "data"
+FILE_IDENTITY = 7  # what the fixture's log says of the file that it was written to
+
+DRAINS = [HandDrain("box-1", "anna", 1_700_000_000_000_000, "d-1"), HandDrain("box-2", "console", 6, "")]
+NAME, LISTEN = "n0", ("127.0.0.1", 3000)
+HANDED_OVER = will.Will(
+    offset_ns=123,
+    known={"index": 7, "snapshot": True, "endpoints": [{"name": "box-1", "address": "127.0.0.1:80"}]},
+    drains=tuple(DRAINS),
+    lame_s=1.5,
+    learnt={"servers": [], "mean_out": 0.5},
+    pools={"spare": {"servers": []}},
+    classes=("read", "write"),
+    hosts={"main": 2, "spare": 0},
+)
+LINK_MESSAGES: tuple[tuple[dict[str, Any], str], ...] = (
+    (
+        {"ask": will.whose(NAME, LISTEN)},
+        "6267770100000034e8aed24c7b2261736b223a7b2267617465776179223a226e30222c226c697374656e223a5b"
+        "223132372e302e302e31222c333030305d7d7d",
+    ),
+    ({"taking": True}, "626777010000000faee022597b2274616b696e67223a747275657d"),
+    ({"holds": [3, 4]}, "626777010000000fb904b0687b22686f6c6473223a5b332c345d7d"),
+    (
+        {"client": "http", "fd": True},
+        "626777010000001b128336197b22636c69656e74223a2268747470222c226664223a747275657d",
+    ),
+)
+REPLICA_HEAD = snapshot.Head(1, "group-1", 4, 5_000_000, '{"limits":{}}', {"box-1": "anna"})
+REPLICA_RECORDS = [(f"key-{number}".encode(), f"value-{number}".encode()) for number in range(600)]
+LISTED = (
+    '[{"name":"a","address":"127.0.0.1:1","zone":"z","kind":"k","weight":2.5,"group":3,'
+    '"started_us":4,"out":true},'
+    '{"name":"b","address":"127.0.0.1:2","protocol":"h3"}]'
+)
+
+
+class SameFile(System):
+    """The system's files, but a copy passes for the file that it is a copy of."""
+
+    def birth(self, file: int) -> int:
+        return FILE_IDENTITY
+
+
+def test_a_consensus_log_is_read_and_written_anew_as_it_was(tmp_path: Path) -> None:
+    folder = tmp_path / "log"
+    shutil.copytree(DATA / "consensus_log", folder)
+    log = Log(folder, SameFile())
+    found = log.open()
+    log.close()
+    assert (found.lost, found.fresh, found.torn) == ("", False, 0)
+    peers = (Peer("id-1", "g1", "z", True), Peer("id-2", "g2", "", False))
+    entries = [Entry(3, 2, "data", b"x"), Entry(4, 3, "noop")]
+    expected = Durable(term=3, vote="id-2", snapshot=Snapshot(2, 1, peers, b"state"), entries=entries)
+    assert decode(found.records) == expected
+    for name in ("log", "mark"):
+        assert (folder / name).read_bytes() == (DATA / "consensus_log_reopened" / name).read_bytes()
+
+
+def test_a_group_state_in_a_snapshot_is_read_and_written_anew_as_it_was() -> None:
+    written = (DATA / "group_state.bin").read_bytes()
+    group = state.State()
+    group.restore(written)
+    assert group.newest.number == 3 and group.newest.out == {"box-1": "anna"}
+    assert group.snapshot() == written
+    assert group.newest.digest() == "5090df9f81d44b64"
+
+
+def test_an_endpoint_list_in_the_log_keeps_its_form() -> None:
+    assert lists.encode(lists.decode(LISTED)) == LISTED
+
+
+def test_manual_drains_are_read_and_written_anew_as_they_were(tmp_path: Path) -> None:
+    shutil.copy(DATA / "drains.json", tmp_path / "drains.json")
+    store = DrainStore(tmp_path)
+    assert store.load() == DRAINS
+    store.save(DRAINS)
+    assert (tmp_path / "drains.json").read_bytes() == (DATA / "drains.json").read_bytes()
+
+
+def test_a_snapshot_of_the_replicas_is_read_and_written_anew_as_it_was(tmp_path: Path) -> None:
+    found = snapshot.verify(DATA / "replicas.snapshot")
+    assert (found.head, list(found.records())) == (REPLICA_HEAD, REPLICA_RECORDS)
+    snapshot.write(tmp_path / "again", REPLICA_HEAD, REPLICA_RECORDS)
+    assert (tmp_path / "again").read_bytes() == (DATA / "replicas.snapshot").read_bytes()
+
+
+def test_what_a_process_hands_over_is_read_and_written_anew_as_it_was() -> None:
+    written = (DATA / "state_transfer.frame").read_bytes()
+    (message,) = will.Decoder().feed(written)
+    assert will.read_will(message, NAME, LISTEN) == HANDED_OVER
+    assert will.encode(will.write_will(HANDED_OVER, NAME, LISTEN)) == written
+
+
+@pytest.mark.parametrize(("message", "written"), LINK_MESSAGES)
+def test_what_two_processes_say_to_each_other_keeps_its_bytes(message: dict[str, Any], written: str) -> None:
+    assert will.encode(message) == bytes.fromhex(written)
+    assert list(will.Decoder().feed(bytes.fromhex(written))) == [message]
+
+
+def test_what_the_decisions_have_learnt_is_written_as_it_was() -> None:
+    assert json.dumps(worked().balancer.snapshot()) == (DATA / "balancer_snapshot.json").read_text()
+
+
+def test_what_the_decisions_had_learnt_is_read() -> None:
+    written = (DATA / "balancer_snapshot.json").read_text()
+    before = worked()
+    after = Driver(COLD, servers=0)
+    after.now_us = before.now_us
+    after.list_servers(*(s.entry for s in before.balancer.servers.values()), kind=ListKind.DISK)
+    assert json.dumps(after.balancer.snapshot()) != written
+    after.balancer.restore(after.now_us, json.loads(written))
+    assert json.dumps(after.balancer.snapshot()) == written
