--- a/rosedeal/__init__.py
+++ b/badgergap/__init__.py
@@ -1,7 +1,7 @@
-"""rosedeal: the decisions of a load-balancing proxy for fleets of HTTP servers."""
+"""badgergap: the decisions of a load-balancing proxy for fleets of HTTP servers."""
 
-from rosedeal.choice import Balancer
-from rosedeal.interface import (
+from badgergap.choice import Balancer
+from badgergap.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/rosedeal/__main__.py
+++ b/badgergap/__main__.py
@@ -15,18 +15,18 @@
     import os
     from functools import partial
 
-    from rosedeal.gateway.config import ConfigError, load_config, reload_config
-    from rosedeal.gateway.run import log_to_stderr, run
+    from badgergap.gateway.config import ConfigError, load_config, reload_config
+    from badgergap.gateway.run import log_to_stderr, run
 
     log_to_stderr()
     try:
         config = load_config(os.environ)
     except ConfigError as error:
-        print(f"rosedeal: {error}", file=sys.stderr)
+        print(f"badgergap: {error}", file=sys.stderr)
         return 2
     succeed = None
     if config.console is not None:
-        from rosedeal.handover.succession import succession_of
+        from badgergap.handover.succession import succession_of
 
         succeed = partial(succession_of, os.environ)
     return run(config, partial(reload_config, os.environ), hung_up=early, succeed=succeed)
--- a/rosedeal/admin/actions.py
+++ b/badgergap/admin/actions.py
@@ -8,7 +8,7 @@
 
 from collections import OrderedDict
 
-from rosedeal.admin.protocol import ActionResult, Failure
+from badgergap.admin.protocol import ActionResult, Failure
 
 REMEMBERED = 1024
 VOID = "void"  # of a wish that was asked for before it came, and given up
--- a/rosedeal/admin/client.py
+++ b/badgergap/admin/client.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from rosedeal.admin import protocol
-from rosedeal.admin.protocol import Failure, Reply, Request, Snapshot
+from badgergap.admin import protocol
+from badgergap.admin.protocol import Failure, Reply, Request, Snapshot
 
 # A snapshot of a thousand boxes is about 400 KB.
 REPLY_LIMIT = 16 * 1024 * 1024
--- a/rosedeal/admin/figures.py
+++ b/badgergap/admin/figures.py
@@ -9,8 +9,8 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from rosedeal.admin.protocol import ClassView, TenantView, Window
-from rosedeal.interface import Outcome
+from badgergap.admin.protocol import ClassView, TenantView, Window
+from badgergap.interface import Outcome
 
 SPAN_S = 300
 WINDOWS_S = (10, 60, 300)
--- a/rosedeal/admin/room.py
+++ b/badgergap/admin/room.py
@@ -19,13 +19,13 @@
 
 import msgspec
 
-import rosedeal
-from rosedeal.admin import protocol
-from rosedeal.admin.actions import Actions, Refused
-from rosedeal.admin.boxes import ABLE, GONE_SHOWN_US, SHOWN, Boxes, is_last_able
-from rosedeal.admin.figures import Figures
-from rosedeal.admin.paths import PATH_LIMIT, prepare_folder
-from rosedeal.admin.protocol import (
+import badgergap
+from badgergap.admin import protocol
+from badgergap.admin.actions import Actions, Refused
+from badgergap.admin.boxes import ABLE, GONE_SHOWN_US, SHOWN, Boxes, is_last_able
+from badgergap.admin.figures import Figures
+from badgergap.admin.paths import PATH_LIMIT, prepare_folder
+from badgergap.admin.protocol import (
     ActionResult,
     BoxView,
     Drain,
@@ -35,12 +35,12 @@
     SourceView,
     Undrain,
 )
-from rosedeal.admin.story import Story
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.pools import proxy_of
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.roster import HandDrain, HostView, RosterError
-from rosedeal.interface import ServerView
+from badgergap.admin.story import Story
+from badgergap.gateway.config import Config
+from badgergap.gateway.pools import proxy_of
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.roster import HandDrain, HostView, RosterError
+from badgergap.interface import ServerView
 
 log = logging.getLogger(__name__)
 
@@ -292,7 +292,7 @@
         return Snapshot(
             site=self.config.name,
             pid=os.getpid(),
-            version=rosedeal.__version__,
+            version=badgergap.__version__,
             started_us=self.started_us,
             at_us=now_us,
             listen=f"{host}:{port}",
--- a/rosedeal/admin/story.py
+++ b/badgergap/admin/story.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from rosedeal.admin.protocol import BoxView, LogLine, SourceView
+from badgergap.admin.protocol import BoxView, LogLine, SourceView
 
 LINES = 200
 MANY = 4  # boxes that change alike at one look are told in one line
--- a/rosedeal/agreement/calls.py
+++ b/badgergap/agreement/calls.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from rosedeal.agreement import relation
-from rosedeal.agreement.member import Line, Steer, read_tables
-from rosedeal.agreement.room import PUBLISH_S, STATUS_S, GroupRoom, Refused, clock_us, encode_tables
-from rosedeal.agreement.state import Publish, Version
+from badgergap.agreement import relation
+from badgergap.agreement.member import Line, Steer, read_tables
+from badgergap.agreement.room import PUBLISH_S, STATUS_S, GroupRoom, Refused, clock_us, encode_tables
+from badgergap.agreement.state import Publish, Version
 
 WAIT_MOST_S = 120.0
 CHANGE_S = 15.0
--- a/rosedeal/agreement/durable.py
+++ b/badgergap/agreement/durable.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from rosedeal.agreement.raft import Durable, Entry, Save, Snapshot
-from rosedeal.agreement.state import Unreadable
+from badgergap.agreement.raft import Durable, Entry, Save, Snapshot
+from badgergap.agreement.state import Unreadable
 
 FORMAT = 1
 
--- a/rosedeal/agreement/following.py
+++ b/badgergap/agreement/following.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from rosedeal.agreement import lists
-from rosedeal.agreement.lists import Hosts, Listed
-from rosedeal.agreement.state import Outcome, Publish, Whole
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.sources import Entry, News, host_id
-from rosedeal.interface import ListedServer, ListKind, ServerStatus
+from badgergap.agreement import lists
+from badgergap.agreement.lists import Hosts, Listed
+from badgergap.agreement.state import Outcome, Publish, Whole
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.sources import Entry, News, host_id
+from badgergap.interface import ListedServer, ListKind, ServerStatus
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/agreement/frames.py
+++ b/badgergap/agreement/frames.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from rosedeal.agreement.member import (
+from badgergap.agreement.member import (
     Ask,
     Carried,
     Check,
@@ -36,7 +36,7 @@
     Turned,
     Wish,
 )
-from rosedeal.agreement.raft import Append, Appended, Disown, Part, Parted, PreVote, PreVoted, Vote, Voted
+from badgergap.agreement.raft import Append, Appended, Disown, Part, Parted, PreVote, PreVoted, Vote, Voted
 
 GREETING = b"BGG1"
 NONCE = 16
--- a/rosedeal/agreement/links.py
+++ b/badgergap/agreement/links.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from rosedeal.agreement.frames import (
+from badgergap.agreement.frames import (
     GREETING,
     NONCE,
     BadFrame,
@@ -27,9 +27,9 @@
     open_link,
     session_key,
 )
-from rosedeal.agreement.frames import VERSION as FRAMES_VERSION
-from rosedeal.agreement.member import Message
-from rosedeal.gateway.config import Address
+from badgergap.agreement.frames import VERSION as FRAMES_VERSION
+from badgergap.agreement.member import Message
+from badgergap.gateway.config import Address
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/agreement/member.py
+++ b/badgergap/agreement/member.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
-from rosedeal.agreement import lease, raft, relation, state
-from rosedeal.agreement.lease import Grants, Lease
-from rosedeal.agreement.raft import Durable, Peer, Raft, Save, Snapshot
-from rosedeal.agreement.state import Bar, Enforce, Outcome, Publish, State, Unreadable, Whole
+from badgergap.agreement import lease, raft, relation, state
+from badgergap.agreement.lease import Grants, Lease
+from badgergap.agreement.raft import Durable, Peer, Raft, Save, Snapshot
+from badgergap.agreement.state import Bar, Enforce, Outcome, Publish, State, Unreadable, Whole
 
 HELLO_US = 300_000
 FRESH_US = 2_000_000
--- a/rosedeal/agreement/room.py
+++ b/badgergap/agreement/room.py
@@ -21,12 +21,12 @@
 
 import msgspec
 
-from rosedeal.agreement import durable, member, relation
-from rosedeal.agreement.following import Following
-from rosedeal.agreement.links import UNSENT_BYTES, Links
-from rosedeal.agreement.member import Line, Member, Settings, read_tables
-from rosedeal.agreement.raft import Durable, Save
-from rosedeal.agreement.state import (
+from badgergap.agreement import durable, member, relation
+from badgergap.agreement.following import Following
+from badgergap.agreement.links import UNSENT_BYTES, Links
+from badgergap.agreement.member import Line, Member, Settings, read_tables
+from badgergap.agreement.raft import Durable, Save
+from badgergap.agreement.state import (
     BACK_ALREADY,
     OUT_ALREADY,
     Outcome,
@@ -35,14 +35,14 @@
     VersionKind,
     Whole,
 )
-from rosedeal.gateway.config import Address, Config, ConfigError
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.roster import DRAIN_LIMIT, HandDrain, RosterError
-from rosedeal.gateway.run import Again
-from rosedeal.gateway.pools import proxy_of
-from rosedeal.store.layout import Unusable
-from rosedeal.store.log import Log
-from rosedeal.store.writer import Writer
+from badgergap.gateway.config import Address, Config, ConfigError
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.roster import DRAIN_LIMIT, HandDrain, RosterError
+from badgergap.gateway.run import Again
+from badgergap.gateway.pools import proxy_of
+from badgergap.store.layout import Unusable
+from badgergap.store.log import Log
+from badgergap.store.writer import Writer
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -6,17 +6,17 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.admin import CallRefused
-from rosedeal.agreement.room import GroupRoom, Refused
-from rosedeal.cli.group import Asked
-from rosedeal.cli.setup import Setup
-from rosedeal.copies.calls import Calls
-from rosedeal.copies.guard import Guard
-from rosedeal.copies.keeper import Options
-from rosedeal.copies.register import Bounds
-from rosedeal.copies.room import CopiesRoom
-from rosedeal.gateway.config import ConfigError
-from rosedeal.site.schema import Site
+from badgergap.admin import CallRefused
+from badgergap.agreement.room import GroupRoom, Refused
+from badgergap.cli.group import Asked
+from badgergap.cli.setup import Setup
+from badgergap.copies.calls import Calls
+from badgergap.copies.guard import Guard
+from badgergap.copies.keeper import Options
+from badgergap.copies.register import Bounds
+from badgergap.copies.room import CopiesRoom
+from badgergap.gateway.config import ConfigError
+from badgergap.site.schema import Site
 
 LEAST_US = 600_000_000  # for which a loss is remembered, whatever the routes say
 
--- a/rosedeal/cli/copies_words.py
+++ b/badgergap/cli/copies_words.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.cli.group_words import ToGateway
-from rosedeal.gateway.config import ConfigError
+from badgergap.cli.group_words import ToGateway
+from badgergap.gateway.config import ConfigError
 
 
 def add_commands(commands: Any, to_gateway: ToGateway) -> None:
@@ -51,7 +51,7 @@
 
 def verify(path: Path) -> str:
     """One line on a snapshot. Raises ConfigError for one that cannot be used."""
-    from rosedeal.copies import snapshot
+    from badgergap.copies import snapshot
 
     try:
         found = snapshot.verify(path)
--- a/rosedeal/cli/demo.py
+++ b/badgergap/cli/demo.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 from typing import IO
 
-from rosedeal.admin import AdminError, NoAnswer, NoGateway, Snapshot, call, default_socket
-from rosedeal.admin.protocol import VERSION, AskSnapshot, ProtocolError
-from rosedeal.gateway.config import ConfigError
-from rosedeal.console.words import percent, summary
+from badgergap.admin import AdminError, NoAnswer, NoGateway, Snapshot, call, default_socket
+from badgergap.admin.protocol import VERSION, AskSnapshot, ProtocolError
+from badgergap.gateway.config import ConfigError
+from badgergap.console.words import percent, summary
 
 START_S = 15.0
 END_S = 6.0
@@ -102,7 +102,7 @@
     def start(self) -> None:
         """Raises DemoError."""
         arguments = ["--boxes", str(self.boxes), "--web", str(WEB), *["--etcd"] * self.etcd]
-        self.stage = self._child("rosedeal.standins", *arguments, log="stand-ins.log")
+        self.stage = self._child("badgergap.standins", *arguments, log="stand-ins.log")
         assert self.stage.stdout is not None
         line = self.stage.stdout.readline()
         if not line:
@@ -116,7 +116,7 @@
             discovery = f'discovery = "{told["registry"]}"'
             text = SITE.format(admin=self.socket, discovery=discovery, etcd="")
         site.write_text(text + "".join(BOX.format(name=n, address=a) for n, a in told["web"].items()))
-        self._child("rosedeal.cli", "serve", str(site), "--until-stdin-ends", log="gateway.log")
+        self._child("badgergap.cli", "serve", str(site), "--until-stdin-ends", log="gateway.log")
         listen = self._await_gateway()
         self.tell(f"load {listen} {self.rate}")
         served = [line for line in self._log().splitlines() if HTTP_LINE in line]
@@ -233,7 +233,7 @@
 
 
 def _console(show: Demo) -> None:
-    from rosedeal.console.app import Console
+    from badgergap.console.app import Console
 
     def end_or_revive(box: str) -> None:
         show.tell(f"toggle {box}")
--- a/rosedeal/cli/etcd.py
+++ b/badgergap/cli/etcd.py
@@ -7,15 +7,15 @@
 from functools import partial
 from pathlib import Path
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.gateway.run import Room
-from rosedeal.site.schema import EtcdTable
+from badgergap.gateway.config import ConfigError
+from badgergap.gateway.run import Room
+from badgergap.site.schema import EtcdTable
 
 
 def etcd_room(table: EtcdTable, folder: Path, environ: Mapping[str, str]) -> Room:
     """Raises ConfigError for certificates or a password that cannot be read. Imports the libraries."""
     try:
-        from rosedeal.etcd import EtcdRoom, Login, Options, Times
+        from badgergap.etcd import EtcdRoom, Login, Options, Times
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[etcd]'"
         raise ConfigError(f"[etcd] needs its extra, {why}") from None
--- a/rosedeal/cli/group.py
+++ b/badgergap/cli/group.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.admin import CallRefused
-from rosedeal.agreement.calls import Calls
-from rosedeal.agreement.frames import KEY_LEAST
-from rosedeal.agreement.member import Known, Settings
-from rosedeal.agreement.room import GroupRoom, Options, Refused
-from rosedeal.cli.setup import Setup
-from rosedeal.gateway.config import ConfigError
-from rosedeal.site.schema import GroupTable
+from badgergap.admin import CallRefused
+from badgergap.agreement.calls import Calls
+from badgergap.agreement.frames import KEY_LEAST
+from badgergap.agreement.member import Known, Settings
+from badgergap.agreement.room import GroupRoom, Options, Refused
+from badgergap.cli.setup import Setup
+from badgergap.gateway.config import ConfigError
+from badgergap.site.schema import GroupTable
 
 KEY_LIMIT = 4096
 AGREE_S = (
--- a/rosedeal/cli/group_words.py
+++ b/badgergap/cli/group_words.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.site.read import read_site, read_tables, read_text, shared
+from badgergap.gateway.config import ConfigError
+from badgergap.site.read import read_site, read_tables, read_text, shared
 
 ToGateway = Callable[[argparse.ArgumentParser], argparse.ArgumentParser]
 
--- a/rosedeal/cli/h3.py
+++ b/badgergap/cli/h3.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from rosedeal.cli.setup import Setup
-from rosedeal.cli.tls import ClientTls
-from rosedeal.gateway.config import ConfigError
-from rosedeal.ordinary.turn import Carry
-from rosedeal.gateway.back import carry
-from rosedeal.web.room import WebRoom
+from badgergap.cli.setup import Setup
+from badgergap.cli.tls import ClientTls
+from badgergap.gateway.config import ConfigError
+from badgergap.ordinary.turn import Carry
+from badgergap.gateway.back import carry
+from badgergap.web.room import WebRoom
 
 if TYPE_CHECKING:
-    from rosedeal.h3.library import Shown
-    from rosedeal.h3.room import Http3Plan, Http3Room
-    from rosedeal.ordinary.ways import Ways
-    from rosedeal.tls.store import Certificates, Loaded
+    from badgergap.h3.library import Shown
+    from badgergap.h3.room import Http3Plan, Http3Room
+    from badgergap.ordinary.ways import Ways
+    from badgergap.tls.store import Certificates, Loaded
 
 
 def _missing(what: str, error: ModuleNotFoundError) -> ConfigError:
@@ -27,7 +27,7 @@
 def boxes_over_http3() -> Carry:
     """What carries requests to boxes, where some of them may speak HTTP/3. Raises ConfigError."""
     try:
-        from rosedeal.h3.back import Carrier3
+        from badgergap.h3.back import Carrier3
     except ModuleNotFoundError as error:
         raise _missing("fleet.http3", error) from None
     return Carrier3(carry)
@@ -36,7 +36,7 @@
 def http3_room(setup: Setup, web: WebRoom, tls: ClientTls) -> Http3Room:
     """Raises ConfigError."""
     try:
-        from rosedeal.h3.room import Http3Plan, Http3Room
+        from badgergap.h3.room import Http3Plan, Http3Room
     except ModuleNotFoundError as error:
         raise _missing("[http3]", error) from None
 
@@ -55,7 +55,7 @@
 
 def shown_by(certificates: Certificates) -> Callable[[str | None], Shown]:
     """What handshakes show, by the certificates read last. Raises ConfigError for a key of no use here."""
-    from rosedeal.h3.library import Shown
+    from badgergap.h3.library import Shown
 
     parsed: tuple[tuple[Loaded, ...], list[Shown]] = ((), [])
 
--- a/rosedeal/cli/main.py
+++ b/badgergap/cli/main.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-import rosedeal
-from rosedeal.admin import AdminError, NoAnswer, NoGateway, Snapshot, call, default_socket
-from rosedeal.admin.protocol import (
+import badgergap
+from badgergap.admin import AdminError, NoAnswer, NoGateway, Snapshot, call, default_socket
+from badgergap.admin.protocol import (
     VERSION,
     ActionResult,
     AskGroup,
@@ -21,11 +21,11 @@
     Request,
     Undrain,
 )
-from rosedeal.cli import copies_words, staged_words
-from rosedeal.cli.group_words import add_commands
-from rosedeal.cli.serve import check, serve
-from rosedeal.gateway.config import ConfigError
-from rosedeal.site import read_site
+from badgergap.cli import copies_words, staged_words
+from badgergap.cli.group_words import add_commands
+from badgergap.cli.serve import check, serve
+from badgergap.gateway.config import ConfigError
+from badgergap.site import read_site
 
 EPILOG = """\
 exit codes:
@@ -56,7 +56,7 @@
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    parser.add_argument("--version", action="version", version=f"badgergap {rosedeal.__version__}")
+    parser.add_argument("--version", action="version", version=f"badgergap {badgergap.__version__}")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
     demo = commands.add_parser("demo", help="a whole site on this machine: boxes, gateway, clients, console")
@@ -111,13 +111,13 @@
                 print(check(args.file, os.environ))
                 return 0
             case "route":
-                from rosedeal.cli.route import explain
+                from badgergap.cli.route import explain
 
                 told, found = explain(args.file, args.method, args.url, args.header)
                 print(told)
                 return 0 if found else REFUSED
             case "demo":
-                from rosedeal.cli.demo import demo  # the stand-ins, which a gateway never imports
+                from badgergap.cli.demo import demo  # the stand-ins, which a gateway never imports
 
                 return demo(args.boxes, args.rate, args.seconds, console=not args.no_console, etcd=args.etcd)
             case "group" | "settings":
@@ -140,7 +140,7 @@
 
 
 def status(path: Path, as_json: bool) -> int:
-    from rosedeal.console.words import status_text
+    from badgergap.console.words import status_text
 
     snapshot = _call(path, AskSnapshot(v=VERSION, id="1"), Snapshot)
     if isinstance(snapshot, int):
@@ -159,7 +159,7 @@
 def steer(args: argparse.Namespace) -> int:
     import uuid
 
-    from rosedeal.console.words import result_words
+    from badgergap.console.words import result_words
 
     action, by = args.action or uuid.uuid4().hex, args.by or user()
     request: Request
@@ -179,7 +179,7 @@
 
 
 def of_group(args: argparse.Namespace) -> int:
-    from rosedeal.cli import group_words as group
+    from badgergap.cli import group_words as group
 
     if args.command == "group" and args.do == "key":
         group.make_key(args.path)
@@ -192,7 +192,7 @@
 
 
 def of_copies(args: argparse.Namespace) -> int:
-    from rosedeal.cli import copies_words as copies
+    from badgergap.cli import copies_words as copies
 
     if args.do == "verify":
         print(copies.verify(args.path))
@@ -202,11 +202,11 @@
 
 
 def of_change(args: argparse.Namespace) -> int:
-    from rosedeal.cli import staged_words as changes
+    from badgergap.cli import staged_words as changes
 
     op, given = changes.arguments_of(args, user())
     if args.do == "report":
-        from rosedeal.cli.staged_report import write
+        from badgergap.cli.staged_report import write
 
         return _ask_group(args, op, given, lambda _, result: write(args.path, result), GROUP_S)
     return _ask_group(args, op, given, changes.words, GROUP_S)
@@ -238,7 +238,7 @@
         print("badgergap: the console needs a terminal; `badgergap status` does not", file=sys.stderr)
         return UNUSABLE
     try:
-        from rosedeal.console.app import Console
+        from badgergap.console.app import Console
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[console]'"
         print(f"badgergap: the console needs its extra, {why}", file=sys.stderr)
@@ -268,7 +268,7 @@
         code, why = UNSURE, str(error)
     except (AdminError, ProtocolError) as error:
         code, why = REFUSED, str(error)
-    from rosedeal.console.words import clean
+    from badgergap.console.words import clean
 
     print(f"badgergap: {clean(why)}", file=sys.stderr)
     return code
--- a/rosedeal/cli/route.py
+++ b/badgergap/cli/route.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 from urllib.parse import urlsplit
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.routes import BadPath, Table, Target, read_host, read_target
-from rosedeal.site import Site, read_site
-from rosedeal.site.schema import RouteTable
-from rosedeal.site.web import MAIN, to_route
+from badgergap.gateway.config import ConfigError
+from badgergap.routes import BadPath, Table, Target, read_host, read_target
+from badgergap.site import Site, read_site
+from badgergap.site.schema import RouteTable
+from badgergap.site.web import MAIN, to_route
 
 
 def explain(path: Path, method: str, url: str, headers: list[str]) -> tuple[str, bool]:
--- a/rosedeal/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -12,18 +12,18 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from rosedeal.admin import AdminRoom, Figures
-from rosedeal.cli.etcd import etcd_room
-from rosedeal.cli.setup import Setup
-from rosedeal.gateway.config import Config, ConfigError
-from rosedeal.gateway.proxy import Observer, Proxy
-from rosedeal.gateway.run import Room, Succeed, log_to_stderr, run
-from rosedeal.site import SiteRoom
-from rosedeal.site.web import never
+from badgergap.admin import AdminRoom, Figures
+from badgergap.cli.etcd import etcd_room
+from badgergap.cli.setup import Setup
+from badgergap.gateway.config import Config, ConfigError
+from badgergap.gateway.proxy import Observer, Proxy
+from badgergap.gateway.run import Room, Succeed, log_to_stderr, run
+from badgergap.site import SiteRoom
+from badgergap.site.web import never
 
 if TYPE_CHECKING:
-    from rosedeal.agreement.room import GroupRoom
-    from rosedeal.ordinary.turn import Guard
+    from badgergap.agreement.room import GroupRoom
+    from badgergap.ordinary.turn import Guard
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +50,7 @@
     if setup.site.changes is not None:
         observer = take_part(group, admin, rooms, figures)
     if setup.site.http is not None:
-        from rosedeal.cli.web import web_room
+        from badgergap.cli.web import web_room
 
         web, tls = web_room(setup, environ, observer)
         web.once = guard
@@ -62,7 +62,7 @@
         if tls is not None:
             admin.notices.append(tls.certificates.problems)
             if setup.site.http3 is not None:
-                from rosedeal.cli.h3 import http3_room
+                from badgergap.cli.h3 import http3_room
 
                 rooms.append(http3_room(setup, web, tls))
     if setup.site.fleet.ca is not None:
@@ -77,8 +77,8 @@
     handover = setup.site.site.handover
     if handover is None and (setup.config.console is None or setup.config.listen is None):
         return None
-    from rosedeal.handover.link import Place
-    from rosedeal.handover.succession import Succession, succession_of
+    from badgergap.handover.link import Place
+    from badgergap.handover.succession import Succession, succession_of
 
     if handover is None:
         return partial(succession_of, environ)
@@ -95,7 +95,7 @@
 def join_group(setup: Setup, admin: AdminRoom) -> GroupRoom:
     """Raises ConfigError."""
     try:
-        from rosedeal.cli.group import group_room
+        from badgergap.cli.group import group_room
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[group]'"
         raise ConfigError(f"[group] needs its extra, {why}") from None
@@ -109,9 +109,9 @@
     """Raises ConfigError."""
     assert group is not None  # the file was checked
     try:
-        from rosedeal.cli.copies import WithCopies, copies_room
-        from rosedeal.copies.lessons import LessonsRoom
-        from rosedeal.cli.group import Asked
+        from badgergap.cli.copies import WithCopies, copies_room
+        from badgergap.copies.lessons import LessonsRoom
+        from badgergap.cli.group import Asked
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[copies]'"
         raise ConfigError(f"[copies] needs its extra, {why}") from None
@@ -128,7 +128,7 @@
 
 def take_part(group: GroupRoom | None, admin: AdminRoom, rooms: list[Room], figures: Figures) -> Observer:
     """In changes that go through the group by stages. What counts for their judge. Raises ConfigError."""
-    from rosedeal.cli.staged import WithChanges, changes_room
+    from badgergap.cli.staged import WithChanges, changes_room
 
     assert group is not None and admin.group is not None  # the file was checked
     room, meter, calls = changes_room(group, figures)
@@ -141,7 +141,7 @@
 
 def fleet_tls(setup: Setup) -> Room:
     """TLS to the main pool's boxes. Raises ConfigError."""
-    from rosedeal.cli.tls import BoxTls
+    from badgergap.cli.tls import BoxTls
 
     def read() -> tuple[Path, str | None]:
         fleet = setup.site.fleet
@@ -159,22 +159,22 @@
     if site.etcd is not None:
         etcd_room(site.etcd, path.parent, environ)
     if site.http is not None:
-        from rosedeal.cli.web import web_room
+        from badgergap.cli.web import web_room
 
         web, tls = web_room(setup, environ, None)
         if site.http3 is not None and tls is not None:
-            from rosedeal.cli.h3 import http3_room
+            from badgergap.cli.h3 import http3_room
 
             http3_room(setup, web, tls)
         notices = tls.certificates.problems() if tls is not None else []
     if site.fleet.ca is not None:
         fleet_tls(setup)
     if site.group is not None:
-        from rosedeal.cli.group import group_room
+        from badgergap.cli.group import group_room
 
         group_room(setup)
     if site.copies is not None:
-        from rosedeal.cli.copies import folder_of, to_options
+        from badgergap.cli.copies import folder_of, to_options
 
         to_options(site)
         folder_of(setup)
--- a/rosedeal/cli/setup.py
+++ b/badgergap/cli/setup.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from rosedeal.admin import default_socket
-from rosedeal.gateway.config import Config, ConfigError, load_config, needs_restart, reload_config
-from rosedeal.site import DrainStore, Site, combine, to_config
-from rosedeal.site.convert import carry_names
-from rosedeal.site.read import SHARED, Tables, parse_site, read_tables, read_text, shared
+from badgergap.admin import default_socket
+from badgergap.gateway.config import Config, ConfigError, load_config, needs_restart, reload_config
+from badgergap.site import DrainStore, Site, combine, to_config
+from badgergap.site.convert import carry_names
+from badgergap.site.read import SHARED, Tables, parse_site, read_tables, read_text, shared
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/cli/staged.py
+++ b/badgergap/cli/staged.py
@@ -6,11 +6,11 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from rosedeal.admin import CallRefused, Figures
-from rosedeal.agreement.room import GroupRoom, Refused
-from rosedeal.staged.calls import Calls
-from rosedeal.staged.meter import Meter
-from rosedeal.staged.room import StagedRoom
+from badgergap.admin import CallRefused, Figures
+from badgergap.agreement.room import GroupRoom, Refused
+from badgergap.staged.calls import Calls
+from badgergap.staged.meter import Meter
+from badgergap.staged.room import StagedRoom
 
 
 class Asked(Protocol):
--- a/rosedeal/cli/staged_words.py
+++ b/badgergap/cli/staged_words.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.site.read import read_site, read_tables, read_text, shared
+from badgergap.gateway.config import ConfigError
+from badgergap.site.read import read_site, read_tables, read_text, shared
 
 ToGateway = Callable[[argparse.ArgumentParser], argparse.ArgumentParser]
 STEERS = {
@@ -50,7 +50,7 @@
         return "change_history", {}
     import msgspec
 
-    from rosedeal.staged.plan import BadPlan, read_plan
+    from badgergap.staged.plan import BadPlan, read_plan
 
     try:
         plan, found = read_plan(read_text(args.path), str(args.path))
--- a/rosedeal/cli/tls.py
+++ b/badgergap/cli/tls.py
@@ -8,14 +8,14 @@
 from types import ModuleType
 from typing import TYPE_CHECKING
 
-from rosedeal.gateway.config import Config, ConfigError
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.site import Site
+from badgergap.gateway.config import Config, ConfigError
+from badgergap.gateway.proxy import Proxy
+from badgergap.site import Site
 
 if TYPE_CHECKING:
     import ssl
 
-    from rosedeal.tls.store import Certificates, Loaded, Setting
+    from badgergap.tls.store import Certificates, Loaded, Setting
 
 log = logging.getLogger(__name__)
 
@@ -96,7 +96,7 @@
 def _store() -> ModuleType:
     """The package that does it, with its library. Raises ConfigError."""
     try:
-        from rosedeal.tls import store
+        from badgergap.tls import store
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[tls]'"
         raise ConfigError(f"TLS needs its extra, {why}") from None
--- a/rosedeal/cli/web.py
+++ b/badgergap/cli/web.py
@@ -10,22 +10,22 @@
 
 import msgspec
 
-from rosedeal.cli.etcd import etcd_room
-from rosedeal.cli.setup import Setup
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.pools import Feeder, PoolPlan
-from rosedeal.gateway import crowd
-from rosedeal.gateway.proxy import Observer
-from rosedeal.site import Site, SiteRoom
-from rosedeal.site.convert import pool_config
-from rosedeal.site.schema import PoolTable
-from rosedeal.site.web import MAIN, REPEATABLE, UNSAFE, to_route
-from rosedeal.ordinary.plan import Limits, RoutePlan, Variants, WebPlan
-from rosedeal.ordinary.turn import Join
-from rosedeal.web.room import WebRoom
+from badgergap.cli.etcd import etcd_room
+from badgergap.cli.setup import Setup
+from badgergap.gateway.config import Config
+from badgergap.gateway.pools import Feeder, PoolPlan
+from badgergap.gateway import crowd
+from badgergap.gateway.proxy import Observer
+from badgergap.site import Site, SiteRoom
+from badgergap.site.convert import pool_config
+from badgergap.site.schema import PoolTable
+from badgergap.site.web import MAIN, REPEATABLE, UNSAFE, to_route
+from badgergap.ordinary.plan import Limits, RoutePlan, Variants, WebPlan
+from badgergap.ordinary.turn import Join
+from badgergap.web.room import WebRoom
 
 if TYPE_CHECKING:
-    from rosedeal.cli.tls import ClientTls
+    from badgergap.cli.tls import ClientTls
 
 
 def web_room(
@@ -34,7 +34,7 @@
     """Ordinary HTTP, by the file as it was read last, and its certificates. Raises ConfigError."""
     tls: ClientTls | None = None
     if setup.site.https is not None:
-        from rosedeal.cli.tls import ClientTls
+        from badgergap.cli.tls import ClientTls
 
         tls = ClientTls(setup.site, setup.path.parent)
         setup.checks.append(tls.check)
@@ -66,7 +66,7 @@
 
     context = (lambda: tls.certificates.base) if tls is not None else None
     if setup.site.fleet.http3:
-        from rosedeal.cli.h3 import boxes_over_http3
+        from badgergap.cli.h3 import boxes_over_http3
 
         return WebRoom(read, observer, context, boxes_over_http3(), joins), tls
     return WebRoom(read, observer, context, joins=joins), tls
@@ -74,7 +74,7 @@
 
 def joins(loop: asyncio.AbstractEventLoop) -> Join:
     """What joins identical reads; not loaded before a route wants it."""
-    from rosedeal.joining.room import Joins
+    from badgergap.joining.room import Joins
 
     return Joins(loop)
 
@@ -83,7 +83,7 @@
     """TLS to a pool's boxes, if it is so. Raises ConfigError."""
     if pool.ca is None:
         return []
-    from rosedeal.cli.tls import BoxTls
+    from badgergap.cli.tls import BoxTls
 
     authority, name = setup.path.parent / pool.ca, pool.certificate_name
     return [BoxTls(lambda: (authority, name))]
--- a/rosedeal/console/app.py
+++ b/badgergap/console/app.py
@@ -17,11 +17,11 @@
 from textual.binding import BindingType
 from textual.widget import Widget
 
-from rosedeal.admin import AdminClient, AdminError, NoAnswer, NoGateway, Snapshot
-from rosedeal.admin.client import ask
-from rosedeal.admin.protocol import ActionResult, AskAction, Drain, ProtocolError, Undrain
-from rosedeal.console.model import AskAgain, Break, Effect, Model, Quit, Wish
-from rosedeal.console.view import render
+from badgergap.admin import AdminClient, AdminError, NoAnswer, NoGateway, Snapshot
+from badgergap.admin.client import ask
+from badgergap.admin.protocol import ActionResult, AskAction, Drain, ProtocolError, Undrain
+from badgergap.console.model import AskAgain, Break, Effect, Model, Quit, Wish
+from badgergap.console.view import render
 import contextlib
 
 REDRAW_S = 0.25  # for what the clock alone changes
--- a/rosedeal/console/model.py
+++ b/badgergap/console/model.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rosedeal.admin import Failure, Snapshot, is_last_able
-from rosedeal.admin.protocol import ActionResult
-from rosedeal.console import words
+from badgergap.admin import Failure, Snapshot, is_last_able
+from badgergap.admin.protocol import ActionResult
+from badgergap.console import words
 
 # Without a snapshot for so long the figures are shown as old. The gateway sends two a second.
 STALE_S = 2.5
--- a/rosedeal/console/view.py
+++ b/badgergap/console/view.py
@@ -4,10 +4,10 @@
 
 import textwrap
 
-from rosedeal.admin import BoxView, Said, Snapshot
-from rosedeal.console import words
-from rosedeal.console.model import HARD_WORD, Dialog, Model
-from rosedeal.console.words import clean, cut, fit
+from badgergap.admin import BoxView, Said, Snapshot
+from badgergap.console import words
+from badgergap.console.model import HARD_WORD, Dialog, Model
+from badgergap.console.words import clean, cut, fit
 
 # A part of a line and its style: "", title, ok, warn, bad, dim, chosen, alert.
 Line = list[tuple[str, str]]
--- a/rosedeal/console/words.py
+++ b/badgergap/console/words.py
@@ -8,8 +8,8 @@
 import time
 import unicodedata
 
-from rosedeal.admin import ABLE, BoxView, ClassView, Snapshot, Window
-from rosedeal.admin.protocol import ActionResult
+from badgergap.admin import ABLE, BoxView, ClassView, Snapshot, Window
+from badgergap.admin.protocol import ActionResult
 
 BARS = "▁▂▃▄▅▆▇█"
 DIGITS = "0123456789"  # the same where a terminal has no blocks: tenths
--- a/rosedeal/copies/calls.py
+++ b/badgergap/copies/calls.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from rosedeal.agreement.room import PUBLISH_S, Refused
-from rosedeal.agreement.state import Publish
-from rosedeal.copies import record as records
-from rosedeal.copies import snapshot, words
-from rosedeal.copies.guard import Guard
-from rosedeal.copies.placement import Placement, Seat, majority
-from rosedeal.copies.record import Record
-from rosedeal.copies.room import CopiesRoom
-from rosedeal.copies.words import Word
+from badgergap.agreement.room import PUBLISH_S, Refused
+from badgergap.agreement.state import Publish
+from badgergap.copies import record as records
+from badgergap.copies import snapshot, words
+from badgergap.copies.guard import Guard
+from badgergap.copies.placement import Placement, Seat, majority
+from badgergap.copies.record import Record
+from badgergap.copies.room import CopiesRoom
+from badgergap.copies.words import Word
 
 CHANGE_S = 3.0
 FREEZE_S = 0.4  # for all seats to hold still
--- a/rosedeal/copies/guard.py
+++ b/badgergap/copies/guard.py
@@ -15,17 +15,17 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from rosedeal.agreement.room import clock_us
-from rosedeal.copies import record as records
-from rosedeal.copies.once import End, Once, Request
-from rosedeal.copies.record import Record, Repeats
-from rosedeal.copies.room import CopiesRoom
-from rosedeal.gateway.proxy import OUT_OF_TOUCH, TRANSIT_US, Books, plain, refused
-from rosedeal.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
-from rosedeal.gateway.tried import Client, Tried
-from rosedeal.gateway.upstream import Answer, Exchange, Upstream
-from rosedeal.interface import Effect, Outcome, Scope
-from rosedeal.ordinary.turn import Guide, Turn, Way
+from badgergap.agreement.room import clock_us
+from badgergap.copies import record as records
+from badgergap.copies.once import End, Once, Request
+from badgergap.copies.record import Record, Repeats
+from badgergap.copies.room import CopiesRoom
+from badgergap.gateway.proxy import OUT_OF_TOUCH, TRANSIT_US, Books, plain, refused
+from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.gateway.tried import Client, Tried
+from badgergap.gateway.upstream import Answer, Exchange, Upstream
+from badgergap.interface import Effect, Outcome, Scope
+from badgergap.ordinary.turn import Guide, Turn, Way
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/copies/keeper.py
+++ b/badgergap/copies/keeper.py
@@ -13,16 +13,16 @@
 
 import msgspec
 
-from rosedeal.copies import placement as places
-from rosedeal.copies import record as records
-from rosedeal.copies import register, words
-from rosedeal.copies.clock import GroupClock
-from rosedeal.copies.placement import PARTS, Placement, Seat, part_of
-from rosedeal.copies.proposer import Change, Done, Grip, Op, Proposer, Result
-from rosedeal.copies.record import Record
-from rosedeal.copies.register import BUCKETS, Bounds, Entry, Item, Shelf
-from rosedeal.copies.repair import GIVE_UP_US, Pass
-from rosedeal.copies.words import (
+from badgergap.copies import placement as places
+from badgergap.copies import record as records
+from badgergap.copies import register, words
+from badgergap.copies.clock import GroupClock
+from badgergap.copies.placement import PARTS, Placement, Seat, part_of
+from badgergap.copies.proposer import Change, Done, Grip, Op, Proposer, Result
+from badgergap.copies.record import Record
+from badgergap.copies.register import BUCKETS, Bounds, Entry, Item, Shelf
+from badgergap.copies.repair import GIVE_UP_US, Pass
+from badgergap.copies.words import (
     Accept,
     Accepted,
     Ask,
--- a/rosedeal/copies/lessons.py
+++ b/badgergap/copies/lessons.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from rosedeal.agreement.room import GroupRoom, clock_us
-from rosedeal.copies import learnt
-from rosedeal.copies.learnt import BadLesson, Have, Keep, Kept, Lesson, Want
-from rosedeal.copies.placement import Seat
-from rosedeal.copies.room import CopiesRoom
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.proxy import Proxy
+from badgergap.agreement.room import GroupRoom, clock_us
+from badgergap.copies import learnt
+from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson, Want
+from badgergap.copies.placement import Seat
+from badgergap.copies.room import CopiesRoom
+from badgergap.gateway.config import Config
+from badgergap.gateway.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/copies/once.py
+++ b/badgergap/copies/once.py
@@ -19,10 +19,10 @@
 from enum import Enum
 from typing import Protocol
 
-from rosedeal.copies import record as records
-from rosedeal.copies.keeper import Keeper
-from rosedeal.copies.proposer import FULL, Grip, Result
-from rosedeal.copies.record import Do, Fields, Record, Repeats
+from badgergap.copies import record as records
+from badgergap.copies.keeper import Keeper
+from badgergap.copies.proposer import FULL, Grip, Result
+from badgergap.copies.record import Do, Fields, Record, Repeats
 
 SEND_SHARE = 0.5  # of the time a key is kept, after which a claim is not sent any more
 KEEP_US = 30_000_000  # for which an outcome is tried to be kept, whoever still waits
--- a/rosedeal/copies/register.py
+++ b/badgergap/copies/register.py
@@ -23,9 +23,9 @@
 import msgspec
 import xxhash
 
-from rosedeal.copies import record as records
-from rosedeal.copies.placement import PARTS, part_of
-from rosedeal.copies.record import Record
+from badgergap.copies import record as records
+from badgergap.copies.placement import PARTS, part_of
+from badgergap.copies.record import Record
 
 Ballot = tuple[int, int, int, int]
 NONE: Ballot = (0, 0, 0, 0)
--- a/rosedeal/copies/room.py
+++ b/badgergap/copies/room.py
@@ -17,17 +17,17 @@
 
 import msgspec
 
-from rosedeal.agreement.room import GroupRoom, clock_us
-from rosedeal.copies import keeper as keepers
-from rosedeal.copies import words
-from rosedeal.copies.keeper import Keeper, Options, Shout, Wish
-from rosedeal.copies.proposer import Change, Grip, Result
-from rosedeal.copies.words import Word
-from rosedeal.gateway.config import Config, ConfigError
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.store.layout import Unusable
-from rosedeal.store.log import SIZE_LIMIT, Log
-from rosedeal.store.writer import Writer
+from badgergap.agreement.room import GroupRoom, clock_us
+from badgergap.copies import keeper as keepers
+from badgergap.copies import words
+from badgergap.copies.keeper import Keeper, Options, Shout, Wish
+from badgergap.copies.proposer import Change, Grip, Result
+from badgergap.copies.words import Word
+from badgergap.gateway.config import Config, ConfigError
+from badgergap.gateway.proxy import Proxy
+from badgergap.store.layout import Unusable
+from badgergap.store.log import SIZE_LIMIT, Log
+from badgergap.store.writer import Writer
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/etcd/__init__.py
+++ b/badgergap/etcd/__init__.py
@@ -3,8 +3,8 @@
 Importing this package imports grpclib and protobuf: only where the operator file sets `[etcd]`.
 """
 
-from rosedeal.etcd.client import Login
-from rosedeal.etcd.follow import Times
-from rosedeal.etcd.source import EtcdRoom, EtcdSource, Options
+from badgergap.etcd.client import Login
+from badgergap.etcd.follow import Times
+from badgergap.etcd.source import EtcdRoom, EtcdSource, Options
 
 __all__ = ["EtcdRoom", "EtcdSource", "Login", "Options", "Times"]
--- a/rosedeal/etcd/client.py
+++ b/badgergap/etcd/client.py
@@ -15,8 +15,8 @@
 from grpclib.const import Status
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
-from rosedeal.etcd import rpc_pb2 as pb
-from rosedeal.etcd.follow import (
+from badgergap.etcd import rpc_pb2 as pb
+from badgergap.etcd.follow import (
     PAGE,
     AskProgress,
     Change,
@@ -33,7 +33,7 @@
     Watch,
     Watched,
 )
-from rosedeal.gateway.config import Address
+from badgergap.gateway.config import Address
 
 # What etcd says with a status that it also uses for other things (its api/v3rpc/rpctypes/error.go).
 TEXTS = (
--- a/rosedeal/etcd/source.py
+++ b/badgergap/etcd/source.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from rosedeal.etcd.client import Calls, Login
-from rosedeal.etcd.follow import (
+from badgergap.etcd.client import Calls, Login
+from badgergap.etcd.follow import (
     Alarm,
     AskProgress,
     Begin,
@@ -29,12 +29,12 @@
     Watched,
     Woken,
 )
-from rosedeal.etcd.hosts import Hosts
-from rosedeal.etcd.values import Places
-from rosedeal.gateway.config import Address, Config
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.sources import News, Tell as TellNews
-from rosedeal.interface import ListKind
+from badgergap.etcd.hosts import Hosts
+from badgergap.etcd.values import Places
+from badgergap.gateway.config import Address, Config
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.sources import News, Tell as TellNews
+from badgergap.interface import ListKind
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/etcd/values.py
+++ b/badgergap/etcd/values.py
@@ -19,10 +19,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rosedeal.gateway.config import Address
-from rosedeal.gateway.discovery import STATUSES
-from rosedeal.gateway.sources import Entry, host_id
-from rosedeal.interface import ListedServer
+from badgergap.gateway.config import Address
+from badgergap.gateway.discovery import STATUSES
+from badgergap.gateway.sources import Entry, host_id
+from badgergap.interface import ListedServer
 
 VALUE_LIMIT = 64 * 1024  # bytes of a value
 NAME_LIMIT = 256  # characters of a host's name
--- a/rosedeal/gateway/back.py
+++ b/badgergap/gateway/back.py
@@ -16,9 +16,9 @@
 
 import httptools
 
-from rosedeal.gateway.proxy import Books
-from rosedeal.gateway.streams import HOLD, AnswerHead, Headers
-from rosedeal.gateway.upstream import (
+from badgergap.gateway.proxy import Books
+from badgergap.gateway.streams import HOLD, AnswerHead, Headers
+from badgergap.gateway.upstream import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
     Answer,
@@ -27,11 +27,11 @@
     PooledConnection,
     Upstream,
 )
-from rosedeal.interface import Outcome
-from rosedeal.gateway.budget import LEAST
-from rosedeal.gateway.downward import last_chunk
-from rosedeal.gateway.fields import BadHead, answer_headers, trailers
-from rosedeal.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
+from badgergap.interface import Outcome
+from badgergap.gateway.budget import LEAST
+from badgergap.gateway.downward import last_chunk
+from badgergap.gateway.fields import BadHead, answer_headers, trailers
+from badgergap.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to a box and not yet sent, beyond which the client is not read
 LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
--- a/rosedeal/gateway/config.py
+++ b/badgergap/gateway/config.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.interface import Settings
-from rosedeal.wire import WireError, parse_settings
+from badgergap.interface import Settings
+from badgergap.wire import WireError, parse_settings
 
 Address = tuple[str, int]
 
--- a/rosedeal/gateway/desk.py
+++ b/badgergap/gateway/desk.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from rosedeal.gateway.calls import LINE_LIMIT, Call, CallError, answer_line
-from rosedeal.gateway.config import Address
-from rosedeal.gateway.downstream import Downstream
-from rosedeal.gateway.pools import proxy_of
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.roster import RosterError
+from badgergap.gateway.calls import LINE_LIMIT, Call, CallError, answer_line
+from badgergap.gateway.config import Address
+from badgergap.gateway.downstream import Downstream
+from badgergap.gateway.pools import proxy_of
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.roster import RosterError
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/gateway/discovery.py
+++ b/badgergap/gateway/discovery.py
@@ -11,9 +11,9 @@
 
 import httptools
 
-from rosedeal.gateway.config import Address, ConfigError, Names, parse_address
-from rosedeal.gateway.sources import PLATFORM, Entry, News, Tell, host_id
-from rosedeal.interface import ListedServer, ListKind, ServerStatus
+from badgergap.gateway.config import Address, ConfigError, Names, parse_address
+from badgergap.gateway.sources import PLATFORM, Entry, News, Tell, host_id
+from badgergap.interface import ListedServer, ListKind, ServerStatus
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/gateway/downstream.py
+++ b/badgergap/gateway/downstream.py
@@ -16,14 +16,14 @@
 
 import httptools
 
-from rosedeal.gateway import crowd, ends
-from rosedeal.gateway.back import FRAMING_SHARE, carry
-from rosedeal.gateway.budget import LARGEST, LEAST
-from rosedeal.gateway.config import Address, Config
-from rosedeal.gateway.downward import REASONS, Downward, Written
-from rosedeal.gateway.intake import BODY_LIMIT, HEAD_LIMIT, BadRequest, Head, Intake
-from rosedeal.gateway.lame import LOOK_S, Fate, LameDuck
-from rosedeal.gateway.proxy import (
+from badgergap.gateway import crowd, ends
+from badgergap.gateway.back import FRAMING_SHARE, carry
+from badgergap.gateway.budget import LARGEST, LEAST
+from badgergap.gateway.config import Address, Config
+from badgergap.gateway.downward import REASONS, Downward, Written
+from badgergap.gateway.intake import BODY_LIMIT, HEAD_LIMIT, BadRequest, Head, Intake
+from badgergap.gateway.lame import LOOK_S, Fate, LameDuck
+from badgergap.gateway.proxy import (
     RETRY_AFTER,
     Books,
     Proxy,
@@ -31,9 +31,9 @@
     plain,
     refused,
 )
-from rosedeal.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
-from rosedeal.gateway.tried import Tried, Wanted, is_early
-from rosedeal.gateway.upstream import Answer, Exchange, Upstream
+from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.gateway.tried import Tried, Wanted, is_early
+from badgergap.gateway.upstream import Answer, Exchange, Upstream
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/gateway/intake.py
+++ b/badgergap/gateway/intake.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs
 
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.proxy import Asked, Launch, plain
-from rosedeal.interface import Effect
+from badgergap.gateway.config import Config
+from badgergap.gateway.proxy import Asked, Launch, plain
+from badgergap.interface import Effect
 
 BODY_LIMIT = 32 * 1024 * 1024
 HEAD_LIMIT = 16 * 1024
--- a/rosedeal/gateway/pools.py
+++ b/badgergap/gateway/pools.py
@@ -13,9 +13,9 @@
 from functools import partial
 from typing import Any, Protocol
 
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.proxy import Observer, Proxy
-from rosedeal.gateway.share import Share
+from badgergap.gateway.config import Config
+from badgergap.gateway.proxy import Observer, Proxy
+from badgergap.gateway.share import Share
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/gateway/proxy.py
+++ b/badgergap/gateway/proxy.py
@@ -15,15 +15,15 @@
 from functools import partial
 from typing import Protocol
 
-from rosedeal.choice import Balancer
-from rosedeal.gateway import crowd
-from rosedeal.gateway.budget import Budget, total_of
-from rosedeal.gateway.config import Address, Config, needs_restart
-from rosedeal.gateway.discovery import Discovery
-from rosedeal.gateway.roster import Roster
-from rosedeal.gateway.sources import PLATFORM, HostSource, News
-from rosedeal.gateway.upstream import REST_S, Answer, Exchange, Upstream
-from rosedeal.interface import (
+from badgergap.choice import Balancer
+from badgergap.gateway import crowd
+from badgergap.gateway.budget import Budget, total_of
+from badgergap.gateway.config import Address, Config, needs_restart
+from badgergap.gateway.discovery import Discovery
+from badgergap.gateway.roster import Roster
+from badgergap.gateway.sources import PLATFORM, HostSource, News
+from badgergap.gateway.upstream import REST_S, Answer, Exchange, Upstream
+from badgergap.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -50,7 +50,7 @@
     TimerFired,
     WatchList,
 )
-from rosedeal.wire import parse_load
+from badgergap.wire import parse_load
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/gateway/run.py
+++ b/badgergap/gateway/run.py
@@ -14,11 +14,11 @@
 
 import uvloop
 
-from rosedeal.gateway import crowd
-from rosedeal.gateway.config import Config, ConfigError
-from rosedeal.gateway.desk import CALLERS, Desk, Hands
-from rosedeal.gateway.downstream import Downstream
-from rosedeal.gateway.proxy import Observer, Proxy
+from badgergap.gateway import crowd
+from badgergap.gateway.config import Config, ConfigError
+from badgergap.gateway.desk import CALLERS, Desk, Hands
+from badgergap.gateway.downstream import Downstream
+from badgergap.gateway.proxy import Observer, Proxy
 
 log = logging.getLogger(__name__)
 
@@ -259,7 +259,7 @@
             runner.run(serve(config, read_again, rooms, observer, hung_up, succeed))
     except OSError as error:
         why = error if error.errno is not None else error.strerror  # of our own there is no number
-        print(f"rosedeal: cannot start: {why}", file=sys.stderr)
+        print(f"badgergap: cannot start: {why}", file=sys.stderr)
         return 1
     return 0
 
--- a/rosedeal/gateway/sources.py
+++ b/badgergap/gateway/sources.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rosedeal.gateway.config import Address
-from rosedeal.interface import ListedServer, ListKind, ServerList
+from badgergap.gateway.config import Address
+from badgergap.interface import ListedServer, ListKind, ServerList
 
 PLATFORM = "platform"  # the name of the source that the platform's configuration sets
 
--- a/rosedeal/gateway/upstream.py
+++ b/badgergap/gateway/upstream.py
@@ -15,10 +15,10 @@
 
 import httptools
 
-from rosedeal.gateway.budget import Budget, Reads
-from rosedeal.gateway.config import Address
-from rosedeal.gateway import ends
-from rosedeal.interface import Outcome, ServerStatus
+from badgergap.gateway.budget import Budget, Reads
+from badgergap.gateway.config import Address
+from badgergap.gateway import ends
+from badgergap.interface import Outcome, ServerStatus
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/h3/back.py
+++ b/badgergap/h3/back.py
@@ -37,14 +37,14 @@
     StreamReset,
 )
 
-from rosedeal.gateway.proxy import Books
-from rosedeal.gateway.streams import HOLD, AnswerHead, Headers
-from rosedeal.gateway.upstream import Answer, Host, Upstream
-from rosedeal.h3.driver import Driver, Sender
-from rosedeal.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
-from rosedeal.interface import Outcome
-from rosedeal.gateway.fields import BadHead, ForBox, answer_headers, trailers
-from rosedeal.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
+from badgergap.gateway.proxy import Books
+from badgergap.gateway.streams import HOLD, AnswerHead, Headers
+from badgergap.gateway.upstream import Answer, Host, Upstream
+from badgergap.h3.driver import Driver, Sender
+from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
+from badgergap.interface import Outcome
+from badgergap.gateway.fields import BadHead, ForBox, answer_headers, trailers
+from badgergap.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
 
 LINKS = 4
 TRIES = 1000
--- a/rosedeal/h3/beside.py
+++ b/badgergap/h3/beside.py
@@ -15,7 +15,7 @@
 import struct
 from collections.abc import Callable, Iterable
 
-from rosedeal.h3.driver import Sender
+from badgergap.h3.driver import Sender
 
 BUFFER = 1024 * 1024
 PACKET, STOPPED = b"p", b"s"
--- a/rosedeal/h3/endpoint.py
+++ b/badgergap/h3/endpoint.py
@@ -34,11 +34,11 @@
 )
 from aioquic.quic.retry import QuicRetryTokenHandler
 
-from rosedeal.gateway.config import Address
-from rosedeal.h3 import beside
-from rosedeal.h3.beside import Beside
-from rosedeal.h3.driver import Driver, Sender
-from rosedeal.h3.library import (
+from badgergap.gateway.config import Address
+from badgergap.h3 import beside
+from badgergap.h3.beside import Beside
+from badgergap.h3.driver import Driver, Sender
+from badgergap.h3.library import (
     CID_LENGTH,
     Connection,
     Shown,
@@ -47,7 +47,7 @@
     refusal,
     stateless_reset,
 )
-from rosedeal.h3.rules import RESETS, Budget, Opening, admit
+from badgergap.h3.rules import RESETS, Budget, Opening, admit
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/h3/front.py
+++ b/badgergap/h3/front.py
@@ -15,19 +15,19 @@
 from aioquic.h3.events import DataReceived, HeadersReceived
 from aioquic.quic.events import ProtocolNegotiated, QuicEvent, StopSendingReceived, StreamReset
 
-from rosedeal.gateway.intake import HEAD_LIMIT
-from rosedeal.gateway.proxy import plain
-from rosedeal.gateway.streams import AnswerHead, DownloadSource, Headers
-from rosedeal.gateway.upstream import Answer
-from rosedeal.h3.endpoint import Link, User, address_of
-from rosedeal.h3.library import CONNECTION_WINDOW, Http, Malformed
-from rosedeal.h3.rules import CHURN, CHURN_BURST, Budget
-from rosedeal.interface import Effect
-from rosedeal.gateway.fields import BadHead, trailers
-from rosedeal.ordinary.heads import Peer, answer_fields, is_trusted, own_answer
-from rosedeal.ordinary.plan import Limits
-from rosedeal.ordinary.turn import Turn
-from rosedeal.ordinary.ways import Ways
+from badgergap.gateway.intake import HEAD_LIMIT
+from badgergap.gateway.proxy import plain
+from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers
+from badgergap.gateway.upstream import Answer
+from badgergap.h3.endpoint import Link, User, address_of
+from badgergap.h3.library import CONNECTION_WINDOW, Http, Malformed
+from badgergap.h3.rules import CHURN, CHURN_BURST, Budget
+from badgergap.interface import Effect
+from badgergap.gateway.fields import BadHead, trailers
+from badgergap.ordinary.heads import Peer, answer_fields, is_trusted, own_answer
+from badgergap.ordinary.plan import Limits
+from badgergap.ordinary.turn import Turn
+from badgergap.ordinary.ways import Ways
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/h3/room.py
+++ b/badgergap/h3/room.py
@@ -8,14 +8,14 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 
-from rosedeal.gateway.config import Address, Config
-from rosedeal.gateway.ends import is_bound
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.h3.endpoint import NO_ERROR, Endpoint, Link
-from rosedeal.h3.front import Front3
-from rosedeal.h3.library import Shown, Tickets
-from rosedeal.ordinary.plan import Limits
-from rosedeal.ordinary.ways import Ways
+from badgergap.gateway.config import Address, Config
+from badgergap.gateway.ends import is_bound
+from badgergap.gateway.proxy import Proxy
+from badgergap.h3.endpoint import NO_ERROR, Endpoint, Link
+from badgergap.h3.front import Front3
+from badgergap.h3.library import Shown, Tickets
+from badgergap.ordinary.plan import Limits
+from badgergap.ordinary.ways import Ways
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/handover/link.py
+++ b/badgergap/handover/link.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.handover.will import FRAME_LIMIT, Decoder, WillError, encode
+from badgergap.handover.will import FRAME_LIMIT, Decoder, WillError, encode
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/handover/succession.py
+++ b/badgergap/handover/succession.py
@@ -31,17 +31,17 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.downstream import ClientConnection, Downstream
-from rosedeal.gateway.drains import DrainStore
-from rosedeal.handover.link import Link, Place, check_peer, descriptor_of
-from rosedeal.handover.parts import Part
-from rosedeal.gateway.pools import MAIN, proxy_of
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.roster import HandDrain, RosterError
-from rosedeal.gateway.run import Pooled, Room
-from rosedeal.gateway.sources import PLATFORM
-from rosedeal.handover.will import Will, WillError, list_of, read_will, whose, write_will
+from badgergap.gateway.config import Config
+from badgergap.gateway.downstream import ClientConnection, Downstream
+from badgergap.gateway.drains import DrainStore
+from badgergap.handover.link import Link, Place, check_peer, descriptor_of
+from badgergap.handover.parts import Part
+from badgergap.gateway.pools import MAIN, proxy_of
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.roster import HandDrain, RosterError
+from badgergap.gateway.run import Pooled, Room
+from badgergap.gateway.sources import PLATFORM
+from badgergap.handover.will import Will, WillError, list_of, read_will, whose, write_will
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/handover/will.py
+++ b/badgergap/handover/will.py
@@ -20,10 +20,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rosedeal.gateway.config import Address, Names
-from rosedeal.gateway.roster import DRAIN_LIMIT, HandDrain
-from rosedeal.gateway.sources import Entry
-from rosedeal.interface import ServerStatus
+from badgergap.gateway.config import Address, Names
+from badgergap.gateway.roster import DRAIN_LIMIT, HandDrain
+from badgergap.gateway.sources import Entry
+from badgergap.interface import ServerStatus
 
 MAGIC, VERSION = b"bgw", 1
 HEADER = struct.Struct(">3sBII")
--- a/rosedeal/joining/room.py
+++ b/badgergap/joining/room.py
@@ -14,14 +14,14 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
 
-from rosedeal.gateway.proxy import TRANSIT_US, Proxy, plain, refused
-from rosedeal.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
-from rosedeal.gateway.tried import Client
-from rosedeal.gateway.upstream import Answer
-from rosedeal.interface import Effect
-from rosedeal.joining.group import Act, Do, Group, State
-from rosedeal.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
-from rosedeal.ordinary.turn import Guide, Turn, Way
+from badgergap.gateway.proxy import TRANSIT_US, Proxy, plain, refused
+from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.gateway.tried import Client
+from badgergap.gateway.upstream import Answer
+from badgergap.interface import Effect
+from badgergap.joining.group import Act, Do, Group, State
+from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
+from badgergap.ordinary.turn import Guide, Turn, Way
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/ordinary/plan.py
+++ b/badgergap/ordinary/plan.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from rosedeal.gateway.config import Address
-from rosedeal.gateway.pools import MAIN
-from rosedeal.routes import Route, Table
-from rosedeal.ordinary.heads import Network, RequestHead
+from badgergap.gateway.config import Address
+from badgergap.gateway.pools import MAIN
+from badgergap.routes import Route, Table
+from badgergap.ordinary.heads import Network, RequestHead
 
 # RFC 9110 section 9.2.2: what a client, and so a gateway, may repeat by itself. TRACE is refused.
 REPEATABLE = frozenset((b"GET", b"HEAD", b"OPTIONS", b"PUT", b"DELETE"))
--- a/rosedeal/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from rosedeal.gateway.proxy import Asked, Books, Launch, Proxy, Request, plain
-from rosedeal.gateway.streams import DownloadSource, Upload
-from rosedeal.gateway.tried import Client, Tried, Wanted, is_early
-from rosedeal.gateway.upstream import Exchange, Upstream
-from rosedeal.ordinary.heads import Peer, RequestHead, request_for_box
+from badgergap.gateway.proxy import Asked, Books, Launch, Proxy, Request, plain
+from badgergap.gateway.streams import DownloadSource, Upload
+from badgergap.gateway.tried import Client, Tried, Wanted, is_early
+from badgergap.gateway.upstream import Exchange, Upstream
+from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -9,14 +9,14 @@
 from dataclasses import replace
 from functools import partial
 
-from rosedeal.gateway.pools import Pools
-from rosedeal.gateway.proxy import Asked, Launch, Proxy, plain, refused
-from rosedeal.gateway.upstream import Answer
-from rosedeal.interface import Effect
-from rosedeal.ordinary.heads import request_id
-from rosedeal.ordinary.plan import WebPlan, choose, turns_to_spare
-from rosedeal.ordinary.turn import Carry, Guard, Join, Turn, Way
-from rosedeal.routes import BadPath, read_host, read_target
+from badgergap.gateway.pools import Pools
+from badgergap.gateway.proxy import Asked, Launch, Proxy, plain, refused
+from badgergap.gateway.upstream import Answer
+from badgergap.interface import Effect
+from badgergap.ordinary.heads import request_id
+from badgergap.ordinary.plan import WebPlan, choose, turns_to_spare
+from badgergap.ordinary.turn import Carry, Guard, Join, Turn, Way
+from badgergap.routes import BadPath, read_host, read_target
 
 READS = (b"GET", b"HEAD", b"OPTIONS")
 
--- a/rosedeal/routes/__init__.py
+++ b/badgergap/routes/__init__.py
@@ -1,7 +1,7 @@
 """Which route a request takes: pure, with no I/O and no clock."""
 
-from rosedeal.routes.path import BadPath, Target, normalise, read_host, read_target
-from rosedeal.routes.table import Match, Near, Route, Table
+from badgergap.routes.path import BadPath, Target, normalise, read_host, read_target
+from badgergap.routes.table import Match, Near, Route, Table
 
 __all__ = [
     "BadPath",
--- a/rosedeal/routes/table.py
+++ b/badgergap/routes/table.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from rosedeal.routes.path import BadPath, normalise
+from badgergap.routes.path import BadPath, normalise
 
 ANY_HOST = ""
 SAID_LIMIT = 5  # routes that came close that are told
--- a/rosedeal/site/__init__.py
+++ b/badgergap/site/__init__.py
@@ -1,10 +1,10 @@
 """The operator file of a small site: read, checked, turned into a configuration and a source of hosts."""
 
-from rosedeal.site.convert import combine, to_config
-from rosedeal.gateway.drains import DrainStore
-from rosedeal.site.read import SiteError, parse_site, read_site
-from rosedeal.site.schema import Site
-from rosedeal.site.source import FileSource, SiteRoom
+from badgergap.site.convert import combine, to_config
+from badgergap.gateway.drains import DrainStore
+from badgergap.site.read import SiteError, parse_site, read_site
+from badgergap.site.schema import Site
+from badgergap.site.source import FileSource, SiteRoom
 
 __all__ = [
     "DrainStore",
--- a/rosedeal/site/convert.py
+++ b/badgergap/site/convert.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from rosedeal.gateway.config import Config, ConfigError, Names
-from rosedeal.interface import Effect, Prices, RequestClass, Scope, Settings
-from rosedeal.site.schema import Address, ClassTable, PoolTable, Site
-from rosedeal.site.web import REPEATABLE, UNSAFE
+from badgergap.gateway.config import Config, ConfigError, Names
+from badgergap.interface import Effect, Prices, RequestClass, Scope, Settings
+from badgergap.site.schema import Address, ClassTable, PoolTable, Site
+from badgergap.site.web import REPEATABLE, UNSAFE
 
 EFFECTS = {
     "safe": Effect.SAFE,
--- a/rosedeal/site/read.py
+++ b/badgergap/site/read.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.site.locate import line_of, lines_of
-from rosedeal.site.schema import (
+from badgergap.gateway.config import ConfigError
+from badgergap.site.locate import line_of, lines_of
+from badgergap.site.schema import (
     BoxTable,
     CertificateTable,
     ChangesTable,
@@ -36,7 +36,7 @@
     SiteTable,
     decode,
 )
-from rosedeal.site.web import contradictions as of_web
+from badgergap.site.web import contradictions as of_web
 
 SIZE_LIMIT = 1024 * 1024  # bytes of a file
 FOUND_LIMIT = 60  # characters of a wrong value that an error repeats
--- a/rosedeal/site/source.py
+++ b/badgergap/site/source.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from rosedeal.gateway.config import Config, Names
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.sources import Entry, News, Tell, host_id
-from rosedeal.interface import ListedServer, ListKind
-from rosedeal.gateway.drains import DrainStore
-from rosedeal.site.schema import BoxTable, Site
-from rosedeal.site.web import MAIN
+from badgergap.gateway.config import Config, Names
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.sources import Entry, News, Tell, host_id
+from badgergap.interface import ListedServer, ListKind
+from badgergap.gateway.drains import DrainStore
+from badgergap.site.schema import BoxTable, Site
+from badgergap.site.web import MAIN
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/site/web.py
+++ b/badgergap/site/web.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from rosedeal.routes import BadPath, Route, Table, read_host
-from rosedeal.site.schema import Address, RouteTable, Site
+from badgergap.routes import BadPath, Route, Table, read_host
+from badgergap.site.schema import Address, RouteTable, Site
 
 REPEATABLE, UNSAFE = "+repeatable", "+unsafe"  # further entries of one class, by what a repeat would do
 MAIN = "main"  # the pool of the boxes that name none
--- a/rosedeal/staged/calls.py
+++ b/badgergap/staged/calls.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from rosedeal.agreement.member import read_tables
-from rosedeal.agreement.relation import contradictions
-from rosedeal.agreement.room import GroupRoom, Refused, encode_tables
-from rosedeal.gateway.config import ConfigError
-from rosedeal.staged import sides
-from rosedeal.staged.controller import Run
-from rosedeal.staged.judge import BLOCK_S, BLOCKS_LEAST
-from rosedeal.staged.plan import MEMBER, BadPlan, Plan, shown, stages_of
-from rosedeal.staged.room import StagedRoom
+from badgergap.agreement.member import read_tables
+from badgergap.agreement.relation import contradictions
+from badgergap.agreement.room import GroupRoom, Refused, encode_tables
+from badgergap.gateway.config import ConfigError
+from badgergap.staged import sides
+from badgergap.staged.controller import Run
+from badgergap.staged.judge import BLOCK_S, BLOCKS_LEAST
+from badgergap.staged.plan import MEMBER, BadPlan, Plan, shown, stages_of
+from badgergap.staged.room import StagedRoom
 
 Arguments = Mapping[str, Any]
 
--- a/rosedeal/staged/meter.py
+++ b/badgergap/staged/meter.py
@@ -6,9 +6,9 @@
 import time
 from collections.abc import Mapping
 
-from rosedeal.gateway.proxy import Observer
-from rosedeal.interface import Outcome
-from rosedeal.staged.judge import CLASSES_MOST, Block, Counts
+from badgergap.gateway.proxy import Observer
+from badgergap.interface import Outcome
+from badgergap.staged.judge import CLASSES_MOST, Block, Counts
 
 PAGE = resource.getpagesize()
 
--- a/rosedeal/staged/plan.py
+++ b/badgergap/staged/plan.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from rosedeal.site.schema import Duration, decode
+from badgergap.site.schema import Duration, decode
 
 Measure = Literal["service", "failed", "refused", "late", "latency", "tries", "memory", "cpu", "crashes"]
 # Differences are of shares, in points of one; the others are ratios.
--- a/rosedeal/staged/room.py
+++ b/badgergap/staged/room.py
@@ -16,18 +16,18 @@
 
 import msgspec
 
-from rosedeal.agreement.room import PUBLISH_S, GroupRoom, Refused, clock_us
-from rosedeal.agreement.member import read_tables
-from rosedeal.agreement.state import Publish
-from rosedeal.gateway.config import Config
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.site.schema import parse_duration
-from rosedeal.staged import controller, words
-from rosedeal.staged.controller import BEAT_US, HISTORY_MOST, STALE_US, Kept, Run, Stand, View
-from rosedeal.staged.judge import BLOCK_S, PAST_BLOCKS, Block, Judge, Verdict
-from rosedeal.staged.meter import Meter
-from rosedeal.staged.plan import BadPlan, Plan, Seat
-from rosedeal.staged.words import Answer, Beat, Begin, Did, Past, Steer, Want, Word
+from badgergap.agreement.room import PUBLISH_S, GroupRoom, Refused, clock_us
+from badgergap.agreement.member import read_tables
+from badgergap.agreement.state import Publish
+from badgergap.gateway.config import Config
+from badgergap.gateway.proxy import Proxy
+from badgergap.site.schema import parse_duration
+from badgergap.staged import controller, words
+from badgergap.staged.controller import BEAT_US, HISTORY_MOST, STALE_US, Kept, Run, Stand, View
+from badgergap.staged.judge import BLOCK_S, PAST_BLOCKS, Block, Judge, Verdict
+from badgergap.staged.meter import Meter
+from badgergap.staged.plan import BadPlan, Plan, Seat
+from badgergap.staged.words import Answer, Beat, Begin, Did, Past, Steer, Want, Word
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/standins/__main__.py
+++ b/badgergap/standins/__main__.py
@@ -9,14 +9,14 @@
 
 import uvloop
 
-from rosedeal.standins.fleet import Fleet
+from badgergap.standins.fleet import Fleet
 
 
 async def start_apps(count: int, first: int) -> dict[str, str]:
     """Ordinary web applications, at ports from the first on or at any; they end with the process."""
     if not count:
         return {}
-    from rosedeal.standins.app import App  # its libraries are an extra of their own
+    from badgergap.standins.app import App  # its libraries are an extra of their own
 
     apps = [App(f"web-{number + 1}", port=first + number if first else 0) for number in range(count)]
     for app in apps:
@@ -47,7 +47,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m rosedeal.standins", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m badgergap.standins", description=__doc__)
     parser.add_argument("--boxes", type=int, default=6)
     parser.add_argument("--plain", action="store_true", help="all boxes warm, and answering at once")
     parser.add_argument("--etcd", action="store_true", help="name the boxes in a stand-in etcd")
--- a/rosedeal/standins/closed.py
+++ b/badgergap/standins/closed.py
@@ -1,6 +1,6 @@
 """A closed loop of clients for benchmarks: each connection asks again as soon as it has its answer.
 
-As a process: `python -m rosedeal.standins.closed HOST:PORT --class NAME` prints one line of JSON.
+As a process: `python -m badgergap.standins.closed HOST:PORT --class NAME` prints one line of JSON.
 """
 
 from __future__ import annotations
@@ -103,7 +103,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m rosedeal.standins.closed", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m badgergap.standins.closed", description=__doc__)
     parser.add_argument("address")
     parser.add_argument("--class", dest="klass", default="standings")
     parser.add_argument("--connections", type=int, default=32)
--- a/rosedeal/standins/etcd.py
+++ b/badgergap/standins/etcd.py
@@ -21,8 +21,8 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server
 
-from rosedeal.etcd import rpc_pb2 as pb
-from rosedeal.standins.relay import Relay
+from badgergap.etcd import rpc_pb2 as pb
+from badgergap.standins.relay import Relay
 
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 AHEAD = "etcdserver: mvcc: required revision is a future revision"
--- a/rosedeal/standins/fleet.py
+++ b/badgergap/standins/fleet.py
@@ -7,12 +7,12 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from rosedeal.standins.box import Box
-from rosedeal.standins.load import Kind, Load
-from rosedeal.standins.registry import LiveRegistry
+from badgergap.standins.box import Box
+from badgergap.standins.load import Kind, Load
+from badgergap.standins.registry import LiveRegistry
 
 if TYPE_CHECKING:
-    from rosedeal.standins.etcd import Etcd
+    from badgergap.standins.etcd import Etcd
 
 PREFIX = "/boxes/"
 
@@ -40,7 +40,7 @@
         self.plain = plain
         self.etcd: Etcd | None = None
         if etcd:
-            from rosedeal.standins.etcd import Etcd  # its libraries are an extra of their own
+            from badgergap.standins.etcd import Etcd  # its libraries are an extra of their own
 
             self.etcd = Etcd()
         self.boxes: dict[str, Box] = {}
--- a/rosedeal/standins/h3.py
+++ b/badgergap/standins/h3.py
@@ -41,7 +41,7 @@
 )
 from aioquic.tls import SessionTicket
 
-from rosedeal.standins.app import content
+from badgergap.standins.app import content
 
 Fields = list[tuple[bytes, bytes]]
 CANCELLED = 0x10C
--- a/rosedeal/standins/registry.py
+++ b/badgergap/standins/registry.py
@@ -9,7 +9,7 @@
 import asyncio
 import json
 
-from rosedeal.standins.net import Server, read_head
+from badgergap.standins.net import Server, read_head
 
 HEARTBEAT_S = 2.0
 
--- a/rosedeal/standins/rig.py
+++ b/badgergap/standins/rig.py
@@ -25,10 +25,10 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.admin import AdminError, NoAnswer, NoGateway, call
-from rosedeal.admin.protocol import VERSION, AskGroup, ProtocolError
-from rosedeal.standins.app import App
-from rosedeal.standins.relay import Relay
+from badgergap.admin import AdminError, NoAnswer, NoGateway, call
+from badgergap.admin.protocol import VERSION, AskGroup, ProtocolError
+from badgergap.standins.app import App
+from badgergap.standins.relay import Relay
 
 START_S = 20.0
 BACK_S = 2.0  # for a process to listen again
@@ -161,7 +161,7 @@
     def run(self, gateway: Gateway, program: Sequence[str] = ()) -> None:
         gateway.starts += 1
         log = (gateway.folder / f"log-{gateway.starts:03}").open("wb")
-        command = program or self.program or (sys.executable, "-B", "-m", "rosedeal.cli")
+        command = program or self.program or (sys.executable, "-B", "-m", "badgergap.cli")
         gateway.process = subprocess.Popen(
             [*command, "serve", str(gateway.file), "--until-stdin-ends"],
             stdin=subprocess.PIPE,
--- a/rosedeal/standins/scripted.py
+++ b/badgergap/standins/scripted.py
@@ -6,7 +6,7 @@
 import json
 from dataclasses import dataclass
 
-from rosedeal.standins.net import Head, Server, read_head, read_message
+from badgergap.standins.net import Head, Server, read_head, read_message
 
 
 @dataclass
--- a/rosedeal/store/log.py
+++ b/badgergap/store/log.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 from typing import Protocol
 
-from rosedeal.store import layout
-from rosedeal.store.layout import Head, Unusable
+from badgergap.store import layout
+from badgergap.store.layout import Head, Unusable
 
 NAME, NEW, MARK, LOCK = "log", "log.new", "mark", "lock"
 SIZE_LIMIT = 256 * 1024 * 1024  # bytes of a log; its owner compacts long before
--- a/rosedeal/store/writer.py
+++ b/badgergap/store/writer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from rosedeal.store.log import Log
+from badgergap.store.log import Log
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/tls/store.py
+++ b/badgergap/tls/store.py
@@ -14,8 +14,8 @@
 
 from cryptography import x509
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.tls.names import Names
+from badgergap.gateway.config import ConfigError
+from badgergap.tls.names import Names
 
 WARN_S = 14 * 86_400  # before the end of a certificate from which on it is warned of
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
--- a/rosedeal/web/door.py
+++ b/badgergap/web/door.py
@@ -11,11 +11,11 @@
 from itertools import islice
 from typing import Any
 
-from rosedeal.gateway.config import Address
-from rosedeal.ordinary.ways import Ways
-from rosedeal.web.front import Front
-from rosedeal.ordinary.heads import Peer, is_trusted
-from rosedeal.ordinary.plan import Limits, WebPlan
+from badgergap.gateway.config import Address
+from badgergap.ordinary.ways import Ways
+from badgergap.web.front import Front
+from badgergap.ordinary.heads import Peer, is_trusted
+from badgergap.ordinary.plan import Limits, WebPlan
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/web/front.py
+++ b/badgergap/web/front.py
@@ -18,19 +18,19 @@
 
 import httptools
 
-from rosedeal.gateway import ends
-from rosedeal.gateway.downstream import LINGER_S
-from rosedeal.gateway.downward import REASONS, Downward, Written
-from rosedeal.gateway.intake import HEAD_LIMIT
-from rosedeal.gateway.proxy import plain, refused
-from rosedeal.gateway.streams import AnswerHead, DownloadSource, Headers
-from rosedeal.gateway.upstream import Answer
-from rosedeal.gateway.fields import BadHead, trailers
-from rosedeal.ordinary.heads import Peer, answer_fields, own_answer
-from rosedeal.ordinary.turn import Turn
+from badgergap.gateway import ends
+from badgergap.gateway.downstream import LINGER_S
+from badgergap.gateway.downward import REASONS, Downward, Written
+from badgergap.gateway.intake import HEAD_LIMIT
+from badgergap.gateway.proxy import plain, refused
+from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers
+from badgergap.gateway.upstream import Answer
+from badgergap.gateway.fields import BadHead, trailers
+from badgergap.ordinary.heads import Peer, answer_fields, own_answer
+from badgergap.ordinary.turn import Turn
 
 if TYPE_CHECKING:
-    from rosedeal.web.door import Door
+    from badgergap.web.door import Door
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/web/room.py
+++ b/badgergap/web/room.py
@@ -8,15 +8,15 @@
 import ssl
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 
-from rosedeal.gateway import ends
-from rosedeal.gateway.config import Address, Config
-from rosedeal.gateway.pools import PoolPlan, Pools
-from rosedeal.gateway.proxy import Observer, Proxy
-from rosedeal.ordinary.turn import Carry, Guard, Join
-from rosedeal.ordinary.ways import Ways
-from rosedeal.gateway.back import carry
-from rosedeal.web.door import Door
-from rosedeal.ordinary.plan import WebPlan
+from badgergap.gateway import ends
+from badgergap.gateway.config import Address, Config
+from badgergap.gateway.pools import PoolPlan, Pools
+from badgergap.gateway.proxy import Observer, Proxy
+from badgergap.ordinary.turn import Carry, Guard, Join
+from badgergap.ordinary.ways import Ways
+from badgergap.gateway.back import carry
+from badgergap.web.door import Door
+from badgergap.ordinary.plan import WebPlan
 
 log = logging.getLogger(__name__)
 
--- a/rosedeal/wire.py
+++ b/badgergap/wire.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from rosedeal.interface import (
+from badgergap.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/rosedeal/wirehost.py
+++ b/badgergap/wirehost.py
@@ -10,9 +10,9 @@
 import sys
 from typing import TextIO
 
-from rosedeal.interface import Event, ListedServer, ListKind, ServerList
-from rosedeal.choice import Balancer
-from rosedeal.wire import (
+from badgergap.interface import Event, ListedServer, ListKind, ServerList
+from badgergap.choice import Balancer
+from badgergap.wire import (
     LIST_KINDS,
     PARSERS,
     Fields,
@@ -47,7 +47,7 @@
                 self.complain(line, str(error))
 
     def complain(self, line: str, why: str) -> None:
-        print(f"rosedeal: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
+        print(f"badgergap: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
         if line == "go":
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -22,13 +22,13 @@
 from pathlib import Path
 
 from benchmarks.common import child, closed_load, cpu_s, fleet, quantile, site_file
-from rosedeal.agreement import durable, lists
-from rosedeal.agreement.member import Member, Settings
-from rosedeal.agreement.raft import Peer, Save, Snapshot
-from rosedeal.agreement.room import clock_us
-from rosedeal.agreement.state import Publish, State, encode
-from rosedeal.standins.rig import Gateway, rig, free_port
-from rosedeal.store.log import Log
+from badgergap.agreement import durable, lists
+from badgergap.agreement.member import Member, Settings
+from badgergap.agreement.raft import Peer, Save, Snapshot
+from badgergap.agreement.room import clock_us
+from badgergap.agreement.state import Publish, State, encode
+from badgergap.standins.rig import Gateway, rig, free_port
+from badgergap.store.log import Log
 
 
 @contextmanager
@@ -44,7 +44,7 @@
         group = f'[group]\nname = "a"\nlisten = "127.0.0.1:{port}"\nkey = "key"\n'
         group += f'[[group.member]]\nname = "a"\naddress = "127.0.0.1:{port}"\n'
         path.write_text(text.replace("\n[[class]]", f"\n{group}[[class]]", 1))
-    with child("-m", "rosedeal.cli", "serve", str(path), ready="listens on") as (process, line, _):
+    with child("-m", "badgergap.cli", "serve", str(path), ready="listens on") as (process, line, _):
         time.sleep(2.5)  # founded, and its first version in force
         yield process.pid, line.split()[-1]
 
--- a/benchmarks/appliance.py
+++ b/benchmarks/appliance.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 from benchmarks.common import child, closed_load, cpu_s, fleet, memory_mb, platform_file, site_file
-from rosedeal.admin import AdminClient, Snapshot
+from badgergap.admin import AdminClient, Snapshot
 
 READER = """
 import json, socket, sys
@@ -82,10 +82,10 @@
     site, config = site_file(folder, boxes), platform_file(folder, boxes)
     found: dict[str, list[tuple[float, float]]] = {"platform": [], "serve": []}
     for _ in range(rounds):
-        with child("-m", "rosedeal", ready="listens on", ROUTER_CONFIG=str(config)) as (process, _, took):
+        with child("-m", "badgergap", ready="listens on", ROUTER_CONFIG=str(config)) as (process, _, took):
             time.sleep(0.5)
             found["platform"].append((took, memory_mb(process.pid)))
-        with child("-m", "rosedeal.cli", "serve", str(site), ready="listens on") as (process, _, took):
+        with child("-m", "badgergap.cli", "serve", str(site), ready="listens on") as (process, _, took):
             time.sleep(0.5)
             found["serve"].append((took, memory_mb(process.pid)))
     base = [statistics.median(column) for column in zip(*found["platform"], strict=True)]
@@ -159,7 +159,7 @@
     pid, fd = pty.fork()
     if pid == 0:
         env = {**os.environ, "TERM": "xterm-256color", "COLUMNS": "80", "LINES": "24"}
-        arguments = [sys.executable, "-m", "rosedeal.cli", "console", "--socket", str(socket)]
+        arguments = [sys.executable, "-m", "badgergap.cli", "console", "--socket", str(socket)]
         os.execvpe(sys.executable, arguments, env)
     return pid, fd
 
@@ -184,7 +184,7 @@
         print(json.dumps({"boxes": args.boxes, "cpus": os.cpu_count(), "python": sys.version.split()[0]}))
         starts(folder, boxes, args.rounds)
         site, socket = site_file(folder, boxes), folder / "admin.sock"
-        with child("-m", "rosedeal.cli", "serve", str(site), ready="listens on") as (gateway, line, _):
+        with child("-m", "badgergap.cli", "serve", str(site), ready="listens on") as (gateway, line, _):
             time.sleep(0.5)
             console_start(socket, 3)
             asyncio.run(key_to_effect(socket, 10))
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -74,7 +74,7 @@
 @contextmanager
 def fleet(boxes: int) -> Iterator[dict[str, str]]:
     """Stand-in boxes that answer at once, in a process of their own: name to address."""
-    arguments = ("-m", "rosedeal.standins", "--plain", "--boxes", str(boxes))
+    arguments = ("-m", "badgergap.standins", "--plain", "--boxes", str(boxes))
     with child(*arguments, ready="registry", cpu=FLEET_CPU) as (_, line, _took):
         yield json.loads(line)["boxes"]
 
@@ -119,7 +119,7 @@
     """Clients in a process of their own."""
     process = subprocess.Popen(
         [
-            *(sys.executable, "-m", "rosedeal.standins.closed", address),
+            *(sys.executable, "-m", "badgergap.standins.closed", address),
             *("--seconds", str(seconds), "--connections", str(connections)),
         ],
         stdout=subprocess.PIPE,
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -24,14 +24,14 @@
 from typing import Any
 
 from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb, quantile
-from rosedeal.copies import learnt, snapshot, words
-from rosedeal.copies import record as records
-from rosedeal.copies.learnt import Lesson
-from rosedeal.interface import Outcome
-from rosedeal.interface import Send as Attempted
-from rosedeal.standins.rig import Gateway, Rig, rig
+from badgergap.copies import learnt, snapshot, words
+from badgergap.copies import record as records
+from badgergap.copies.learnt import Lesson
+from badgergap.interface import Outcome
+from badgergap.interface import Send as Attempted
+from badgergap.standins.rig import Gateway, Rig, rig
 from tests.agreement.simulation import MS, S
-from rosedeal.copies.keeper import Send
+from badgergap.copies.keeper import Send
 from tests.copies.simulation import Node, World
 from tests.copies.test_process import last_steps, placed
 from tests.helpers import Driver
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/copies_faults.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from benchmarks.common import quantile
-from rosedeal.standins.rig import Timeline, rig
+from badgergap.standins.rig import Timeline, rig
 from tests.copies.load import Keyed, keyed
 from tests.copies.test_process import placed
 
@@ -84,7 +84,7 @@
 
 async def hosts(it: object, over: asyncio.Event, out: dict[str, int]) -> None:
     """Hosts that nobody names are taken out by hand, one every few seconds: they must stay out."""
-    from rosedeal.standins.rig import Rig
+    from badgergap.standins.rig import Rig
 
     assert isinstance(it, Rig)
     number = 0
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -25,11 +25,11 @@
 import uvloop
 
 from benchmarks.common import CLASSES, FLEET_CPU, GATEWAY_CPU, child, cpu_s, memory_mb, pin
-from rosedeal.interface import ListKind
-from rosedeal.standins.box import Box
-from rosedeal.standins.etcd import Etcd
-from rosedeal.standins.load import Kind, Load
-from rosedeal.standins.registry import LiveRegistry
+from badgergap.interface import ListKind
+from badgergap.standins.box import Box
+from badgergap.standins.etcd import Etcd
+from badgergap.standins.load import Kind, Load
+from badgergap.standins.registry import LiveRegistry
 
 PREFIX = "/boxes/"
 KINDS = (Kind("standings", "safe", 2.0, 4.0),)
@@ -88,7 +88,7 @@
     }
     gateways = {}
     for name, path in files.items():
-        gateways[name] = child("-m", "rosedeal.cli", "serve", str(path), ready="listens on")
+        gateways[name] = child("-m", "badgergap.cli", "serve", str(path), ready="listens on")
     try:
         running = []
         for name, gateway in gateways.items():
@@ -131,11 +131,11 @@
 
 async def listing(hosts: int) -> None:
     """In this process, so that the loop's stalls can be seen; the store is in another one."""
-    from rosedeal.etcd import EtcdRoom, Options, Times
-    from rosedeal.gateway.config import Config, Names
-    from rosedeal.gateway.proxy import Proxy
-    from rosedeal.gateway.sources import News
-    from rosedeal.interface import RequestClass, Settings
+    from badgergap.etcd import EtcdRoom, Options, Times
+    from badgergap.gateway.config import Config, Names
+    from badgergap.gateway.proxy import Proxy
+    from badgergap.gateway.sources import News
+    from badgergap.interface import RequestClass, Settings
 
     def proxy() -> Proxy:
         settings = Settings(classes=(RequestClass(500_000, 1_200_000),))
@@ -145,7 +145,7 @@
 
     code = (
         "import asyncio, sys, uvloop\n"
-        "from rosedeal.standins.etcd import Etcd\n"
+        "from badgergap.standins.etcd import Etcd\n"
         "async def main():\n"
         "    etcd = Etcd()\n"
         f"    for n in range({hosts}):\n"
@@ -211,7 +211,7 @@
         etcd.put(f"{PREFIX}box-{n}", '{"address":"127.0.0.1:9"}')
     host, port = etcd.endpoints[0]
     path = site_file(folder, f'[etcd]\nendpoints = ["{host}:{port}"]\n')
-    serving = child("-m", "rosedeal.cli", "serve", str(path), ready="the admin socket is")
+    serving = child("-m", "badgergap.cli", "serve", str(path), ready="the admin socket is")
     process, _, _ = await asyncio.to_thread(serving.__enter__)
     try:
         await asyncio.sleep(1.5)
--- a/benchmarks/group_faults.py
+++ b/benchmarks/group_faults.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from benchmarks.common import quantile
-from rosedeal.standins.rig import Timeline, rig
+from badgergap.standins.rig import Timeline, rig
 from tests.agreement.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
 
 FAULTS = ("kill", "kill", "stop", "stop", "cut", "cut", "deaf", "delay", "reset", "wipe", "copy")
--- a/benchmarks/h3.py
+++ b/benchmarks/h3.py
@@ -32,9 +32,9 @@
 
 from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb
 from benchmarks.http import BOX, box, gateway
-from rosedeal.standins.certificates import Authority
-from rosedeal.standins.h3 import Client3
-from rosedeal.standins.udp import UdpRelay
+from badgergap.standins.certificates import Authority
+from badgergap.standins.h3 import Client3
+from badgergap.standins.udp import UdpRelay
 
 HTTP3 = "serves HTTP/3 on"
 HTTPS = "serves HTTPS on"
@@ -286,7 +286,7 @@
 BOX3 = """
 import asyncio, sys
 from pathlib import Path
-from rosedeal.standins.h3 import Box3
+from badgergap.standins.h3 import Box3
 async def main():
     box = Box3((Path(sys.argv[1]), Path(sys.argv[2])))
     await box.start()
--- a/benchmarks/http.py
+++ b/benchmarks/http.py
@@ -29,8 +29,8 @@
 import uvloop
 
 from benchmarks.common import FLEET_CPU, child, closed_load, cpu_s, fleet, memory_mb, site_file
-from rosedeal.routes import Route, Table
-from rosedeal.standins.certificates import Authority
+from badgergap.routes import Route, Table
+from badgergap.standins.certificates import Authority
 
 BOX = """
 import asyncio, sys, uvloop
@@ -144,7 +144,7 @@
         path.write_text(
             text + "".join(f'[[box]]\nname = "b{n}"\naddress = "{at}"\n{box}' for n, at in enumerate(boxes))
         )
-        with child("-m", "rosedeal.cli", "serve", str(path), ready=ready) as (process, line, _):
+        with child("-m", "badgergap.cli", "serve", str(path), ready=ready) as (process, line, _):
             assert process.stdout is not None
             threading.Thread(target=process.stdout.read, daemon=True).start()  # a full pipe would stop it
             yield process.pid, int(line.rpartition(":")[2])
@@ -279,7 +279,7 @@
     with fleet(12) as boxes, box() as address, tempfile.TemporaryDirectory() as name:
         path = site_file(Path(name), boxes)
         with (
-            child("-m", "rosedeal.cli", "serve", str(path), ready="listens on") as (process, line, _),
+            child("-m", "badgergap.cli", "serve", str(path), ready="listens on") as (process, line, _),
             gateway([address] * 12) as (pid, port),
         ):
             assert process.stdout is not None
--- a/benchmarks/joined_reads.py
+++ b/benchmarks/joined_reads.py
@@ -96,7 +96,12 @@
         path = Path(folder) / "site.toml"
         text = SITE.replace("{join}", str(join).lower())
         path.write_text(text + f'[[box]]\nname = "b"\naddress = "127.0.0.1:{port}"\n')
-        arguments = ("-c", "from rosedeal.cli.main import main; raise SystemExit(main())", "serve", str(path))
+        arguments = (
+            "-c",
+            "from badgergap.cli.main import main; raise SystemExit(main())",
+            "serve",
+            str(path),
+        )
         with child(*arguments, ready="serves HTTP", cpu=GATEWAY_CPU) as (gateway, said, _took):
             at = said.rpartition(":")[2]
             before = cpu_s(gateway.pid)
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 
 from benchmarks.common import quantile
-from rosedeal.agreement.frames import Talker
-from rosedeal.agreement.member import Member, Send
+from badgergap.agreement.frames import Talker
+from badgergap.agreement.member import Member, Send
 from tests.agreement.simulation import (
     BOUND_US,
     MS,
--- a/benchmarks/staffed.py
+++ b/benchmarks/staffed.py
@@ -41,7 +41,7 @@
     where = {"PYTHONSAFEPATH": "1", "PYTHONPATH": str(checkout), "ROUTER_CONFIG": str(path)}
     where |= environ or {}
     told: Any = where
-    with child("-m", "rosedeal", ready=" listens on ", **told) as (process, line, _):
+    with child("-m", "badgergap", ready=" listens on ", **told) as (process, line, _):
         yield process.pid, line.rpartition(" ")[2]
 
 
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 
 from benchmarks.copies import SITE, Load, box, cpu_of
-from rosedeal.site.schema import Duration
-from rosedeal.staged.plan import ChangeFile, to_plan
-from rosedeal.standins.rig import rig
+from badgergap.site.schema import Duration
+from badgergap.staged.plan import ChangeFile, to_plan
+from badgergap.standins.rig import rig
 from tests.agreement.test_process import run
 from tests.staged.simulation import S, World
 from tests.staged.test_process import site
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -6,18 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.admin import actions as actions_module
-from rosedeal.admin import figures as figures_module
-from rosedeal.admin import story as story_module
-from rosedeal.admin.actions import Actions, Refused
-from rosedeal.admin.boxes import Boxes, is_last_able, natural
-from rosedeal.admin.figures import SPAN_S, Figures, Seconds
-from rosedeal.admin.protocol import ActionResult, BoxView, SourceView
-from rosedeal.admin.story import Story
-from rosedeal.gateway.config import Names
-from rosedeal.gateway.roster import HandDrain, HostView
-from rosedeal.gateway.sources import Entry, host_id
-from rosedeal.interface import ListedServer, Outcome, ServerStatus, ServerView
+from badgergap.admin import actions as actions_module
+from badgergap.admin import figures as figures_module
+from badgergap.admin import story as story_module
+from badgergap.admin.actions import Actions, Refused
+from badgergap.admin.boxes import Boxes, is_last_able, natural
+from badgergap.admin.figures import SPAN_S, Figures, Seconds
+from badgergap.admin.protocol import ActionResult, BoxView, SourceView
+from badgergap.admin.story import Story
+from badgergap.gateway.config import Names
+from badgergap.gateway.roster import HandDrain, HostView
+from badgergap.gateway.sources import Entry, host_id
+from badgergap.interface import ListedServer, Outcome, ServerStatus, ServerView
 
 S = 1_000_000
 
--- a/tests/admin/test_room.py
+++ b/tests/admin/test_room.py
@@ -17,13 +17,13 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from rosedeal.admin import AdminRoom, Figures, Snapshot, protocol
-from rosedeal.admin import room as module
-from rosedeal.admin.client import AdminClient, AdminError, NoAnswer, NoGateway, ask
-from rosedeal.admin.protocol import ActionResult, AskAction, AskSnapshot, Drain, ProtocolError, Undrain
-from rosedeal.gateway.roster import HandDrain
-from rosedeal.interface import AttemptEnded, ListKind, ServerList
-from rosedeal.standins.scripted import chunk, entry, news
+from badgergap.admin import AdminRoom, Figures, Snapshot, protocol
+from badgergap.admin import room as module
+from badgergap.admin.client import AdminClient, AdminError, NoAnswer, NoGateway, ask
+from badgergap.admin.protocol import ActionResult, AskAction, AskSnapshot, Drain, ProtocolError, Undrain
+from badgergap.gateway.roster import HandDrain
+from badgergap.interface import AttemptEnded, ListKind, ServerList
+from badgergap.standins.scripted import chunk, entry, news
 from tests.sockets import Gateway, gateway, run
 from tests.sockets import ask as request
 
--- a/tests/agreement/cluster.py
+++ b/tests/agreement/cluster.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from rosedeal.agreement.raft import (
+from badgergap.agreement.raft import (
     Apply,
     Config,
     Durable,
--- a/tests/agreement/guards.py
+++ b/tests/agreement/guards.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from rosedeal.agreement.lease import Account, Grants, Lease
-from rosedeal.agreement.member import Send
-from rosedeal.agreement.raft import Config, Durable, Raft, Vote, Voted
+from badgergap.agreement.lease import Account, Grants, Lease
+from badgergap.agreement.member import Send
+from badgergap.agreement.raft import Config, Durable, Raft, Vote, Voted
 from tests.agreement.simulation import (
     Node,
     Recorded,
--- a/tests/agreement/load.py
+++ b/tests/agreement/load.py
@@ -8,10 +8,10 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from rosedeal.admin import AdminError, NoAnswer, NoGateway
-from rosedeal.site.read import read_tables, shared
-from rosedeal.standins.net import read_message
-from rosedeal.standins.rig import Gateway, Rig
+from badgergap.admin import AdminError, NoAnswer, NoGateway
+from badgergap.site.read import read_tables, shared
+from badgergap.standins.net import read_message
+from badgergap.standins.rig import Gateway, Rig
 
 GIVE_UP_S = 6.0  # classes are given up after 5 s
 BOUND_S = 3.0
--- a/tests/agreement/simulation.py
+++ b/tests/agreement/simulation.py
@@ -15,10 +15,10 @@
 from functools import partial
 from typing import Protocol
 
-from rosedeal.agreement import raft
-from rosedeal.agreement.member import Examine, First, Known, Load, Member, Reborn, Send, Settings, Settled
-from rosedeal.agreement.raft import Durable, Save
-from rosedeal.agreement.state import Publish
+from badgergap.agreement import raft
+from badgergap.agreement.member import Examine, First, Known, Load, Member, Reborn, Send, Settings, Settled
+from badgergap.agreement.raft import Durable, Save
+from badgergap.agreement.state import Publish
 
 MS, S = 1_000, 1_000_000
 TICK_US = 50 * MS
--- a/tests/agreement/test_frames.py
+++ b/tests/agreement/test_frames.py
@@ -8,11 +8,11 @@
 import msgspec
 import pytest
 
-from rosedeal.agreement import durable, frames, state
-from rosedeal.agreement.frames import BadFrame, Envelope, Listener, Opening, Talker, open_link, session_key
-from rosedeal.agreement.member import Hello, Message, Shout
-from rosedeal.agreement.raft import Append, Durable, Entry, Peer, Save, Snapshot
-from rosedeal.agreement.state import Publish, State, Unreadable
+from badgergap.agreement import durable, frames, state
+from badgergap.agreement.frames import BadFrame, Envelope, Listener, Opening, Talker, open_link, session_key
+from badgergap.agreement.member import Hello, Message, Shout
+from badgergap.agreement.raft import Append, Durable, Entry, Peer, Save, Snapshot
+from badgergap.agreement.state import Publish, State, Unreadable
 from tests.agreement.simulation import S, World
 
 KEY, CHALLENGE = b"k" * 32, b"c" * 16
--- a/tests/agreement/test_lists.py
+++ b/tests/agreement/test_lists.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.agreement import lists
-from rosedeal.agreement.lists import Hosts, Listed, Source
-from rosedeal.agreement.member import read_list
-from rosedeal.agreement.relation import contradictions
+from badgergap.agreement import lists
+from badgergap.agreement.lists import Hosts, Listed, Source
+from badgergap.agreement.member import read_list
+from badgergap.agreement.relation import contradictions
 
 
 def hosts(names: str, out: str = "") -> Hosts:
--- a/tests/agreement/test_process.py
+++ b/tests/agreement/test_process.py
@@ -13,14 +13,14 @@
 
 import pytest
 
-from rosedeal.standins.registry import LiveRegistry
-from rosedeal.standins.rig import Gateway, Timeline, rig
+from badgergap.standins.registry import LiveRegistry
+from badgergap.standins.rig import Gateway, Timeline, rig
 from tests.agreement.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
 
 
 def run(*words: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "rosedeal.cli", *words], capture_output=True, text=True, timeout=60
+        [sys.executable, "-B", "-m", "badgergap.cli", *words], capture_output=True, text=True, timeout=60
     )
 
 
@@ -29,10 +29,10 @@
     program = f"""
 import sys
 from pathlib import Path
-from rosedeal.cli.serve import check
-import rosedeal.__main__
+from badgergap.cli.serve import check
+import badgergap.__main__
 check(Path({str(shipped)!r}), {{}})
-UNWANTED = ("rosedeal.agreement", "rosedeal.copies", "rosedeal.store", "xxhash", "zstandard")
+UNWANTED = ("badgergap.agreement", "badgergap.copies", "badgergap.store", "xxhash", "zstandard")
 found = [name for name in sys.modules if name.startswith(UNWANTED)]
 assert not found, found
 """
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from rosedeal.agreement import raft
-from rosedeal.agreement.raft import Raft, Role, Vote
+from badgergap.agreement import raft
+from badgergap.agreement.raft import Raft, Role, Vote
 from tests.agreement.cluster import Cluster, Disagreement
 from tests.agreement.guards import CountsEarlierTerms, ForgetsItsVote, ManyChangesAtOnce
 
--- a/tests/agreement/test_schedules.py
+++ b/tests/agreement/test_schedules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rosedeal.agreement.member import Settled, Steer
+from badgergap.agreement.member import Settled, Steer
 from tests.agreement.guards import GUARDS, Guard
 from tests.agreement.simulation import BOUND_US, S, Node, World, leader_of, play, play_cuts
 
--- a/tests/appliance/harness.py
+++ b/tests/appliance/harness.py
@@ -11,11 +11,11 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from rosedeal.admin import AdminClient, Snapshot
-from rosedeal.admin.client import ask
-from rosedeal.admin.protocol import ActionResult, AskSnapshot, Drain, Undrain
-from rosedeal.standins.box import Box
-from rosedeal.standins.load import Kind
+from badgergap.admin import AdminClient, Snapshot
+from badgergap.admin.client import ask
+from badgergap.admin.protocol import ActionResult, AskSnapshot, Drain, Undrain
+from badgergap.standins.box import Box
+from badgergap.standins.load import Kind
 
 KINDS = (
     Kind("result-entry", "safe", 2.0, 4.0, 1.0),
@@ -79,7 +79,7 @@
     async def start(self, listens: str = "listens on", **environ: str) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | environ
         self.child = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "rosedeal.cli", "serve", str(self.path)),
+            *(sys.executable, "-m", "badgergap.cli", "serve", str(self.path)),
             stderr=asyncio.subprocess.PIPE,
             env=env,
         )
--- a/tests/appliance/test_process.py
+++ b/tests/appliance/test_process.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from rosedeal.standins.load import Load
-from rosedeal.standins.registry import LiveRegistry
+from badgergap.standins.load import Load
+from badgergap.standins.registry import LiveRegistry
 from tests.appliance.harness import KINDS, Admin, Process, appliance, kept_drains, site_text, start_boxes
 from tests.sockets import configuration, run, settings
 
@@ -24,7 +24,7 @@
 def command(*arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
     env = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "BADGERGAP_"))} | environ
     return subprocess.run(
-        [sys.executable, "-m", "rosedeal.cli", *arguments],
+        [sys.executable, "-m", "badgergap.cli", *arguments],
         env=env,
         capture_output=True,
         text=True,
@@ -370,10 +370,10 @@
 def test_the_platforms_run_imports_none_of_this() -> None:
     """A bench gateway has little memory: what the appliance needs is loaded where it is on."""
     code = (
-        "import sys, rosedeal.__main__\n"
+        "import sys, badgergap.__main__\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'textual', 'rich', 'tomllib')"
-        " or m.startswith(('rosedeal.admin', 'rosedeal.site', 'rosedeal.console', 'rosedeal.cli', "
-        "'rosedeal.standins'))])"
+        " or m.startswith(('badgergap.admin', 'badgergap.site', 'badgergap.console', 'badgergap.cli', "
+        "'badgergap.standins'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
@@ -381,9 +381,9 @@
 
 def test_the_serving_process_never_imports_the_console() -> None:
     code = (
-        "import sys, rosedeal.cli.main, rosedeal.cli.serve\n"
+        "import sys, badgergap.cli.main, badgergap.cli.serve\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('textual', 'rich')"
-        " or m.startswith(('rosedeal.console.app', 'rosedeal.standins'))])"
+        " or m.startswith(('badgergap.console.app', 'badgergap.standins'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/compatibility/test_consensus_bytes.py
+++ b/tests/compatibility/test_consensus_bytes.py
@@ -11,11 +11,11 @@
 import msgspec
 import pytest
 
-from rosedeal.agreement import durable as agreement_durable
-from rosedeal.agreement import frames as agreement_frames
-from rosedeal.agreement import member as agreement_member
-from rosedeal.agreement import raft as agreement_raft
-from rosedeal.agreement import state as agreement_state
+from badgergap.agreement import durable as agreement_durable
+from badgergap.agreement import frames as agreement_frames
+from badgergap.agreement import member as agreement_member
+from badgergap.agreement import raft as agreement_raft
+from badgergap.agreement import state as agreement_state
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
--- a/tests/compatibility/test_replication_bytes.py
+++ b/tests/compatibility/test_replication_bytes.py
@@ -11,13 +11,13 @@
 import msgspec
 import pytest
 
-from rosedeal.copies import clock as copies_clock
-from rosedeal.copies import learnt as copies_learnt
-from rosedeal.copies import placement as copies_placement
-from rosedeal.copies import record as copies_record
-from rosedeal.copies import register as copies_register
-from rosedeal.copies import snapshot as copies_snapshot
-from rosedeal.copies import words as copies_words
+from badgergap.copies import clock as copies_clock
+from badgergap.copies import learnt as copies_learnt
+from badgergap.copies import placement as copies_placement
+from badgergap.copies import record as copies_record
+from badgergap.copies import register as copies_register
+from badgergap.copies import snapshot as copies_snapshot
+from badgergap.copies import words as copies_words
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
--- a/tests/compatibility/test_rollout_bytes.py
+++ b/tests/compatibility/test_rollout_bytes.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
-from rosedeal.staged import controller as staged_controller
-from rosedeal.staged import judge as staged_judge
-from rosedeal.staged import plan as staged_plan
-from rosedeal.staged import words as staged_words
+from badgergap.staged import controller as staged_controller
+from badgergap.staged import judge as staged_judge
+from badgergap.staged import plan as staged_plan
+from badgergap.staged import words as staged_words
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -14,15 +14,15 @@
 
 import pytest
 
-from rosedeal.agreement import lists, state
-from rosedeal.agreement.durable import decode
-from rosedeal.agreement.raft import Durable, Entry, Peer, Snapshot
-from rosedeal.copies import snapshot
-from rosedeal.gateway.drains import DrainStore
-from rosedeal.gateway.roster import HandDrain
-from rosedeal.handover import will
-from rosedeal.interface import ListKind
-from rosedeal.store.log import Log, System
+from badgergap.agreement import lists, state
+from badgergap.agreement.durable import decode
+from badgergap.agreement.raft import Durable, Entry, Peer, Snapshot
+from badgergap.copies import snapshot
+from badgergap.gateway.drains import DrainStore
+from badgergap.gateway.roster import HandDrain
+from badgergap.handover import will
+from badgergap.interface import ListKind
+from badgergap.store.log import Log, System
 from tests.helpers import Driver
 from tests.staffed.test_out import COLD
 from tests.staffed.test_will import worked
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from rosedeal.standins.load import Load
+from badgergap.standins.load import Load
 from tests.appliance.harness import KINDS, Admin, Process, appliance
 from tests.console.terminal import Terminal
 from tests.sockets import run
@@ -23,7 +23,7 @@
     path: Path, columns: int = 80, rows: int = 24, deaf: bool = False, **environ: str
 ) -> AsyncIterator[Terminal]:
     terminal = Terminal(
-        ["-m", "rosedeal.cli", "console", "--socket", str(path / "admin.sock"), "--by", "vera"],
+        ["-m", "badgergap.cli", "console", "--socket", str(path / "admin.sock"), "--by", "vera"],
         columns,
         rows,
         deaf,
@@ -269,7 +269,7 @@
     """A name may hold what a terminal obeys only if it comes from a registry: the file's names are plain."""
 
     async def test() -> None:
-        from rosedeal.standins.registry import LiveRegistry
+        from badgergap.standins.registry import LiveRegistry
         from tests.appliance.harness import site_text, start_boxes
 
         registry, boxes = LiveRegistry(), await start_boxes(1)
@@ -330,7 +330,7 @@
 
 def demo(folder: Path, boxes: int) -> Terminal:
     """With a socket of its own: two that begin at once beside each other would take the same one."""
-    arguments = ["-m", "rosedeal.cli", "demo", "--boxes", str(boxes)]
+    arguments = ["-m", "badgergap.cli", "demo", "--boxes", str(boxes)]
     return Terminal(arguments, BADGERGAP_SOCKET=str(folder / "demo.sock"))
 
 
--- a/tests/console/test_model.py
+++ b/tests/console/test_model.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rosedeal.admin import BoxView, ClassView, Failure, LogLine, Said, Snapshot, SourceView, Window
-from rosedeal.admin.protocol import ActionResult
-from rosedeal.console import words
-from rosedeal.console.model import AskAgain, Break, Model, Quit, Wish
-from rosedeal.console.view import render, text_of
+from badgergap.admin import BoxView, ClassView, Failure, LogLine, Said, Snapshot, SourceView, Window
+from badgergap.admin.protocol import ActionResult
+from badgergap.console import words
+from badgergap.console.model import AskAgain, Break, Model, Quit, Wish
+from badgergap.console.view import render, text_of
 
 NOW = 1_700_000_000.0
 NOW_US = int(NOW * 1e6)
--- a/tests/copies/dying.py
+++ b/tests/copies/dying.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 STEPS = [
-    ("rosedeal.copies.room", "CopiesRoom", "_send"),
-    ("rosedeal.copies.room", "CopiesRoom", "_write"),
-    ("rosedeal.copies.room", "CopiesRoom", "_durable"),
-    ("rosedeal.copies.room", "CopiesRoom", "_hear"),
-    ("rosedeal.store.log", "Log", "append"),
-    ("rosedeal.copies.guard", "Held", "go"),
-    ("rosedeal.copies.guard", "Seat", "answered"),
-    ("rosedeal.copies.guard", "Seat", "reply"),
+    ("badgergap.copies.room", "CopiesRoom", "_send"),
+    ("badgergap.copies.room", "CopiesRoom", "_write"),
+    ("badgergap.copies.room", "CopiesRoom", "_durable"),
+    ("badgergap.copies.room", "CopiesRoom", "_hear"),
+    ("badgergap.store.log", "Log", "append"),
+    ("badgergap.copies.guard", "Held", "go"),
+    ("badgergap.copies.guard", "Seat", "answered"),
+    ("badgergap.copies.guard", "Seat", "reply"),
 ]
 
 
@@ -47,7 +47,7 @@
 
     for module, kind, name in STEPS:
         wrap(getattr(__import__(module, fromlist=[kind]), kind), name)
-    from rosedeal.copies.guard import Guard
+    from badgergap.copies.guard import Guard
 
     start = Guard.start
 
@@ -56,7 +56,7 @@
         return start(self, *given)
 
     setattr(Guard, "start", begin)  # noqa: B010
-    from rosedeal.cli.main import main as run
+    from badgergap.cli.main import main as run
 
     return run(sys.argv[2:])
 
--- a/tests/copies/guards.py
+++ b/tests/copies/guards.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from rosedeal.copies import keeper, placement, record
-from rosedeal.copies.once import Once
-from rosedeal.copies.placement import Placement, Seat
-from rosedeal.copies.proposer import Grip, Op, Result
-from rosedeal.copies.record import Do, Record
-from rosedeal.copies.register import NONE, Ballot, Reply, Shelf
-from rosedeal.copies.repair import Found, Pass
-from rosedeal.copies.words import Accept, Prepare, Promised, Word
+from badgergap.copies import keeper, placement, record
+from badgergap.copies.once import Once
+from badgergap.copies.placement import Placement, Seat
+from badgergap.copies.proposer import Grip, Op, Result
+from badgergap.copies.record import Do, Record
+from badgergap.copies.register import NONE, Ballot, Reply, Shelf
+from badgergap.copies.repair import Found, Pass
+from badgergap.copies.words import Accept, Prepare, Promised, Word
 from tests.agreement.simulation import Violation
 from tests.copies.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
 
--- a/tests/copies/load.py
+++ b/tests/copies/load.py
@@ -8,8 +8,8 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from rosedeal.standins.net import read_message
-from rosedeal.standins.rig import Gateway, Rig
+from badgergap.standins.net import read_message
+from badgergap.standins.rig import Gateway, Rig
 
 GIVE_UP_S = 6.0  # the class is given up after 4 s
 
--- a/tests/copies/simulation.py
+++ b/tests/copies/simulation.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from rosedeal.copies import record as records
-from rosedeal.copies.keeper import Keeper, Options, Save, Send, Wish
-from rosedeal.copies.once import End, Once, Request
-from rosedeal.copies.proposer import Change, Done, Grip, Op, Proposer, Result
-from rosedeal.copies.record import Record, Repeats, digest_of
-from rosedeal.copies.register import Bounds
+from badgergap.copies import record as records
+from badgergap.copies.keeper import Keeper, Options, Save, Send, Wish
+from badgergap.copies.once import End, Once, Request
+from badgergap.copies.proposer import Change, Done, Grip, Op, Proposer, Result
+from badgergap.copies.record import Record, Repeats, digest_of
+from badgergap.copies.register import Bounds
 from tests.agreement.simulation import MS, S, Timed, Violation
 from tests.copies.history import NEVER, Step, order_of
 
--- a/tests/copies/test_lessons.py
+++ b/tests/copies/test_lessons.py
@@ -13,12 +13,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.choice import CEILING, FLOOR, RING, State
-from rosedeal.copies import learnt
-from rosedeal.copies.learnt import BadLesson, Have, Keep, Kept, Lesson
-from rosedeal.copies.lessons import LessonsRoom
-from rosedeal.copies.placement import Seat
-from rosedeal.standins.rig import rig
+from badgergap.choice import CEILING, FLOOR, RING, State
+from badgergap.copies import learnt
+from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson
+from badgergap.copies.lessons import LessonsRoom
+from badgergap.copies.placement import Seat
+from badgergap.standins.rig import rig
 from tests.copies.load import keyed, post
 from tests.copies.test_process import placed, played
 from tests.helpers import START_US, Driver, trip
--- a/tests/copies/test_process.py
+++ b/tests/copies/test_process.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from rosedeal.admin import AdminError, NoGateway
-from rosedeal.standins.h3 import Client3
-from rosedeal.standins.rig import Gateway, Rig, Timeline, rig
+from badgergap.admin import AdminError, NoGateway
+from badgergap.standins.h3 import Client3
+from badgergap.standins.rig import Gateway, Rig, Timeline, rig
 from tests.agreement.test_process import run
 from tests.copies.load import Keyed, keyed, post
 from tests.h3.harness import https
--- a/tests/copies/test_schedules.py
+++ b/tests/copies/test_schedules.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from rosedeal.copies import keeper as keepers
-from rosedeal.copies import placement
-from rosedeal.copies import record as records
-from rosedeal.copies.keeper import Keeper, Options, Save, Send
-from rosedeal.copies.placement import Seat
-from rosedeal.copies.register import Bounds, Shelf
-from rosedeal.copies.words import Prepare
+from badgergap.copies import keeper as keepers
+from badgergap.copies import placement
+from badgergap.copies import record as records
+from badgergap.copies.keeper import Keeper, Options, Save, Send
+from badgergap.copies.placement import Seat
+from badgergap.copies.register import Bounds, Shelf
+from badgergap.copies.words import Prepare
 from tests.agreement.simulation import S
 from tests.copies.guards import GUARDS, Guard
 from tests.copies.history import Step, order_of
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -11,16 +11,16 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.etcd import EtcdRoom, EtcdSource, Options, Times
-from rosedeal.gateway.back import BoxConnection
-from rosedeal.gateway.config import Config, parse_config
-from rosedeal.gateway.downstream import Downstream
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.upstream import Exchange
-from rosedeal.interface import ServerStatus
-from rosedeal.standins.box import Box
-from rosedeal.standins.etcd import Etcd
-from rosedeal.standins.load import Kind, Load
+from badgergap.etcd import EtcdRoom, EtcdSource, Options, Times
+from badgergap.gateway.back import BoxConnection
+from badgergap.gateway.config import Config, parse_config
+from badgergap.gateway.downstream import Downstream
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.upstream import Exchange
+from badgergap.interface import ServerStatus
+from badgergap.standins.box import Box
+from badgergap.standins.etcd import Etcd
+from badgergap.standins.load import Kind, Load
 from tests.sockets import configuration, settings
 
 PREFIX = "/boxes/"
--- a/tests/etcd/simulation.py
+++ b/tests/etcd/simulation.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rosedeal.etcd.follow import (
+from badgergap.etcd.follow import (
     Action,
     Alarm,
     AskProgress,
@@ -30,7 +30,7 @@
     Watched,
     Woken,
 )
-from rosedeal.standins.etcd import AHEAD, Store, StoreError
+from badgergap.standins.etcd import AHEAD, Store, StoreError
 
 FIRST, LAST = b"/boxes/", b"/boxes0"
 KEYS = [b"/boxes/%d" % n for n in range(6)]
--- a/tests/etcd/test_follow.py
+++ b/tests/etcd/test_follow.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from rosedeal.etcd import follow
-from rosedeal.etcd.follow import Header, Listed, LogIn, State, Trouble, Watch, Watched
-from rosedeal.etcd.follow import Failed as CallFailed
-from rosedeal.standins.etcd import Store
+from badgergap.etcd import follow
+from badgergap.etcd.follow import Header, Listed, LogIn, State, Trouble, Watch, Watched
+from badgergap.etcd.follow import Failed as CallFailed
+from badgergap.standins.etcd import Store
 from tests.etcd.simulation import FIRST, LAST, Simulation
 
 A, B, C = b"/boxes/a", b"/boxes/b", b"/boxes/c"
--- a/tests/etcd/test_hosts.py
+++ b/tests/etcd/test_hosts.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.etcd.client import range_end
-from rosedeal.etcd.follow import Change
-from rosedeal.etcd.hosts import SLICE, URGENT_SLICE, Hosts
-from rosedeal.etcd.values import Places, ValueProblem, host_name, read_value
-from rosedeal.gateway.sources import host_id
-from rosedeal.interface import ServerStatus
+from badgergap.etcd.client import range_end
+from badgergap.etcd.follow import Change
+from badgergap.etcd.hosts import SLICE, URGENT_SLICE, Hosts
+from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
+from badgergap.gateway.sources import host_id
+from badgergap.interface import ServerStatus
 
 PREFIX = b"/boxes/"
 
--- a/tests/etcd/test_process.py
+++ b/tests/etcd/test_process.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from rosedeal.standins.certificates import Authority
-from rosedeal.standins.etcd import Etcd, Users
-from rosedeal.standins.load import Load
+from badgergap.standins.certificates import Authority
+from badgergap.standins.etcd import Etcd, Users
+from badgergap.standins.load import Load
 from tests.appliance.harness import KINDS, Admin, Process, site_text, start_boxes
 from tests.appliance.test_process import command, run_command
 from tests.etcd.harness import PREFIX, value
@@ -201,9 +201,9 @@
 
 def test_without_the_table_its_libraries_are_not_imported() -> None:
     code = (
-        "import sys, rosedeal.cli.main, rosedeal.cli.serve\n"
+        "import sys, badgergap.cli.main, badgergap.cli.serve\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('grpclib', 'h2', 'google')"
-        " or m.startswith('rosedeal.etcd')])"
+        " or m.startswith('badgergap.etcd')])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from rosedeal.etcd import Login, Times
-from rosedeal.standins.etcd import Etcd, Store, Users
+from badgergap.etcd import Login, Times
+from badgergap.standins.etcd import Etcd, Store, Users
 from tests.etcd.harness import PREFIX, TIMES, Site, site, value
 from tests.sockets import run
 
@@ -366,7 +366,7 @@
                     "type": "m1",
                     "status": platform,
                 }
-                from rosedeal.gateway.discovery import parse_list
+                from badgergap.gateway.discovery import parse_list
 
                 news = parse_list({"snapshot": False, "endpoints": [entry]}, it.proxy.config.names)
                 it.proxy.hear("platform", news)
--- a/tests/etcd/test_store.py
+++ b/tests/etcd/test_store.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rosedeal.standins.etcd import AHEAD, COMPACTED, Store, StoreError
+from badgergap.standins.etcd import AHEAD, COMPACTED, Store, StoreError
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/h3/harness.py
+++ b/tests/h3/harness.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.cli.h3 import http3_room
-from rosedeal.h3.room import Http3Room
-from rosedeal.standins.certificates import Authority
-from rosedeal.standins.h3 import Client3
+from badgergap.cli.h3 import http3_room
+from badgergap.h3.room import Http3Room
+from badgergap.standins.certificates import Authority
+from badgergap.standins.h3 import Client3
 from tests.web.harness import ROUTE, Site, site
 
 
--- a/tests/h3/test_boxes.py
+++ b/tests/h3/test_boxes.py
@@ -15,12 +15,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.h3.back import Boxes, Carrier3
-from rosedeal.h3.library import Goaways
-from rosedeal.standins.app import App, content
-from rosedeal.standins.certificates import Authority
-from rosedeal.standins.h3 import Box3
-from rosedeal.standins.udp import UdpRelay
+from badgergap.h3.back import Boxes, Carrier3
+from badgergap.h3.library import Goaways
+from badgergap.standins.app import App, content
+from badgergap.standins.certificates import Authority
+from badgergap.standins.h3 import Box3
+from badgergap.standins.udp import UdpRelay
 from tests.sockets import run
 from tests.web.harness import ROUTE, Site, request, site
 
--- a/tests/h3/test_checks.py
+++ b/tests/h3/test_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rosedeal.standins.h3 import Broken, Fields
+from badgergap.standins.h3 import Broken, Fields
 from tests.h3.harness import site3
 from tests.sockets import run
 from tests.web.harness import ROUTE
--- a/tests/h3/test_packets.py
+++ b/tests/h3/test_packets.py
@@ -16,11 +16,11 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.connection import QuicConnection
 
-from rosedeal.h3.library import LEAST_RESET, Shown, reset_token, stateless_reset
-from rosedeal.h3.rules import RETRY_FROM
-from rosedeal.standins.app import PAGE
-from rosedeal.standins.certificates import Authority
-from rosedeal.standins.h3 import Broken, Client3, Exchange3
+from badgergap.h3.library import LEAST_RESET, Shown, reset_token, stateless_reset
+from badgergap.h3.rules import RETRY_FROM
+from badgergap.standins.app import PAGE
+from badgergap.standins.certificates import Authority
+from badgergap.standins.h3 import Broken, Client3, Exchange3
 from tests.h3.harness import Site3, site3
 from tests.sockets import run
 from tests.web.harness import ROUTE
@@ -144,7 +144,7 @@
         subprocess.run(
             [
                 *(sys.executable, "-c"),
-                "import sys; from pathlib import Path; from rosedeal.h3.library import Shown;"
+                "import sys; from pathlib import Path; from badgergap.h3.library import Shown;"
                 "print(Shown.read(*(Path(p).read_bytes() for p in sys.argv[1:])).reset_key().hex())",
                 *map(str, pairs[0]),
             ],
--- a/tests/h3/test_process.py
+++ b/tests/h3/test_process.py
@@ -11,9 +11,9 @@
 import httpx
 import pytest
 
-from rosedeal.cli.main import main
-from rosedeal.standins.app import App
-from rosedeal.standins.h3 import Broken, Client3
+from badgergap.cli.main import main
+from badgergap.standins.app import App
+from badgergap.standins.h3 import Broken, Client3
 from tests.appliance.harness import Process
 from tests.h3.harness import https
 from tests.sockets import run
@@ -53,10 +53,12 @@
 
 
 def test_where_it_is_off_nothing_of_it_is_imported() -> None:
-    told = "import rosedeal.cli.serve, rosedeal.cli.web, rosedeal.__main__, sys; print(sorted(sys.modules))"
+    told = (
+        "import badgergap.cli.serve, badgergap.cli.web, badgergap.__main__, sys; print(sorted(sys.modules))"
+    )
     found = subprocess.run([sys.executable, "-c", told], capture_output=True, text=True, check=True).stdout
     assert not [
-        name for name in ("aioquic", "cryptography", "pylsqpack", "rosedeal.h3") if f"'{name}" in found
+        name for name in ("aioquic", "cryptography", "pylsqpack", "badgergap.h3") if f"'{name}" in found
     ]
 
 
@@ -68,7 +70,7 @@
     good = site_text([("one", "127.0.0.1:9001", "")], tables + ROUTE)
     path.write_text(good)
     assert main(["check", str(path)]) == 0
-    for name in [name for name in sys.modules if name.startswith(("aioquic", "rosedeal.h3"))]:
+    for name in [name for name in sys.modules if name.startswith(("aioquic", "badgergap.h3"))]:
         monkeypatch.delitem(sys.modules, name)
     monkeypatch.setitem(sys.modules, "aioquic", None)
     capsys.readouterr()
--- a/tests/h3/test_rules.py
+++ b/tests/h3/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.h3.rules import HALF_OPEN, RETRY_FROM, Budget, Opening, admit
+from badgergap.h3.rules import HALF_OPEN, RETRY_FROM, Budget, Opening, admit
 
 
 def test_who_may_open_a_connection() -> None:
--- a/tests/h3/test_run.py
+++ b/tests/h3/test_run.py
@@ -18,10 +18,10 @@
 from qh3.quic.configuration import QuicConfiguration as OtherConfiguration
 from qh3.quic.events import QuicEvent
 
-from rosedeal.standins.app import App, content
-from rosedeal.standins.certificates import Authority
-from rosedeal.standins.h3 import Box3, Broken, Client3
-from rosedeal.standins.udp import UdpRelay
+from badgergap.standins.app import App, content
+from badgergap.standins.certificates import Authority
+from badgergap.standins.h3 import Box3, Broken, Client3
+from badgergap.standins.udp import UdpRelay
 from tests.h3.harness import Site3, site3
 from tests.sockets import run
 from tests.web.harness import ROUTE, request
--- a/tests/h3/test_streams.py
+++ b/tests/h3/test_streams.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from rosedeal.h3 import front
-from rosedeal.standins.app import PAGE, content
-from rosedeal.standins.h3 import Broken
-from rosedeal.standins.udp import UdpRelay
+from badgergap.h3 import front
+from badgergap.standins.app import PAGE, content
+from badgergap.standins.h3 import Broken
+from badgergap.standins.udp import UdpRelay
 from tests.h3.harness import site3
 from tests.sockets import run
 
--- a/tests/handover/test_http3.py
+++ b/tests/handover/test_http3.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rosedeal.standins.h3 import Broken, Client3
+from badgergap.standins.h3 import Broken, Client3
 from tests.handover.test_ordinary import Site, site
 from tests.sockets import PATIENCE_S, Clients, run
 
--- a/tests/handover/test_ordinary.py
+++ b/tests/handover/test_ordinary.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from rosedeal.cli.main import main
-from rosedeal.standins.app import App
-from rosedeal.standins.certificates import Authority
+from badgergap.cli.main import main
+from badgergap.standins.app import App
+from badgergap.standins.certificates import Authority
 from tests.appliance.harness import Admin, Process
 from tests.sockets import PATIENCE_S, Clients, run
 from tests.web.harness import ROUTE, Raw, request, site_text
--- a/tests/joining/test_both.py
+++ b/tests/joining/test_both.py
@@ -6,9 +6,9 @@
 import ssl
 from pathlib import Path
 
-from rosedeal.admin import AdminRoom
-from rosedeal.console.words import joins_words
-from rosedeal.standins.app import content
+from badgergap.admin import AdminRoom
+from badgergap.console.words import joins_words
+from badgergap.standins.app import content
 from tests.h3.harness import site3
 from tests.joining.test_joins import JOIN, STANDINGS, joins
 from tests.sockets import run
--- a/tests/joining/test_joins.py
+++ b/tests/joining/test_joins.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from rosedeal.joining import room
-from rosedeal.joining.group import LIMIT
-from rosedeal.joining.identity import Identity
-from rosedeal.joining.room import Joins
-from rosedeal.standins.app import content
+from badgergap.joining import room
+from badgergap.joining.group import LIMIT
+from badgergap.joining.identity import Identity
+from badgergap.joining.room import Joins
+from badgergap.standins.app import content
 from tests.sockets import run
 from tests.web.harness import ROUTE, Raw, Site, request, site
 
--- a/tests/joining/test_pure.py
+++ b/tests/joining/test_pure.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from rosedeal.joining.group import Act, Do, Group, State
-from rosedeal.joining.identity import (
+from badgergap.joining.group import Act, Do, Group, State
+from badgergap.joining.identity import (
     ABOUT_CLIENT,
     ALONE,
     PERSONAL,
--- a/tests/routes/test_path.py
+++ b/tests/routes/test_path.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.routes import BadPath, normalise, read_host, read_target
+from badgergap.routes import BadPath, normalise, read_host, read_target
 
 SAME = "/ /a /a/ /a/b.c /a/b;x=1/c /%C3%A9 /a%3Fb /a,b/@!$&'()*+=: /.well-known/x /a..b /...".split()
 SPELT = {
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.routes import BadPath, Route, Table
-from rosedeal.routes.table import is_below
+from badgergap.routes import BadPath, Route, Table
+from badgergap.routes.table import is_below
 
 GET, POST = b"GET", b"POST"
 BETA = ((b"x-beta", b"1"),)
--- a/tests/site/test_drains.py
+++ b/tests/site/test_drains.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from rosedeal.gateway.roster import HandDrain
-from rosedeal.site import DrainStore
+from badgergap.gateway.roster import HandDrain
+from badgergap.site import DrainStore
 
 DRAINS = [HandDrain("box-1", "anna", 5, "a1"), HandDrain("bøx \x1b", "b", 6)]
 
--- a/tests/site/test_file.py
+++ b/tests/site/test_file.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.interface import Effect, Scope
-from rosedeal.site import SiteError, combine, parse_site, read_site, to_config
-from rosedeal.site.convert import carry_names
-from rosedeal.site.locate import line_of, lines_of
-from rosedeal.site.schema import parse_address, parse_duration
+from badgergap.gateway.config import ConfigError
+from badgergap.interface import Effect, Scope
+from badgergap.site import SiteError, combine, parse_site, read_site, to_config
+from badgergap.site.convert import carry_names
+from badgergap.site.locate import line_of, lines_of
+from badgergap.site.schema import parse_address, parse_duration
 from tests.sockets import configuration
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "small-site.toml"
@@ -187,7 +187,7 @@
 def test_the_platforms_words_win(tmp_path: Path) -> None:
     import json
 
-    from rosedeal.gateway.config import load_config
+    from badgergap.gateway.config import load_config
 
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration({}, "127.0.0.1:9")))
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -13,12 +13,12 @@
 
 import uvloop
 
-from rosedeal.gateway.config import parse_config
-from rosedeal.gateway.downstream import ClientConnection, Downstream
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.interface import Action, Event
-from rosedeal.standins.net import Head, Server, read_head, read_message, small_socket
-from rosedeal.standins.scripted import Client, Host, Registry, Taken, chunk, entry, news
+from badgergap.gateway.config import parse_config
+from badgergap.gateway.downstream import ClientConnection, Downstream
+from badgergap.gateway.proxy import Proxy
+from badgergap.interface import Action, Event
+from badgergap.standins.net import Head, Server, read_head, read_message, small_socket
+from badgergap.standins.scripted import Client, Host, Registry, Taken, chunk, entry, news
 
 __all__ = [
     "Client",
--- a/tests/staffed/test_bodies.py
+++ b/tests/staffed/test_bodies.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from rosedeal.gateway import back, downstream
-from rosedeal.gateway.budget import LEAST, Budget
-from rosedeal.gateway.downstream import ClientConnection
-from rosedeal.gateway.streams import HOLD
-from rosedeal.interface import AttemptEnded, Outcome, StreamStarted
-from rosedeal.standins.net import Server
+from badgergap.gateway import back, downstream
+from badgergap.gateway.budget import LEAST, Budget
+from badgergap.gateway.downstream import ClientConnection
+from badgergap.gateway.streams import HOLD
+from badgergap.interface import AttemptEnded, Outcome, StreamStarted
+from badgergap.standins.net import Server
 from tests.sockets import Client, Gateway, ask, entry, gateway, run, settings
 
 LONG = 300_000
--- a/tests/staffed/test_calls.py
+++ b/tests/staffed/test_calls.py
@@ -11,11 +11,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.gateway import desk
-from rosedeal.gateway.calls import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
-from rosedeal.gateway.config import Address
-from rosedeal.gateway.desk import CALLERS, Desk, Hands
-from rosedeal.interface import AttemptEnded, Outcome, ServerStatus
+from badgergap.gateway import desk
+from badgergap.gateway.calls import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
+from badgergap.gateway.config import Address
+from badgergap.gateway.desk import CALLERS, Desk, Hands
+from badgergap.interface import AttemptEnded, Outcome, ServerStatus
 from tests.sockets import Client, Gateway, ask, entry, gateway, news, chunk, run
 
 GOOD = [
--- a/tests/staffed/test_crowd.py
+++ b/tests/staffed/test_crowd.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.gateway import crowd, downstream
-from rosedeal.gateway.crowd import Standing
-from rosedeal.interface import AttemptEnded
+from badgergap.gateway import crowd, downstream
+from badgergap.gateway.crowd import Standing
+from badgergap.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
 from tests.staffed.test_bodies import Echo, beside, with_length
 
--- a/tests/staffed/test_lame.py
+++ b/tests/staffed/test_lame.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.gateway import lame as rules
-from rosedeal.gateway.lame import Fate, LameDuck
+from badgergap.gateway import lame as rules
+from badgergap.gateway.lame import Fate, LameDuck
 from tests.sockets import Client, ask, gateway, run
 from tests.staffed.test_bodies import beside
 from tests.staffed.test_calls import call, opened
--- a/tests/staffed/test_succession.py
+++ b/tests/staffed/test_succession.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from rosedeal.handover.link import NAME, Link, Place
-from rosedeal.handover.succession import Succession
-from rosedeal.handover.will import encode
-from rosedeal.standins.net import Server, read_message
+from badgergap.handover.link import NAME, Link, Place
+from badgergap.handover.succession import Succession
+from badgergap.handover.will import encode
+from badgergap.standins.net import Server, read_message
 from tests.sockets import (
     PATIENCE_S,
     Client,
@@ -73,7 +73,7 @@
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "rosedeal",
+            "badgergap",
             env={
                 **os.environ,
                 "ROUTER_CONFIG": str(self.path),
@@ -361,7 +361,7 @@
                 child = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
-                    "rosedeal",
+                    "badgergap",
                     env={
                         **os.environ,
                         "ROUTER_CONFIG": str(it.path),
--- a/tests/staffed/test_will.py
+++ b/tests/staffed/test_will.py
@@ -12,12 +12,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.choice import Balancer
-from rosedeal.gateway.config import Names
-from rosedeal.gateway.discovery import parse_list
-from rosedeal.gateway.roster import HandDrain
-from rosedeal.gateway.sources import Entry, host_id
-from rosedeal.handover.will import (
+from badgergap.choice import Balancer
+from badgergap.gateway.config import Names
+from badgergap.gateway.discovery import parse_list
+from badgergap.gateway.roster import HandDrain
+from badgergap.gateway.sources import Entry, host_id
+from badgergap.handover.will import (
     FRAME_LIMIT,
     HEADER,
     Decoder,
@@ -28,7 +28,7 @@
     read_will,
     write_will,
 )
-from rosedeal.interface import ListedServer, ListKind, Outcome, ServerStatus
+from badgergap.interface import ListedServer, ListKind, Outcome, ServerStatus
 from tests.helpers import SETTINGS, Driver, sends
 from tests.staffed.test_out import COLD, serve, share, tell
 
--- a/tests/staged/quick.py
+++ b/tests/staged/quick.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from rosedeal.cli.main import main
-from rosedeal.staged import calls, judge, room
+from badgergap.cli.main import main
+from badgergap.staged import calls, judge, room
 
 for module in (calls, judge, room):
     module.BLOCK_S = 1  # type: ignore[attr-defined]
--- a/tests/staged/simulation.py
+++ b/tests/staged/simulation.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from rosedeal.site.schema import Duration
-from rosedeal.staged import controller
-from rosedeal.staged.controller import GONE_BACK_US, STALE_US, Kept, Run, Stand, View
-from rosedeal.staged.judge import Verdict
-from rosedeal.staged.plan import ChangeFile, Plan, Seat, to_plan
+from badgergap.site.schema import Duration
+from badgergap.staged import controller
+from badgergap.staged.controller import GONE_BACK_US, STALE_US, Kept, Run, Stand, View
+from badgergap.staged.judge import Verdict
+from badgergap.staged.plan import ChangeFile, Plan, Seat, to_plan
 
 MS, S = 1_000, 1_000_000
 TICK_US = 100 * MS
--- a/tests/staged/test_controller.py
+++ b/tests/staged/test_controller.py
@@ -7,9 +7,9 @@
 import msgspec
 import pytest
 
-from rosedeal.staged import controller
-from rosedeal.staged.controller import Run, View, wished
-from rosedeal.staged.plan import ChangeFile, Seat, to_plan
+from badgergap.staged import controller
+from badgergap.staged.controller import Run, View, wished
+from badgergap.staged.plan import ChangeFile, Seat, to_plan
 from tests.staged.simulation import S, Violation, World, ends, schedule
 
 
--- a/tests/staged/test_process.py
+++ b/tests/staged/test_process.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from rosedeal.standins.app import App
-from rosedeal.standins.rig import Gateway, Rig, rig
+from badgergap.standins.app import App
+from badgergap.standins.rig import Gateway, Rig, rig
 from tests.agreement.load import Load
 from tests.agreement.test_process import run
 
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rosedeal.standins.load import Kind, Load, LoadConnection
+from badgergap.standins.load import Kind, Load, LoadConnection
 from tests.sockets import run
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n%b"
--- a/tests/standins/test_udp.py
+++ b/tests/standins/test_udp.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from rosedeal.standins import udp
-from rosedeal.standins.udp import Address, UdpRelay
+from badgergap.standins import udp
+from badgergap.standins.udp import Address, UdpRelay
 from tests.sockets import run
 
 
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from rosedeal.store import layout
-from rosedeal.store.log import InUse, Log, System
-from rosedeal.store.writer import Writer
+from badgergap.store import layout
+from badgergap.store.log import InUse, Log, System
+from badgergap.store.writer import Writer
 
 GROUPS = [[b"one"], [b"two", b"three" * 40], [b""], [b"four" * 300]]
 RECORDS = [record for group in GROUPS for record in group]
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,8 +1,8 @@
 """The breaker's cycle and the weight controller, by example."""
 
 from tests.helpers import Driver, sends, trip
-from rosedeal.interface import ListedServer, ListKind, Outcome
-from rosedeal.choice import (
+from badgergap.interface import ListedServer, ListKind, Outcome
+from badgergap.choice import (
     CEILING,
     COOLDOWN_US,
     CUT,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from rosedeal.gateway import discovery
-from rosedeal.gateway.config import parse_address
-from rosedeal.gateway.sources import host_id
-from rosedeal.interface import FetchList, ListKind, ServerList, ServerStatus, WatchList
+from badgergap.gateway import discovery
+from badgergap.gateway.config import parse_address
+from badgergap.gateway.sources import host_id
+from badgergap.interface import FetchList, ListKind, ServerList, ServerStatus, WatchList
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, settings
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,12 +17,12 @@
 
 import pytest
 
-from rosedeal.copies.guard import Held
-from rosedeal.gateway import crowd, discovery, downstream, ends
-from rosedeal.gateway.proxy import Books
-from rosedeal.gateway.streams import HOLD
-from rosedeal.gateway.upstream import Upstream
-from rosedeal.interface import AttemptEnded, Outcome, RequestArrived, RequestGone, TimerFired, WatchList
+from badgergap.copies.guard import Held
+from badgergap.gateway import crowd, discovery, downstream, ends
+from badgergap.gateway.proxy import Books
+from badgergap.gateway.streams import HOLD
+from badgergap.gateway.upstream import Upstream
+from badgergap.interface import AttemptEnded, Outcome, RequestArrived, RequestGone, TimerFired, WatchList
 from tests.sockets import (
     Client,
     Gateway,
@@ -481,7 +481,7 @@
     """A process that sends itself a signal in the midst of its start, when it calls `held` (module:name)."""
     module, _, name = held.partition(":")
     code = (
-        "import os, rosedeal.__main__ as m\n"
+        "import os, badgergap.__main__ as m\n"
         f"import {module} as c\n"
         f"owner, _, name = {name!r}.rpartition('.')\n"
         "at = getattr(c, owner) if owner else c\n"
@@ -501,11 +501,11 @@
 
 # Where the start is held, whether it listens by then, and how the process ends.
 STARTS = [
-    ("rosedeal.gateway.config:load_config", -signal.SIGTERM),
-    ("rosedeal.gateway.run:gc.freeze", -signal.SIGTERM),
-    ("rosedeal.gateway.run:Proxy", 0),
-    ("rosedeal.gateway.run:Downstream.start", 0),
-    ("rosedeal.gateway.run:Reloader", 0),
+    ("badgergap.gateway.config:load_config", -signal.SIGTERM),
+    ("badgergap.gateway.run:gc.freeze", -signal.SIGTERM),
+    ("badgergap.gateway.run:Proxy", 0),
+    ("badgergap.gateway.run:Downstream.start", 0),
+    ("badgergap.gateway.run:Reloader", 0),
 ]
 
 
@@ -539,7 +539,7 @@
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-        child = await started(path, "rosedeal.gateway.config:load_config", signal.SIGHUP)
+        child = await started(path, "badgergap.gateway.config:load_config", signal.SIGHUP)
         try:
             await logged(child, b"the configuration was read again")
             child.send_signal(signal.SIGTERM)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from rosedeal.gateway import crowd, downstream, upstream
-from rosedeal.gateway.sources import host_id
-from rosedeal.gateway.intake import BODY_LIMIT, HEAD_LIMIT
-from rosedeal.gateway.streams import HOLD
-from rosedeal.interface import (
+from badgergap.gateway import crowd, downstream, upstream
+from badgergap.gateway.sources import host_id
+from badgergap.gateway.intake import BODY_LIMIT, HEAD_LIMIT
+from badgergap.gateway.streams import HOLD
+from badgergap.interface import (
     Action,
     AttemptEnded,
     Event,
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,15 +16,15 @@
 
 import pytest
 
-from rosedeal.gateway import crowd, downstream
-from rosedeal.interface import AttemptEnded, PeerMessage, TellPeers
+from badgergap.gateway import crowd, downstream
+from badgergap.interface import AttemptEnded, PeerMessage, TellPeers
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
 
 def start(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
     env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | environ
     return subprocess.run(
-        [sys.executable, "-m", "rosedeal"],
+        [sys.executable, "-m", "badgergap"],
         env=env | ({"ROUTER_CONFIG": str(path)} if path else {}),
         capture_output=True,
         text=True,
@@ -66,7 +66,7 @@
     done = start(path)
     assert done.returncode != 0 and not done.stdout
     (line,) = done.stderr.splitlines()
-    assert line.startswith("rosedeal: ") and named in line
+    assert line.startswith("badgergap: ") and named in line
 
 
 def test_a_missing_configuration_is_one_line_and_a_failure(tmp_path: Path) -> None:
@@ -102,7 +102,7 @@
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "rosedeal",
+        "badgergap",
         env={**os.environ, "ROUTER_CONFIG": str(path), **environ},
         stderr=asyncio.subprocess.PIPE,
     )
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from rosedeal.interface import Send
+from badgergap.interface import Send
 
 
 def test_the_example_runs() -> None:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.gateway import roster as module
-from rosedeal.gateway.roster import HandDrain, Roster, RosterError
-from rosedeal.gateway.sources import Entry, News, host_id
-from rosedeal.interface import ListedServer, ListKind, ServerStatus
+from badgergap.gateway import roster as module
+from badgergap.gateway.roster import HandDrain, Roster, RosterError
+from badgergap.gateway.sources import Entry, News, host_id
+from badgergap.interface import ListedServer, ListKind, ServerStatus
 
 READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tests.helpers import SETTINGS, START_US
-from rosedeal.interface import (
+from badgergap.interface import (
     MAY_STILL_RUN,
     NEVER_RAN,
     Action,
@@ -33,7 +33,7 @@
     Settings,
     TimerFired,
 )
-from rosedeal.choice import Balancer
+from badgergap.choice import Balancer
 
 GROUP = {n: n // 3 for n in range(6)}
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from rosedeal.interface import (
+from badgergap.interface import (
     AttemptEnded,
     Cancel,
     CloseIdle,
@@ -42,7 +42,7 @@
     TimerFired,
     WatchList,
 )
-from rosedeal.wire import (
+from badgergap.wire import (
     OUTCOMES,
     PARSERS,
     WireError,
@@ -51,7 +51,7 @@
     parse_settings,
     split_line,
 )
-from rosedeal.wirehost import Host
+from badgergap.wirehost import Host
 
 LANES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
@@ -253,7 +253,7 @@
     text = "\n".join(script) + "\n"
     outputs = [
         subprocess.run(
-            [sys.executable, "-B", "-m", "rosedeal.wirehost"],
+            [sys.executable, "-B", "-m", "badgergap.wirehost"],
             input=text,
             capture_output=True,
             text=True,
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -9,18 +9,18 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rosedeal.admin import Figures
-from rosedeal.choice import Breaker
-from rosedeal.cli.serve import fleet_tls
-from rosedeal.cli.setup import Setup
-from rosedeal.cli.tls import ClientTls
-from rosedeal.cli.web import web_room
-from rosedeal.gateway.proxy import Proxy
-from rosedeal.gateway.run import Room
-from rosedeal.site import SiteRoom
-from rosedeal.standins.app import App
-from rosedeal.standins.net import small_socket
-from rosedeal.web.room import WebRoom
+from badgergap.admin import Figures
+from badgergap.choice import Breaker
+from badgergap.cli.serve import fleet_tls
+from badgergap.cli.setup import Setup
+from badgergap.cli.tls import ClientTls
+from badgergap.cli.web import web_room
+from badgergap.gateway.proxy import Proxy
+from badgergap.gateway.run import Room
+from badgergap.site import SiteRoom
+from badgergap.standins.app import App
+from badgergap.standins.net import small_socket
+from badgergap.web.room import WebRoom
 
 HEAD = """\
 [site]
--- a/tests/web/test_checks.py
+++ b/tests/web/test_checks.py
@@ -12,9 +12,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosedeal.gateway.streams import Headers
-from rosedeal.gateway.fields import BadHead, answer_headers, trailers
-from rosedeal.ordinary.heads import Peer, RequestHead, request_for_box
+from badgergap.gateway.streams import Headers
+from badgergap.gateway.fields import BadHead, answer_headers, trailers
+from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 from tests.sockets import run
 from tests.web.harness import Site, request, site
 
--- a/tests/web/test_clients.py
+++ b/tests/web/test_clients.py
@@ -15,8 +15,8 @@
 import websockets
 from websockets.exceptions import ConnectionClosed
 
-from rosedeal.standins.app import PAGE, content
-from rosedeal.ordinary.plan import turns_to_spare
+from badgergap.standins.app import PAGE, content
+from badgergap.ordinary.plan import turns_to_spare
 from tests.sockets import run
 from tests.web.harness import ROUTE, request, site
 
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from rosedeal.gateway import ends
-from rosedeal.gateway.streams import HOLD
-from rosedeal.web.front import Front
+from badgergap.gateway import ends
+from badgergap.gateway.streams import HOLD
+from badgergap.web.front import Front
 from tests.sockets import run
 from tests.test_endings import until
 from tests.web.harness import Raw, Site, request, site
--- a/tests/web/test_process.py
+++ b/tests/web/test_process.py
@@ -9,8 +9,8 @@
 import aiohttp
 import pytest
 
-from rosedeal.cli.main import main
-from rosedeal.standins.app import App
+from badgergap.cli.main import main
+from badgergap.standins.app import App
 from tests.appliance.harness import Admin, Process, kept_drains
 from tests.sockets import run
 from tests.web.harness import ROUTE, request, site_text
--- a/tests/web/test_run.py
+++ b/tests/web/test_run.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from rosedeal.gateway.streams import HOLD
-from rosedeal.standins.app import content
+from badgergap.gateway.streams import HOLD
+from badgergap.standins.app import content
 from tests.sockets import run
 from tests.web.harness import ROUTE, Site, request, site
 
--- a/tests/web/test_streams.py
+++ b/tests/web/test_streams.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from rosedeal.gateway.streams import HOLD
-from rosedeal.standins.app import content
+from badgergap.gateway.streams import HOLD
+from badgergap.standins.app import content
 from tests.sockets import run
 from tests.web.harness import ROUTE, Raw, Site, request, site
 
@@ -262,7 +262,7 @@
 def test_a_gateway_full_of_clients_that_stall_serves_those_that_do_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: bytes
 ) -> None:
-    monkeypatch.setattr("rosedeal.web.door.STALLED_S", 0.3)
+    monkeypatch.setattr("badgergap.web.door.STALLED_S", 0.3)
 
     async def test() -> None:
         async with site(tmp_path, routes="[limits]\nsockets = 128\n" + ROUTE) as it:
--- a/tests/web/test_tls.py
+++ b/tests/web/test_tls.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from rosedeal.gateway.config import ConfigError
-from rosedeal.standins.certificates import Authority
-from rosedeal.tls.names import Names
-from rosedeal.tls.store import Certificates, Pair, Setting
+from badgergap.gateway.config import ConfigError
+from badgergap.standins.certificates import Authority
+from badgergap.tls.names import Names
+from badgergap.tls.store import Certificates, Pair, Setting
 from tests.sockets import run
 from tests.web.harness import ROUTE, Raw, Site, request, site
 
