--- a/badgergap/__init__.py
+++ b/badgergap/__init__.py
@@ -1,7 +1,7 @@
 """badgergap: the decisions of a load-balancing proxy for fleets of HTTP servers."""
 
-from badgergap.choice import Balancer
-from badgergap.interface import (
+from badgergap.balancing.choice import Balancer
+from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/badgergap/admin/boxes.py
+++ b/badgergap/admin/boxes.py
@@ -12,7 +12,7 @@
 from badgergap.admin.protocol import BoxView, Said
 from badgergap.gateway.config import Names
 from badgergap.gateway.roster import HostView
-from badgergap.interface import ServerStatus, ServerView
+from badgergap.balancing.interface import ServerStatus, ServerView
 
 GONE_SHOWN_US = 300_000_000  # how long a box that is gone is still shown
 # Boxes that a snapshot names; of a larger fleet those drained by hand first. What a look costs grows with it.
--- a/badgergap/admin/figures.py
+++ b/badgergap/admin/figures.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from badgergap.admin.protocol import ClassView, TenantView, Window
-from badgergap.interface import Outcome
+from badgergap.balancing.interface import Outcome
 
 SPAN_S = 300
 WINDOWS_S = (10, 60, 300)
--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -40,7 +40,7 @@
 from badgergap.gateway.pools import proxy_of
 from badgergap.gateway.proxy import Proxy
 from badgergap.gateway.roster import HandDrain, HostView, RosterError
-from badgergap.interface import ServerView
+from badgergap.balancing.interface import ServerView
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/agreement/following.py
+++ b/badgergap/agreement/following.py
@@ -13,7 +13,7 @@
 from badgergap.agreement.state import Outcome, Publish, Whole
 from badgergap.gateway.proxy import Proxy
 from badgergap.gateway.sources import Entry, News, host_id
-from badgergap.interface import ListedServer, ListKind, ServerStatus
+from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/choice.py
+++ b/badgergap/balancing/choice.py
@@ -1,4 +1,4 @@
-"""All decisions of the balancer. Its settings, events and actions are in badgergap/interface.py.
+"""All decisions of the balancer. Its settings, events and actions are in badgergap/balancing/interface.py.
 
 The ordinary path: a request arrives and a weighted random draw picks among the servers whose breaker lets it
 through. A server's weight in the draw is its listed weight times the weight of the
@@ -18,7 +18,7 @@
 from operator import attrgetter
 from typing import Any
 
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     MAY_STILL_RUN, NEVER_RAN, Action, AttemptEnded, Cancel, Effect, Event, Extend, Fail, ListedServer,
     ListKind, Log, Outcome, Refuse, RequestArrived, RequestClass, RequestGone, RequestJoined, Scope, Send,
     ServerList, ServerStatus, ServerView, SetTimer, Settings, StreamStarted, TimerFired, WatchList,
--- a/badgergap/copies/guard.py
+++ b/badgergap/copies/guard.py
@@ -24,7 +24,7 @@
 from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.gateway.tried import Client, Tried
 from badgergap.gateway.upstream import Answer, Exchange, Upstream
-from badgergap.interface import Effect, Outcome, Scope
+from badgergap.balancing.interface import Effect, Outcome, Scope
 from badgergap.ordinary.turn import Guide, Turn, Way
 
 log = logging.getLogger(__name__)
--- a/badgergap/etcd/hosts.py
+++ b/badgergap/etcd/hosts.py
@@ -14,7 +14,7 @@
 from badgergap.etcd.follow import Change
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
 from badgergap.gateway.sources import Entry, News
-from badgergap.interface import ListKind, ServerStatus
+from badgergap.balancing.interface import ListKind, ServerStatus
 
 SLICE = 25  # hosts that one piece of news names, of those that may wait
 URGENT_SLICE = 200  # and of those that may not: they cost less
--- a/badgergap/etcd/source.py
+++ b/badgergap/etcd/source.py
@@ -34,7 +34,7 @@
 from badgergap.gateway.config import Address, Config
 from badgergap.gateway.proxy import Proxy
 from badgergap.gateway.sources import News, Tell as TellNews
-from badgergap.interface import ListKind
+from badgergap.balancing.interface import ListKind
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/etcd/values.py
+++ b/badgergap/etcd/values.py
@@ -22,7 +22,7 @@
 from badgergap.gateway.config import Address
 from badgergap.gateway.discovery import STATUSES
 from badgergap.gateway.sources import Entry, host_id
-from badgergap.interface import ListedServer
+from badgergap.balancing.interface import ListedServer
 
 VALUE_LIMIT = 64 * 1024  # bytes of a value
 NAME_LIMIT = 256  # characters of a host's name
--- a/badgergap/gateway/back.py
+++ b/badgergap/gateway/back.py
@@ -27,7 +27,7 @@
     PooledConnection,
     Upstream,
 )
-from badgergap.interface import Outcome
+from badgergap.balancing.interface import Outcome
 from badgergap.gateway.budget import LEAST
 from badgergap.gateway.downward import last_chunk
 from badgergap.gateway.fields import BadHead, answer_headers, trailers
--- a/badgergap/gateway/config.py
+++ b/badgergap/gateway/config.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.interface import Settings
-from badgergap.wire import WireError, parse_settings
+from badgergap.balancing.interface import Settings
+from badgergap.simulator.codec import WireError, parse_settings
 
 Address = tuple[str, int]
 
--- a/badgergap/gateway/discovery.py
+++ b/badgergap/gateway/discovery.py
@@ -13,7 +13,7 @@
 
 from badgergap.gateway.config import Address, ConfigError, Names, parse_address
 from badgergap.gateway.sources import PLATFORM, Entry, News, Tell, host_id
-from badgergap.interface import ListedServer, ListKind, ServerStatus
+from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/gateway/intake.py
+++ b/badgergap/gateway/intake.py
@@ -13,7 +13,7 @@
 
 from badgergap.gateway.config import Config
 from badgergap.gateway.proxy import Asked, Launch, plain
-from badgergap.interface import Effect
+from badgergap.balancing.interface import Effect
 
 BODY_LIMIT = 32 * 1024 * 1024
 HEAD_LIMIT = 16 * 1024
--- a/badgergap/gateway/proxy.py
+++ b/badgergap/gateway/proxy.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Protocol
 
-from badgergap.choice import Balancer
+from badgergap.balancing.choice import Balancer
 from badgergap.gateway import crowd
 from badgergap.gateway.budget import Budget, total_of
 from badgergap.gateway.config import Address, Config, needs_restart
@@ -23,7 +23,7 @@
 from badgergap.gateway.roster import Roster
 from badgergap.gateway.sources import PLATFORM, HostSource, News
 from badgergap.gateway.upstream import REST_S, Answer, Exchange, Upstream
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -50,7 +50,7 @@
     TimerFired,
     WatchList,
 )
-from badgergap.wire import parse_load
+from badgergap.simulator.codec import parse_load
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/gateway/roster.py
+++ b/badgergap/gateway/roster.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field, replace
 
 from badgergap.gateway.sources import Entry, News
-from badgergap.interface import ListKind, ServerStatus
+from badgergap.balancing.interface import ListKind, ServerStatus
 
 # Names a dynamic source has said are gone. Beyond it the oldest are forgotten: a weaker source that still
 # names one of them is believed again.
--- a/badgergap/gateway/sources.py
+++ b/badgergap/gateway/sources.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from badgergap.gateway.config import Address
-from badgergap.interface import ListedServer, ListKind, ServerList
+from badgergap.balancing.interface import ListedServer, ListKind, ServerList
 
 PLATFORM = "platform"  # the name of the source that the platform's configuration sets
 
--- a/badgergap/gateway/tried.py
+++ b/badgergap/gateway/tried.py
@@ -10,7 +10,7 @@
 from badgergap.gateway.proxy import Books
 from badgergap.gateway.streams import AnswerHead, Download, Headers, Upload
 from badgergap.gateway.upstream import Answer, Exchange
-from badgergap.interface import Outcome
+from badgergap.balancing.interface import Outcome
 
 EXPECT_S = 1.0  # for a box to say 100; some never do (RFC 9110 section 10.1.1), and the client is told anyway
 NO_BODY = (204, 304)
--- a/badgergap/gateway/upstream.py
+++ b/badgergap/gateway/upstream.py
@@ -18,7 +18,7 @@
 from badgergap.gateway.budget import Budget, Reads
 from badgergap.gateway.config import Address
 from badgergap.gateway import ends
-from badgergap.interface import Outcome, ServerStatus
+from badgergap.balancing.interface import Outcome, ServerStatus
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -42,7 +42,7 @@
 from badgergap.gateway.upstream import Answer, Host, Upstream
 from badgergap.h3.driver import Driver, Sender
 from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
-from badgergap.interface import Outcome
+from badgergap.balancing.interface import Outcome
 from badgergap.gateway.fields import BadHead, ForBox, answer_headers, trailers
 from badgergap.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
 
--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -22,7 +22,7 @@
 from badgergap.h3.endpoint import Link, User, address_of
 from badgergap.h3.library import CONNECTION_WINDOW, Http, Malformed
 from badgergap.h3.rules import CHURN, CHURN_BURST, Budget
-from badgergap.interface import Effect
+from badgergap.balancing.interface import Effect
 from badgergap.gateway.fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, is_trusted, own_answer
 from badgergap.ordinary.plan import Limits
--- a/badgergap/handover/will.py
+++ b/badgergap/handover/will.py
@@ -23,7 +23,7 @@
 from badgergap.gateway.config import Address, Names
 from badgergap.gateway.roster import DRAIN_LIMIT, HandDrain
 from badgergap.gateway.sources import Entry
-from badgergap.interface import ServerStatus
+from badgergap.balancing.interface import ServerStatus
 
 MAGIC, VERSION = b"bgw", 1
 HEADER = struct.Struct(">3sBII")
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -18,7 +18,7 @@
 from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.gateway.tried import Client
 from badgergap.gateway.upstream import Answer
-from badgergap.interface import Effect
+from badgergap.balancing.interface import Effect
 from badgergap.joining.group import Act, Do, Group, State
 from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
 from badgergap.ordinary.turn import Guide, Turn, Way
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -12,7 +12,7 @@
 from badgergap.gateway.pools import Pools
 from badgergap.gateway.proxy import Asked, Launch, Proxy, plain, refused
 from badgergap.gateway.upstream import Answer
-from badgergap.interface import Effect
+from badgergap.balancing.interface import Effect
 from badgergap.ordinary.heads import request_id
 from badgergap.ordinary.plan import WebPlan, choose, turns_to_spare
 from badgergap.ordinary.turn import Carry, Guard, Join, Turn, Way
--- a/badgergap/wirehost.py
+++ b/badgergap/simulator/adapter.py
@@ -10,9 +10,9 @@
 import sys
 from typing import TextIO
 
-from badgergap.interface import Event, ListedServer, ListKind, ServerList
-from badgergap.choice import Balancer
-from badgergap.wire import (
+from badgergap.balancing.interface import Event, ListedServer, ListKind, ServerList
+from badgergap.balancing.choice import Balancer
+from badgergap.simulator.codec import (
     LIST_KINDS,
     PARSERS,
     Fields,
--- a/badgergap/wire.py
+++ b/badgergap/simulator/codec.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/badgergap/site/source.py
+++ b/badgergap/site/source.py
@@ -9,7 +9,7 @@
 from badgergap.gateway.config import Config, Names
 from badgergap.gateway.proxy import Proxy
 from badgergap.gateway.sources import Entry, News, Tell, host_id
-from badgergap.interface import ListedServer, ListKind
+from badgergap.balancing.interface import ListedServer, ListKind
 from badgergap.gateway.drains import DrainStore
 from badgergap.site.schema import BoxTable, Site
 from badgergap.site.web import MAIN
--- a/badgergap/staged/meter.py
+++ b/badgergap/staged/meter.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from badgergap.gateway.proxy import Observer
-from badgergap.interface import Outcome
+from badgergap.balancing.interface import Outcome
 from badgergap.staged.judge import CLASSES_MOST, Block, Counts
 
 PAGE = resource.getpagesize()
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -27,8 +27,8 @@
 from badgergap.copies import learnt, snapshot, words
 from badgergap.copies import record as records
 from badgergap.copies.learnt import Lesson
-from badgergap.interface import Outcome
-from badgergap.interface import Send as Attempted
+from badgergap.balancing.interface import Outcome
+from badgergap.balancing.interface import Send as Attempted
 from badgergap.standins.rig import Gateway, Rig, rig
 from tests.agreement.simulation import MS, S
 from badgergap.copies.keeper import Send
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from benchmarks.common import CLASSES, FLEET_CPU, GATEWAY_CPU, child, cpu_s, memory_mb, pin
-from badgergap.interface import ListKind
+from badgergap.balancing.interface import ListKind
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
 from badgergap.standins.load import Kind, Load
@@ -135,7 +135,7 @@
     from badgergap.gateway.config import Config, Names
     from badgergap.gateway.proxy import Proxy
     from badgergap.gateway.sources import News
-    from badgergap.interface import RequestClass, Settings
+    from badgergap.balancing.interface import RequestClass, Settings
 
     def proxy() -> Proxy:
         settings = Settings(classes=(RequestClass(500_000, 1_200_000),))
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -17,7 +17,7 @@
 from badgergap.gateway.config import Names
 from badgergap.gateway.roster import HandDrain, HostView
 from badgergap.gateway.sources import Entry, host_id
-from badgergap.interface import ListedServer, Outcome, ServerStatus, ServerView
+from badgergap.balancing.interface import ListedServer, Outcome, ServerStatus, ServerView
 
 S = 1_000_000
 
--- a/tests/admin/test_room.py
+++ b/tests/admin/test_room.py
@@ -22,7 +22,7 @@
 from badgergap.admin.client import AdminClient, AdminError, NoAnswer, NoGateway, ask
 from badgergap.admin.protocol import ActionResult, AskAction, AskSnapshot, Drain, ProtocolError, Undrain
 from badgergap.gateway.roster import HandDrain
-from badgergap.interface import AttemptEnded, ListKind, ServerList
+from badgergap.balancing.interface import AttemptEnded, ListKind, ServerList
 from badgergap.standins.scripted import chunk, entry, news
 from tests.sockets import Gateway, gateway, run
 from tests.sockets import ask as request
--- a/tests/test_bounds.py
+++ b/tests/balancing/test_bounds.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parent.parent / "badgergap" / "choice.py"
+MODULE = Path(__file__).parents[2] / "badgergap" / "balancing" / "choice.py"
 
 
 def test_the_module_holds_at_most_1200_lines_of_110_characters() -> None:
--- a/tests/test_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -1,8 +1,8 @@
 """The breaker's cycle and the weight controller, by example."""
 
 from tests.helpers import Driver, sends, trip
-from badgergap.interface import ListedServer, ListKind, Outcome
-from badgergap.choice import (
+from badgergap.balancing.interface import ListedServer, ListKind, Outcome
+from badgergap.balancing.choice import (
     CEILING,
     COOLDOWN_US,
     CUT,
--- a/tests/staffed/test_out.py
+++ b/tests/balancing/test_manual_drains.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgergap.interface import ListedServer, ListKind, Outcome, Prices, ServerStatus
+from badgergap.balancing.interface import ListedServer, ListKind, Outcome, Prices, ServerStatus
 from tests.helpers import SETTINGS, START_US, Driver, sends
 
 WARM_US = 20_000_000
--- a/tests/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, crowd, finals, sends, timers, trip
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     Cancel,
     Fail,
     ListedServer,
@@ -28,7 +28,7 @@
     TimerFired,
     WatchList,
 )
-from badgergap.choice import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, Attempt, rendezvous
+from badgergap.balancing.choice import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, Attempt, rendezvous
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
--- a/tests/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tests.helpers import SETTINGS, START_US
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     MAY_STILL_RUN,
     NEVER_RAN,
     Action,
@@ -33,7 +33,7 @@
     Settings,
     TimerFired,
 )
-from badgergap.choice import Balancer
+from badgergap.balancing.choice import Balancer
 
 GROUP = {n: n // 3 for n in range(6)}
 
--- a/tests/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from badgergap.choice import OVERDUE, State
-from badgergap.interface import AttemptEnded, Outcome, RequestGone, StreamStarted
+from badgergap.balancing.choice import OVERDUE, State
+from badgergap.balancing.interface import AttemptEnded, Outcome, RequestGone, StreamStarted
 from tests.helpers import SAFE, SETTINGS, UNSAFE, Driver, finals, sends
 
 VARIED = replace(SETTINGS, varied_work=True, second_copies=False)
--- a/tests/test_look.py
+++ b/tests/balancing/test_view.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from badgergap.choice import COOLDOWN_US, Balancer
-from badgergap.interface import ListedServer, ListKind, Outcome, RequestClass, ServerList, Settings
+from badgergap.balancing.choice import COOLDOWN_US, Balancer
+from badgergap.balancing.interface import ListedServer, ListKind, Outcome, RequestClass, ServerList, Settings
 from tests.helpers import START_US, Driver, sends, trip
 
 
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -21,10 +21,10 @@
 from badgergap.gateway.drains import DrainStore
 from badgergap.gateway.roster import HandDrain
 from badgergap.handover import will
-from badgergap.interface import ListKind
+from badgergap.balancing.interface import ListKind
 from badgergap.store.log import Log, System
 from tests.helpers import Driver
-from tests.staffed.test_out import COLD
+from tests.balancing.test_manual_drains import COLD
 from tests.staffed.test_will import worked
 
 DATA = Path(__file__).parent / "data"
--- a/tests/copies/test_lessons.py
+++ b/tests/copies/test_lessons.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.choice import CEILING, FLOOR, RING, State
+from badgergap.balancing.choice import CEILING, FLOOR, RING, State
 from badgergap.copies import learnt
 from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson
 from badgergap.copies.lessons import LessonsRoom
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -17,7 +17,7 @@
 from badgergap.gateway.downstream import Downstream
 from badgergap.gateway.proxy import Proxy
 from badgergap.gateway.upstream import Exchange
-from badgergap.interface import ServerStatus
+from badgergap.balancing.interface import ServerStatus
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
 from badgergap.standins.load import Kind, Load
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
@@ -22,7 +22,7 @@
     SetTimer,
     Settings,
 )
-from badgergap.choice import MINIMUM, Balancer, Breaker, State
+from badgergap.balancing.choice import MINIMUM, Balancer, Breaker, State
 
 SAFE = RequestClass(aim_us=200_000, give_up_us=400_000, worth=3.0, late_worth=0.2, effect=Effect.SAFE)
 KEYED = RequestClass(
--- a/tests/test_wire.py
+++ b/tests/simulator/test_codec.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     AttemptEnded,
     Cancel,
     CloseIdle,
@@ -42,7 +42,7 @@
     TimerFired,
     WatchList,
 )
-from badgergap.wire import (
+from badgergap.simulator.codec import (
     OUTCOMES,
     PARSERS,
     WireError,
@@ -51,7 +51,7 @@
     parse_settings,
     split_line,
 )
-from badgergap.wirehost import Host
+from badgergap.simulator.adapter import Host
 
 LANES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
@@ -253,12 +253,12 @@
     text = "\n".join(script) + "\n"
     outputs = [
         subprocess.run(
-            [sys.executable, "-B", "-m", "badgergap.wirehost"],
+            [sys.executable, "-B", "-m", "badgergap.simulator.adapter"],
             input=text,
             capture_output=True,
             text=True,
             check=True,
-            cwd=Path(__file__).parent.parent,
+            cwd=Path(__file__).parents[2],
         )
         for _ in range(2)
     ]
--- a/tests/site/test_file.py
+++ b/tests/site/test_file.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from badgergap.gateway.config import ConfigError
-from badgergap.interface import Effect, Scope
+from badgergap.balancing.interface import Effect, Scope
 from badgergap.site import SiteError, combine, parse_site, read_site, to_config
 from badgergap.site.convert import carry_names
 from badgergap.site.locate import line_of, lines_of
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -16,7 +16,7 @@
 from badgergap.gateway.config import parse_config
 from badgergap.gateway.downstream import ClientConnection, Downstream
 from badgergap.gateway.proxy import Proxy
-from badgergap.interface import Action, Event
+from badgergap.balancing.interface import Action, Event
 from badgergap.standins.net import Head, Server, read_head, read_message, small_socket
 from badgergap.standins.scripted import Client, Host, Registry, Taken, chunk, entry, news
 
--- a/tests/staffed/test_bodies.py
+++ b/tests/staffed/test_bodies.py
@@ -17,7 +17,7 @@
 from badgergap.gateway.budget import LEAST, Budget
 from badgergap.gateway.downstream import ClientConnection
 from badgergap.gateway.streams import HOLD
-from badgergap.interface import AttemptEnded, Outcome, StreamStarted
+from badgergap.balancing.interface import AttemptEnded, Outcome, StreamStarted
 from badgergap.standins.net import Server
 from tests.sockets import Client, Gateway, ask, entry, gateway, run, settings
 
--- a/tests/staffed/test_calls.py
+++ b/tests/staffed/test_calls.py
@@ -15,7 +15,7 @@
 from badgergap.gateway.calls import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
 from badgergap.gateway.config import Address
 from badgergap.gateway.desk import CALLERS, Desk, Hands
-from badgergap.interface import AttemptEnded, Outcome, ServerStatus
+from badgergap.balancing.interface import AttemptEnded, Outcome, ServerStatus
 from tests.sockets import Client, Gateway, ask, entry, gateway, news, chunk, run
 
 GOOD = [
--- a/tests/staffed/test_crowd.py
+++ b/tests/staffed/test_crowd.py
@@ -11,7 +11,7 @@
 
 from badgergap.gateway import crowd, downstream
 from badgergap.gateway.crowd import Standing
-from badgergap.interface import AttemptEnded
+from badgergap.balancing.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
 from tests.staffed.test_bodies import Echo, beside, with_length
 
--- a/tests/staffed/test_will.py
+++ b/tests/staffed/test_will.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.choice import Balancer
+from badgergap.balancing.choice import Balancer
 from badgergap.gateway.config import Names
 from badgergap.gateway.discovery import parse_list
 from badgergap.gateway.roster import HandDrain
@@ -28,9 +28,9 @@
     read_will,
     write_will,
 )
-from badgergap.interface import ListedServer, ListKind, Outcome, ServerStatus
+from badgergap.balancing.interface import ListedServer, ListKind, Outcome, ServerStatus
 from tests.helpers import SETTINGS, Driver, sends
-from tests.staffed.test_out import COLD, serve, share, tell
+from tests.balancing.test_manual_drains import COLD, serve, share, tell
 
 NAME, LISTEN = "n0", ("127.0.0.1", 3000)
 KNOWN: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from badgergap.gateway import discovery
 from badgergap.gateway.config import parse_address
 from badgergap.gateway.sources import host_id
-from badgergap.interface import FetchList, ListKind, ServerList, ServerStatus, WatchList
+from badgergap.balancing.interface import FetchList, ListKind, ServerList, ServerStatus, WatchList
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, settings
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,14 @@
 from badgergap.gateway.proxy import Books
 from badgergap.gateway.streams import HOLD
 from badgergap.gateway.upstream import Upstream
-from badgergap.interface import AttemptEnded, Outcome, RequestArrived, RequestGone, TimerFired, WatchList
+from badgergap.balancing.interface import (
+    AttemptEnded,
+    Outcome,
+    RequestArrived,
+    RequestGone,
+    TimerFired,
+    WatchList,
+)
 from tests.sockets import (
     Client,
     Gateway,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,7 +13,7 @@
 from badgergap.gateway.sources import host_id
 from badgergap.gateway.intake import BODY_LIMIT, HEAD_LIMIT
 from badgergap.gateway.streams import HOLD
-from badgergap.interface import (
+from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Event,
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,7 +17,7 @@
 import pytest
 
 from badgergap.gateway import crowd, downstream
-from badgergap.interface import AttemptEnded, PeerMessage, TellPeers
+from badgergap.balancing.interface import AttemptEnded, PeerMessage, TellPeers
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from badgergap.interface import Send
+from badgergap.balancing.interface import Send
 
 
 def test_the_example_runs() -> None:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,7 +9,7 @@
 from badgergap.gateway import roster as module
 from badgergap.gateway.roster import HandDrain, Roster, RosterError
 from badgergap.gateway.sources import Entry, News, host_id
-from badgergap.interface import ListedServer, ListKind, ServerStatus
+from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
 
 READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
 
