--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -15,8 +15,8 @@
     import os
     from functools import partial
 
-    from badgergap.gateway.config import ConfigError, load_config, reload_config
-    from badgergap.gateway.run import log_to_stderr, run
+    from badgergap.proxy.lifecycle.config import ConfigError, load_config, reload_config
+    from badgergap.proxy.lifecycle.process import log_to_stderr, run
 
     log_to_stderr()
     try:
--- a/badgergap/admin/boxes.py
+++ b/badgergap/admin/boxes.py
@@ -10,8 +10,8 @@
 
 from badgergap.admin.figures import Figures
 from badgergap.admin.protocol import BoxView, Said
-from badgergap.gateway.config import Names
-from badgergap.gateway.roster import HostView
+from badgergap.proxy.lifecycle.config import Names
+from badgergap.proxy.endpoints.registry import HostView
 from badgergap.balancing.interface import ServerStatus, ServerView
 
 GONE_SHOWN_US = 300_000_000  # how long a box that is gone is still shown
--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -36,10 +36,10 @@
     Undrain,
 )
 from badgergap.admin.story import Story
-from badgergap.gateway.config import Config
-from badgergap.gateway.pools import proxy_of
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.roster import HandDrain, HostView, RosterError
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.pools import proxy_of
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.registry import HandDrain, HostView, RosterError
 from badgergap.balancing.interface import ServerView
 
 log = logging.getLogger(__name__)
--- a/badgergap/agreement/following.py
+++ b/badgergap/agreement/following.py
@@ -11,8 +11,8 @@
 from badgergap.agreement import lists
 from badgergap.agreement.lists import Hosts, Listed
 from badgergap.agreement.state import Outcome, Publish, Whole
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.sources import Entry, News, host_id
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.sources import Entry, News, host_id
 from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
 
 log = logging.getLogger(__name__)
--- a/badgergap/agreement/links.py
+++ b/badgergap/agreement/links.py
@@ -29,7 +29,7 @@
 )
 from badgergap.agreement.frames import VERSION as FRAMES_VERSION
 from badgergap.agreement.member import Message
-from badgergap.gateway.config import Address
+from badgergap.proxy.lifecycle.config import Address
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/agreement/room.py
+++ b/badgergap/agreement/room.py
@@ -35,11 +35,11 @@
     VersionKind,
     Whole,
 )
-from badgergap.gateway.config import Address, Config, ConfigError
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.roster import DRAIN_LIMIT, HandDrain, RosterError
-from badgergap.gateway.run import Again
-from badgergap.gateway.pools import proxy_of
+from badgergap.proxy.lifecycle.config import Address, Config, ConfigError
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain, RosterError
+from badgergap.proxy.lifecycle.process import Again
+from badgergap.proxy.pools import proxy_of
 from badgergap.store.layout import Unusable
 from badgergap.store.log import Log
 from badgergap.store.writer import Writer
--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -15,7 +15,7 @@
 from badgergap.copies.keeper import Options
 from badgergap.copies.register import Bounds
 from badgergap.copies.room import CopiesRoom
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import Site
 
 LEAST_US = 600_000_000  # for which a loss is remembered, whatever the routes say
--- a/badgergap/cli/copies_words.py
+++ b/badgergap/cli/copies_words.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from badgergap.cli.group_words import ToGateway
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 
 
 def add_commands(commands: Any, to_gateway: ToGateway) -> None:
--- a/badgergap/cli/demo.py
+++ b/badgergap/cli/demo.py
@@ -20,7 +20,7 @@
 
 from badgergap.admin import AdminError, NoAnswer, NoGateway, Snapshot, call, default_socket
 from badgergap.admin.protocol import VERSION, AskSnapshot, ProtocolError
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.console.words import percent, summary
 
 START_S = 15.0
--- a/badgergap/cli/etcd.py
+++ b/badgergap/cli/etcd.py
@@ -7,8 +7,8 @@
 from functools import partial
 from pathlib import Path
 
-from badgergap.gateway.config import ConfigError
-from badgergap.gateway.run import Room
+from badgergap.proxy.lifecycle.config import ConfigError
+from badgergap.proxy.lifecycle.process import Room
 from badgergap.site.schema import EtcdTable
 
 
--- a/badgergap/cli/group.py
+++ b/badgergap/cli/group.py
@@ -14,7 +14,7 @@
 from badgergap.agreement.member import Known, Settings
 from badgergap.agreement.room import GroupRoom, Options, Refused
 from badgergap.cli.setup import Setup
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import GroupTable
 
 KEY_LIMIT = 4096
--- a/badgergap/cli/h3.py
+++ b/badgergap/cli/h3.py
@@ -7,9 +7,9 @@
 
 from badgergap.cli.setup import Setup
 from badgergap.cli.tls import ClientTls
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.ordinary.turn import Carry
-from badgergap.gateway.back import carry
+from badgergap.proxy.upstream.stream_exchange import carry
 from badgergap.web.room import WebRoom
 
 if TYPE_CHECKING:
--- a/badgergap/cli/main.py
+++ b/badgergap/cli/main.py
@@ -24,7 +24,7 @@
 from badgergap.cli import copies_words, staged_words
 from badgergap.cli.group_words import add_commands
 from badgergap.cli.serve import check, serve
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site import read_site
 
 EPILOG = """\
--- a/badgergap/cli/route.py
+++ b/badgergap/cli/route.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from urllib.parse import urlsplit
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.routes import BadPath, Table, Target, read_host, read_target
 from badgergap.site import Site, read_site
 from badgergap.site.schema import RouteTable
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -15,9 +15,9 @@
 from badgergap.admin import AdminRoom, Figures
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
-from badgergap.gateway.config import Config, ConfigError
-from badgergap.gateway.proxy import Observer, Proxy
-from badgergap.gateway.run import Room, Succeed, log_to_stderr, run
+from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.lifecycle.process import Room, Succeed, log_to_stderr, run
 from badgergap.site import SiteRoom
 from badgergap.site.web import never
 
--- a/badgergap/cli/setup.py
+++ b/badgergap/cli/setup.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from badgergap.admin import default_socket
-from badgergap.gateway.config import Config, ConfigError, load_config, needs_restart, reload_config
+from badgergap.proxy.lifecycle.config import Config, ConfigError, load_config, needs_restart, reload_config
 from badgergap.site import DrainStore, Site, combine, to_config
 from badgergap.site.convert import carry_names
 from badgergap.site.read import SHARED, Tables, parse_site, read_tables, read_text, shared
--- a/badgergap/cli/staged_report.py
+++ b/badgergap/cli/staged_report.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 
 STYLE = """
 body { font: 15px/1.5 sans-serif; max-width: 60em; margin: 2em auto; color: #222 }
--- a/badgergap/cli/staged_words.py
+++ b/badgergap/cli/staged_words.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.read import read_site, read_tables, read_text, shared
 
 ToGateway = Callable[[argparse.ArgumentParser], argparse.ArgumentParser]
--- a/badgergap/cli/tls.py
+++ b/badgergap/cli/tls.py
@@ -8,8 +8,8 @@
 from types import ModuleType
 from typing import TYPE_CHECKING
 
-from badgergap.gateway.config import Config, ConfigError
-from badgergap.gateway.proxy import Proxy
+from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.proxy import Proxy
 from badgergap.site import Site
 
 if TYPE_CHECKING:
--- a/badgergap/cli/web.py
+++ b/badgergap/cli/web.py
@@ -12,10 +12,10 @@
 
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
-from badgergap.gateway.config import Config
-from badgergap.gateway.pools import Feeder, PoolPlan
-from badgergap.gateway import crowd
-from badgergap.gateway.proxy import Observer
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.pools import Feeder, PoolPlan
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.proxy import Observer
 from badgergap.site import Site, SiteRoom
 from badgergap.site.convert import pool_config
 from badgergap.site.schema import PoolTable
@@ -139,7 +139,7 @@
         tunnel_s=http.quiet_tunnels / 1e6,
         handshake_s=(site.https.handshake_within if site.https is not None else 10_000_000) / 1e6,
         end_s=http.end_within / 1e6,
-        connections=crowd.half(config.sockets),
+        connections=eviction.half(config.sockets),
     )
     trusted = tuple(ipaddress.ip_network(network) for network in http.trusted_proxies)
     listen_tls = site.https.listen.pair if site.https is not None else None
--- a/badgergap/copies/guard.py
+++ b/badgergap/copies/guard.py
@@ -20,10 +20,10 @@
 from badgergap.copies.once import End, Once, Request
 from badgergap.copies.record import Record, Repeats
 from badgergap.copies.room import CopiesRoom
-from badgergap.gateway.proxy import OUT_OF_TOUCH, TRANSIT_US, Books, plain, refused
-from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.gateway.tried import Client, Tried
-from badgergap.gateway.upstream import Answer, Exchange, Upstream
+from badgergap.proxy.proxy import OUT_OF_TOUCH, TRANSIT_US, Books, plain, refused
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.proxy.upstream.stream_attempt import Client, Tried
+from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
 from badgergap.balancing.interface import Effect, Outcome, Scope
 from badgergap.ordinary.turn import Guide, Turn, Way
 
--- a/badgergap/copies/lessons.py
+++ b/badgergap/copies/lessons.py
@@ -18,8 +18,8 @@
 from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson, Want
 from badgergap.copies.placement import Seat
 from badgergap.copies.room import CopiesRoom
-from badgergap.gateway.config import Config
-from badgergap.gateway.proxy import Proxy
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/copies/room.py
+++ b/badgergap/copies/room.py
@@ -23,8 +23,8 @@
 from badgergap.copies.keeper import Keeper, Options, Shout, Wish
 from badgergap.copies.proposer import Change, Grip, Result
 from badgergap.copies.words import Word
-from badgergap.gateway.config import Config, ConfigError
-from badgergap.gateway.proxy import Proxy
+from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.proxy import Proxy
 from badgergap.store.layout import Unusable
 from badgergap.store.log import SIZE_LIMIT, Log
 from badgergap.store.writer import Writer
--- a/badgergap/etcd/client.py
+++ b/badgergap/etcd/client.py
@@ -33,7 +33,7 @@
     Watch,
     Watched,
 )
-from badgergap.gateway.config import Address
+from badgergap.proxy.lifecycle.config import Address
 
 # What etcd says with a status that it also uses for other things (its api/v3rpc/rpctypes/error.go).
 TEXTS = (
--- a/badgergap/etcd/hosts.py
+++ b/badgergap/etcd/hosts.py
@@ -13,7 +13,7 @@
 
 from badgergap.etcd.follow import Change
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
-from badgergap.gateway.sources import Entry, News
+from badgergap.proxy.endpoints.sources import Entry, News
 from badgergap.balancing.interface import ListKind, ServerStatus
 
 SLICE = 25  # hosts that one piece of news names, of those that may wait
--- a/badgergap/etcd/source.py
+++ b/badgergap/etcd/source.py
@@ -31,9 +31,9 @@
 )
 from badgergap.etcd.hosts import Hosts
 from badgergap.etcd.values import Places
-from badgergap.gateway.config import Address, Config
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.sources import News, Tell as TellNews
+from badgergap.proxy.lifecycle.config import Address, Config
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.sources import News, Tell as TellNews
 from badgergap.balancing.interface import ListKind
 
 log = logging.getLogger(__name__)
--- a/badgergap/etcd/values.py
+++ b/badgergap/etcd/values.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgergap.gateway.config import Address
-from badgergap.gateway.discovery import STATUSES
-from badgergap.gateway.sources import Entry, host_id
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.proxy.endpoints.discovery import STATUSES
+from badgergap.proxy.endpoints.sources import Entry, host_id
 from badgergap.balancing.interface import ListedServer
 
 VALUE_LIMIT = 64 * 1024  # bytes of a value
--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -37,14 +37,14 @@
     StreamReset,
 )
 
-from badgergap.gateway.proxy import Books
-from badgergap.gateway.streams import HOLD, AnswerHead, Headers
-from badgergap.gateway.upstream import Answer, Host, Upstream
+from badgergap.proxy.proxy import Books
+from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
+from badgergap.proxy.upstream.connection_pool import Answer, Host, Upstream
 from badgergap.h3.driver import Driver, Sender
 from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
 from badgergap.balancing.interface import Outcome
-from badgergap.gateway.fields import BadHead, ForBox, answer_headers, trailers
-from badgergap.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
+from badgergap.proxy.header_fields import BadHead, ForBox, answer_headers, trailers
+from badgergap.proxy.upstream.stream_attempt import NO_BODY, Tried, Wanted, outcome_of
 
 LINKS = 4
 TRIES = 1000
--- a/badgergap/h3/endpoint.py
+++ b/badgergap/h3/endpoint.py
@@ -34,7 +34,7 @@
 )
 from aioquic.quic.retry import QuicRetryTokenHandler
 
-from badgergap.gateway.config import Address
+from badgergap.proxy.lifecycle.config import Address
 from badgergap.h3 import beside
 from badgergap.h3.beside import Beside
 from badgergap.h3.driver import Driver, Sender
--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -15,15 +15,15 @@
 from aioquic.h3.events import DataReceived, HeadersReceived
 from aioquic.quic.events import ProtocolNegotiated, QuicEvent, StopSendingReceived, StreamReset
 
-from badgergap.gateway.intake import HEAD_LIMIT
-from badgergap.gateway.proxy import plain
-from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers
-from badgergap.gateway.upstream import Answer
+from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
+from badgergap.proxy.proxy import plain
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
+from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.h3.endpoint import Link, User, address_of
 from badgergap.h3.library import CONNECTION_WINDOW, Http, Malformed
 from badgergap.h3.rules import CHURN, CHURN_BURST, Budget
 from badgergap.balancing.interface import Effect
-from badgergap.gateway.fields import BadHead, trailers
+from badgergap.proxy.header_fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, is_trusted, own_answer
 from badgergap.ordinary.plan import Limits
 from badgergap.ordinary.turn import Turn
--- a/badgergap/h3/library.py
+++ b/badgergap/h3/library.py
@@ -51,7 +51,7 @@
     load_pem_private_key,
 )
 
-from badgergap.gateway.intake import HEAD_LIMIT
+from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 
 # It tells of each handshake and of each client that breaks a rule: a log for anybody to fill.
 logging.getLogger("quic").setLevel(logging.ERROR)
--- a/badgergap/handover/succession.py
+++ b/badgergap/handover/succession.py
@@ -31,16 +31,16 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.gateway.config import Config
-from badgergap.gateway.downstream import ClientConnection, Downstream
-from badgergap.gateway.drains import DrainStore
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.downstream.client_connection import ClientConnection, Downstream
+from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.handover.link import Link, Place, check_peer, descriptor_of
 from badgergap.handover.parts import Part
-from badgergap.gateway.pools import MAIN, proxy_of
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.roster import HandDrain, RosterError
-from badgergap.gateway.run import Pooled, Room
-from badgergap.gateway.sources import PLATFORM
+from badgergap.proxy.pools import MAIN, proxy_of
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.registry import HandDrain, RosterError
+from badgergap.proxy.lifecycle.process import Pooled, Room
+from badgergap.proxy.endpoints.sources import PLATFORM
 from badgergap.handover.will import Will, WillError, list_of, read_will, whose, write_will
 
 log = logging.getLogger(__name__)
--- a/badgergap/handover/will.py
+++ b/badgergap/handover/will.py
@@ -20,9 +20,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from badgergap.gateway.config import Address, Names
-from badgergap.gateway.roster import DRAIN_LIMIT, HandDrain
-from badgergap.gateway.sources import Entry
+from badgergap.proxy.lifecycle.config import Address, Names
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
+from badgergap.proxy.endpoints.sources import Entry
 from badgergap.balancing.interface import ServerStatus
 
 MAGIC, VERSION = b"bgw", 1
--- a/badgergap/joining/identity.py
+++ b/badgergap/joining/identity.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from badgergap.gateway.streams import Headers
+from badgergap.proxy.body_streams import Headers
 
 METHODS = (b"GET", b"HEAD")
 ALONE = {
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -14,10 +14,10 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
 
-from badgergap.gateway.proxy import TRANSIT_US, Proxy, plain, refused
-from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.gateway.tried import Client
-from badgergap.gateway.upstream import Answer
+from badgergap.proxy.proxy import TRANSIT_US, Proxy, plain, refused
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.proxy.upstream.stream_attempt import Client
+from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.balancing.interface import Effect
 from badgergap.joining.group import Act, Do, Group, State
 from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
--- a/badgergap/ordinary/heads.py
+++ b/badgergap/ordinary/heads.py
@@ -22,9 +22,9 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from badgergap.gateway.fields import FORWARDED, HOP, KEPT, OWN, TOKEN, VALUE, BadHead, ForBox
-from badgergap.gateway.streams import AnswerHead, Headers
-from badgergap.gateway.upstream import Answer
+from badgergap.proxy.header_fields import FORWARDED, HOP, KEPT, OWN, TOKEN, VALUE, BadHead, ForBox
+from badgergap.proxy.body_streams import AnswerHead, Headers
+from badgergap.proxy.upstream.connection_pool import Answer
 
 STREAM_NEVER = (b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade")
 ID = re.compile(rb"[!-~]{1,128}")
--- a/badgergap/ordinary/plan.py
+++ b/badgergap/ordinary/plan.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from badgergap.gateway.config import Address
-from badgergap.gateway.pools import MAIN
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.proxy.pools import MAIN
 from badgergap.routes import Route, Table
 from badgergap.ordinary.heads import Network, RequestHead
 
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from badgergap.gateway.proxy import Asked, Books, Launch, Proxy, Request, plain
-from badgergap.gateway.streams import DownloadSource, Upload
-from badgergap.gateway.tried import Client, Tried, Wanted, is_early
-from badgergap.gateway.upstream import Exchange, Upstream
+from badgergap.proxy.proxy import Asked, Books, Launch, Proxy, Request, plain
+from badgergap.proxy.body_streams import DownloadSource, Upload
+from badgergap.proxy.upstream.stream_attempt import Client, Tried, Wanted, is_early
+from badgergap.proxy.upstream.connection_pool import Exchange, Upstream
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 
 log = logging.getLogger(__name__)
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -9,9 +9,9 @@
 from dataclasses import replace
 from functools import partial
 
-from badgergap.gateway.pools import Pools
-from badgergap.gateway.proxy import Asked, Launch, Proxy, plain, refused
-from badgergap.gateway.upstream import Answer
+from badgergap.proxy.pools import Pools
+from badgergap.proxy.proxy import Asked, Launch, Proxy, plain, refused
+from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.balancing.interface import Effect
 from badgergap.ordinary.heads import request_id
 from badgergap.ordinary.plan import WebPlan, choose, turns_to_spare
--- /dev/null
+++ b/badgergap/proxy/commands/__init__.py
@@ -0,0 +1,1 @@
+"""Operator commands at the second address."""
--- a/badgergap/gateway/desk.py
+++ b/badgergap/proxy/commands/listener.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from badgergap.gateway.calls import LINE_LIMIT, Call, CallError, answer_line
-from badgergap.gateway.config import Address
-from badgergap.gateway.downstream import Downstream
-from badgergap.gateway.pools import proxy_of
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.roster import RosterError
+from badgergap.proxy.commands.parsing import LINE_LIMIT, Call, CallError, answer_line
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.proxy.downstream.client_connection import Downstream
+from badgergap.proxy.pools import proxy_of
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.registry import RosterError
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/badgergap/proxy/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Client connections: parsing and checking requests, writing answers."""
--- a/badgergap/gateway/downstream.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -16,14 +16,15 @@
 
 import httptools
 
-from badgergap.gateway import crowd, ends
-from badgergap.gateway.back import FRAMING_SHARE, carry
-from badgergap.gateway.budget import LARGEST, LEAST
-from badgergap.gateway.config import Address, Config
-from badgergap.gateway.downward import REASONS, Downward, Written
-from badgergap.gateway.intake import BODY_LIMIT, HEAD_LIMIT, BadRequest, Head, Intake
-from badgergap.gateway.lame import LOOK_S, Fate, LameDuck
-from badgergap.gateway.proxy import (
+from badgergap.proxy.limits import eviction
+from badgergap.proxy import unread_input
+from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE, carry
+from badgergap.proxy.limits.memory import LARGEST, LEAST
+from badgergap.proxy.lifecycle.config import Address, Config
+from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
+from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest, Head, Intake
+from badgergap.proxy.lifecycle.lame_duck import LOOK_S, Fate, LameDuck
+from badgergap.proxy.proxy import (
     RETRY_AFTER,
     Books,
     Proxy,
@@ -31,9 +32,9 @@
     plain,
     refused,
 )
-from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.gateway.tried import Tried, Wanted, is_early
-from badgergap.gateway.upstream import Answer, Exchange, Upstream
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.proxy.upstream.stream_attempt import Tried, Wanted, is_early
+from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
 
 log = logging.getLogger(__name__)
 
@@ -544,7 +545,11 @@
         if incoming.last:
             self.closing = True
             self.waiting.clear()
-            if incoming.refusal is None and incoming.upload.complete and ends.is_quiet(self.transport):
+            if (
+                incoming.refusal is None
+                and incoming.upload.complete
+                and unread_input.is_quiet(self.transport)
+            ):
                 self.close()
             else:
                 self.linger()
@@ -613,7 +618,7 @@
         """
         if not self.paused and (self.current is None or self.current.exchange is None):
             return False
-        if not ends.has_left(self.transport):
+        if not unread_input.has_left(self.transport):
             return False
         self.loop.call_soon(self.gone)
         return True
@@ -630,7 +635,7 @@
         Also where all of that is dropped: the reset would take the last answer with it.
         """
         transport = self.transport
-        return transport is None or transport.is_closing() or ends.is_quiet(transport)
+        return transport is None or transport.is_closing() or unread_input.is_quiet(transport)
 
     def may_be_given(self) -> bool:
         """Whether nothing of it is in this process: no part of a request, and no answer unsent."""
@@ -648,9 +653,9 @@
         self.closing = True
         self.abort()
 
-    def standing(self, now: float, for_memory: bool = False) -> crowd.Standing:
+    def standing(self, now: float, for_memory: bool = False) -> eviction.Standing:
         """What it has shown. Guards against floods: who has shown least gives way."""
-        return crowd.standing(
+        return eviction.standing(
             now,
             closing=self.closing,
             owed=self.owed,
@@ -706,17 +711,17 @@
         self.config, self.proxy, self.loop = config, proxy, loop
         self.intake = Intake(config)
         self.budget, self.reads = proxy.upstream.budget, proxy.upstream.reads
-        self.most = crowd.limit(config.sockets, 0)
-        self.turned_away = int(crowd.reserve(config.sockets) * TURNED_AWAY)
+        self.most = eviction.limit(config.sockets, 0)
+        self.turned_away = int(eviction.reserve(config.sockets) * TURNED_AWAY)
         self.longest_s = max(klass.give_up_us for klass in config.settings.classes) / 1e6
-        self.half_sent_s = crowd.half_sent_s(self.longest_s)
+        self.half_sent_s = eviction.half_sent_s(self.longest_s)
         proxy.upstream.on_open = self.keep_to_limit
         # Bytes written to a client and not taken, beyond which its host is not read.
         self.unsent_limit = min(LARGEST, max(LEAST, self.budget.total // (4 * self.most)))
         self.elsewhere = 0  # of them, those that another process of this gateway holds
         self.connections: set[ClientConnection] = set()
         self.resting: dict[ClientConnection, None] = {}  # between requests, the one used last comes last
-        self.most_resting = int(crowd.half(config.sockets) * RESTING_SHARE)
+        self.most_resting = int(eviction.half(config.sockets) * RESTING_SHARE)
         self.draining = False
         self.socket: socket.socket | None = None  # that listens; another process may listen on it too
         self.give: Callable[[ClientConnection], bool] | None = None  # to the process that takes over
@@ -768,7 +773,7 @@
     def limit(self) -> int:
         """Connections that clients may have here."""
         others = len(self.proxy.upstream.connections) + self.proxy.upstream.elsewhere
-        return max(self.most // 4, crowd.limit(self.config.sockets, others) - self.elsewhere)
+        return max(self.most // 4, eviction.limit(self.config.sockets, others) - self.elsewhere)
 
     def follow(self, config: Config) -> None:
         """Requests to come are read by the classes there are now."""
@@ -789,7 +794,9 @@
                 connection.closing = True
                 connection.linger(TURNED_LINGER_S)
 
-    def make_room(self, up_to: crowd.Standing = crowd.Standing.ASKING, for_memory: bool = False) -> bool:
+    def make_room(
+        self, up_to: eviction.Standing = eviction.Standing.ASKING, for_memory: bool = False
+    ) -> bool:
         """Close the connection that is missed least, if one has shown no more than this."""
         now = self.loop.time()
         shown = ((c.standing(now, for_memory), c.progress_at, n, c) for n, c in enumerate(self.connections))
@@ -805,10 +812,10 @@
     def keep_to_limit(self) -> None:
         """Hosts have taken what clients had, or bodies and heads more memory than there is for them."""
         excess = len(self.connections) - self.limit
-        while excess > 0 and self.make_room(crowd.Standing.NEW):
+        while excess > 0 and self.make_room(eviction.Standing.NEW):
             excess -= 1
         if self.budget.used > self.budget.total:
-            self.make_room(crowd.Standing.STALLED, for_memory=True)
+            self.make_room(eviction.Standing.STALLED, for_memory=True)
 
     def drop(self, connection: ClientConnection) -> None:
         self.connections.discard(connection)
@@ -867,7 +874,7 @@
     async def drain(self) -> None:
         """Planned end: take what still comes, answer everything, then close."""
         self.draining = True
-        self.proxy.end_within(crowd.killed_s(self.longest_s) - crowd.LAST_ANSWER_S)
+        self.proxy.end_within(eviction.killed_s(self.longest_s) - eviction.LAST_ANSWER_S)
         if self.give is None:
             await asyncio.sleep(LAST_ACCEPT_S)
             await self.take_last()
@@ -910,7 +917,7 @@
                 if self.try_to_give(connection) or (self.give is not None and waited_s < GIVE_S):
                     continue
                 standing = connection.standing(self.loop.time())
-                if (standing < crowd.Standing.NEW and connection.may_close) or waited_s > self.half_sent_s:
+                if (standing < eviction.Standing.NEW and connection.may_close) or waited_s > self.half_sent_s:
                     connection.close()
                 if waited_s > UNREAD_DRAIN_S:
                     connection.abort()
--- a/badgergap/gateway/intake.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs
 
-from badgergap.gateway.config import Config
-from badgergap.gateway.proxy import Asked, Launch, plain
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.proxy import Asked, Launch, plain
 from badgergap.balancing.interface import Effect
 
 BODY_LIMIT = 32 * 1024 * 1024
--- a/badgergap/gateway/downward.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -6,8 +6,8 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers
-from badgergap.gateway.upstream import Answer
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
+from badgergap.proxy.upstream.connection_pool import Answer
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
--- /dev/null
+++ b/badgergap/proxy/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""Which endpoints there are: service discovery, the registry, and drains by hand."""
--- a/badgergap/gateway/discovery.py
+++ b/badgergap/proxy/endpoints/discovery.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from badgergap.gateway.config import Address, ConfigError, Names, parse_address
-from badgergap.gateway.sources import PLATFORM, Entry, News, Tell, host_id
+from badgergap.proxy.lifecycle.config import Address, ConfigError, Names, parse_address
+from badgergap.proxy.endpoints.sources import PLATFORM, Entry, News, Tell, host_id
 from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
 
 log = logging.getLogger(__name__)
--- a/badgergap/gateway/drains.py
+++ b/badgergap/proxy/endpoints/manual_drains.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.gateway.roster import DRAIN_LIMIT, HandDrain
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/gateway/roster.py
+++ b/badgergap/proxy/endpoints/registry.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from badgergap.gateway.sources import Entry, News
+from badgergap.proxy.endpoints.sources import Entry, News
 from badgergap.balancing.interface import ListKind, ServerStatus
 
 # Names a dynamic source has said are gone. Beyond it the oldest are forgotten: a weaker source that still
--- a/badgergap/gateway/sources.py
+++ b/badgergap/proxy/endpoints/sources.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgergap.gateway.config import Address
+from badgergap.proxy.lifecycle.config import Address
 from badgergap.balancing.interface import ListedServer, ListKind, ServerList
 
 PLATFORM = "platform"  # the name of the source that the platform's configuration sets
--- a/badgergap/gateway/fields.py
+++ b/badgergap/proxy/header_fields.py
@@ -7,7 +7,7 @@
 import re
 from dataclasses import dataclass
 
-from badgergap.gateway.streams import Headers
+from badgergap.proxy.body_streams import Headers
 
 TOKEN = re.compile(rb"[!#$%&'*+.^`|~0-9A-Za-z_-]+")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
--- /dev/null
+++ b/badgergap/proxy/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""One gateway as a process: configuration, start, signals, graceful shutdown."""
--- a/badgergap/gateway/run.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -14,11 +14,11 @@
 
 import uvloop
 
-from badgergap.gateway import crowd
-from badgergap.gateway.config import Config, ConfigError
-from badgergap.gateway.desk import CALLERS, Desk, Hands
-from badgergap.gateway.downstream import Downstream
-from badgergap.gateway.proxy import Observer, Proxy
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
+from badgergap.proxy.downstream.client_connection import Downstream
+from badgergap.proxy.proxy import Observer, Proxy
 
 log = logging.getLogger(__name__)
 
@@ -194,7 +194,7 @@
         further = [p for room in rooms if isinstance(room, Pooled) for p in room.proxies().values()]
         return list(dict.fromkeys((proxy, *further)))
 
-    most = min(CALLERS, crowd.reserve(config.sockets) // 3)
+    most = min(CALLERS, eviction.reserve(config.sockets) // 3)
     desk = Desk(config.console, proxy.loop, Hands(proxies, downstream).carry_out, most)
     log.info("operators call at %s:%d", *await desk.start())
     return desk
--- /dev/null
+++ b/badgergap/proxy/limits/__init__.py
@@ -0,0 +1,1 @@
+"""Bounds on descriptors, memory and connections, and who is evicted at them."""
--- a/badgergap/gateway/pools.py
+++ b/badgergap/proxy/pools.py
@@ -13,9 +13,9 @@
 from functools import partial
 from typing import Any, Protocol
 
-from badgergap.gateway.config import Config
-from badgergap.gateway.proxy import Observer, Proxy
-from badgergap.gateway.share import Share
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.limits.quotas import Share
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/gateway/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -16,13 +16,13 @@
 from typing import Protocol
 
 from badgergap.balancing.choice import Balancer
-from badgergap.gateway import crowd
-from badgergap.gateway.budget import Budget, total_of
-from badgergap.gateway.config import Address, Config, needs_restart
-from badgergap.gateway.discovery import Discovery
-from badgergap.gateway.roster import Roster
-from badgergap.gateway.sources import PLATFORM, HostSource, News
-from badgergap.gateway.upstream import REST_S, Answer, Exchange, Upstream
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.limits.memory import Budget, total_of
+from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
+from badgergap.proxy.endpoints.discovery import Discovery
+from badgergap.proxy.endpoints.registry import Roster
+from badgergap.proxy.endpoints.sources import PLATFORM, HostSource, News
+from badgergap.proxy.upstream.connection_pool import REST_S, Answer, Exchange, Upstream
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
@@ -203,7 +203,9 @@
         self.upstream = Upstream(
             loop,
             # Of an operator file's site further listeners have the other half.
-            connections=crowd.limit(config.sockets, 0) if not config.grows else crowd.half(config.sockets),
+            connections=eviction.limit(config.sockets, 0)
+            if not config.grows
+            else eviction.half(config.sockets),
             connect_timeout_us=settings.connect_timeout_us,
             idle_us=settings.idle_connection_us,
             drain_grace_us=settings.drain_grace_us,
--- /dev/null
+++ b/badgergap/proxy/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints and the exchanges on them."""
--- a/badgergap/gateway/upstream.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -15,9 +15,9 @@
 
 import httptools
 
-from badgergap.gateway.budget import Budget, Reads
-from badgergap.gateway.config import Address
-from badgergap.gateway import ends
+from badgergap.proxy.limits.memory import Budget, Reads
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.proxy import unread_input
 from badgergap.balancing.interface import Outcome, ServerStatus
 
 log = logging.getLogger(__name__)
@@ -174,7 +174,7 @@
 
         Guards against what came unasked since the last answer: it would pass for the answer to the next.
         """
-        return ends.is_quiet(self.transport)
+        return unread_input.is_quiet(self.transport)
 
 
 class HostConnection(PooledConnection, asyncio.Protocol):
--- a/badgergap/gateway/tried.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgergap.gateway.proxy import Books
-from badgergap.gateway.streams import AnswerHead, Download, Headers, Upload
-from badgergap.gateway.upstream import Answer, Exchange
+from badgergap.proxy.proxy import Books
+from badgergap.proxy.body_streams import AnswerHead, Download, Headers, Upload
+from badgergap.proxy.upstream.connection_pool import Answer, Exchange
 from badgergap.balancing.interface import Outcome
 
 EXPECT_S = 1.0  # for a box to say 100; some never do (RFC 9110 section 10.1.1), and the client is told anyway
--- a/badgergap/gateway/back.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -16,9 +16,9 @@
 
 import httptools
 
-from badgergap.gateway.proxy import Books
-from badgergap.gateway.streams import HOLD, AnswerHead, Headers
-from badgergap.gateway.upstream import (
+from badgergap.proxy.proxy import Books
+from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
+from badgergap.proxy.upstream.connection_pool import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
     Answer,
@@ -28,10 +28,10 @@
     Upstream,
 )
 from badgergap.balancing.interface import Outcome
-from badgergap.gateway.budget import LEAST
-from badgergap.gateway.downward import last_chunk
-from badgergap.gateway.fields import BadHead, answer_headers, trailers
-from badgergap.gateway.tried import NO_BODY, Tried, Wanted, outcome_of
+from badgergap.proxy.limits.memory import LEAST
+from badgergap.proxy.downstream.response_writer import last_chunk
+from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
+from badgergap.proxy.upstream.stream_attempt import NO_BODY, Tried, Wanted, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to a box and not yet sent, beyond which the client is not read
 LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
--- a/badgergap/site/convert.py
+++ b/badgergap/site/convert.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from badgergap.gateway.config import Config, ConfigError, Names
+from badgergap.proxy.lifecycle.config import Config, ConfigError, Names
 from badgergap.balancing.interface import Effect, Prices, RequestClass, Scope, Settings
 from badgergap.site.schema import Address, ClassTable, PoolTable, Site
 from badgergap.site.web import REPEATABLE, UNSAFE
--- a/badgergap/site/read.py
+++ b/badgergap/site/read.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.locate import line_of, lines_of
 from badgergap.site.schema import (
     BoxTable,
--- a/badgergap/site/source.py
+++ b/badgergap/site/source.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from badgergap.gateway.config import Config, Names
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.sources import Entry, News, Tell, host_id
+from badgergap.proxy.lifecycle.config import Config, Names
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.endpoints.sources import Entry, News, Tell, host_id
 from badgergap.balancing.interface import ListedServer, ListKind
-from badgergap.gateway.drains import DrainStore
+from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.site.schema import BoxTable, Site
 from badgergap.site.web import MAIN
 
--- a/badgergap/staged/calls.py
+++ b/badgergap/staged/calls.py
@@ -12,7 +12,7 @@
 from badgergap.agreement.member import read_tables
 from badgergap.agreement.relation import contradictions
 from badgergap.agreement.room import GroupRoom, Refused, encode_tables
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.staged import sides
 from badgergap.staged.controller import Run
 from badgergap.staged.judge import BLOCK_S, BLOCKS_LEAST
--- a/badgergap/staged/meter.py
+++ b/badgergap/staged/meter.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Mapping
 
-from badgergap.gateway.proxy import Observer
+from badgergap.proxy.proxy import Observer
 from badgergap.balancing.interface import Outcome
 from badgergap.staged.judge import CLASSES_MOST, Block, Counts
 
--- a/badgergap/staged/room.py
+++ b/badgergap/staged/room.py
@@ -19,8 +19,8 @@
 from badgergap.agreement.room import PUBLISH_S, GroupRoom, Refused, clock_us
 from badgergap.agreement.member import read_tables
 from badgergap.agreement.state import Publish
-from badgergap.gateway.config import Config
-from badgergap.gateway.proxy import Proxy
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.proxy import Proxy
 from badgergap.site.schema import parse_duration
 from badgergap.staged import controller, words
 from badgergap.staged.controller import BEAT_US, HISTORY_MOST, STALE_US, Kept, Run, Stand, View
--- a/badgergap/tls/store.py
+++ b/badgergap/tls/store.py
@@ -14,7 +14,7 @@
 
 from cryptography import x509
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.tls.names import Names
 
 WARN_S = 14 * 86_400  # before the end of a certificate from which on it is warned of
--- a/badgergap/web/door.py
+++ b/badgergap/web/door.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import Any
 
-from badgergap.gateway.config import Address
+from badgergap.proxy.lifecycle.config import Address
 from badgergap.ordinary.ways import Ways
 from badgergap.web.front import Front
 from badgergap.ordinary.heads import Peer, is_trusted
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -18,14 +18,14 @@
 
 import httptools
 
-from badgergap.gateway import ends
-from badgergap.gateway.downstream import LINGER_S
-from badgergap.gateway.downward import REASONS, Downward, Written
-from badgergap.gateway.intake import HEAD_LIMIT
-from badgergap.gateway.proxy import plain, refused
-from badgergap.gateway.streams import AnswerHead, DownloadSource, Headers
-from badgergap.gateway.upstream import Answer
-from badgergap.gateway.fields import BadHead, trailers
+from badgergap.proxy import unread_input
+from badgergap.proxy.downstream.client_connection import LINGER_S
+from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
+from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
+from badgergap.proxy.proxy import plain, refused
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
+from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.header_fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, own_answer
 from badgergap.ordinary.turn import Turn
 
@@ -420,13 +420,13 @@
     def closes_well(self) -> bool:
         """Whether a close resets nothing. The end of TLS reads on by itself until the client has ended."""
         transport = self.transport
-        return transport is None or not transport.can_write_eof() or ends.is_quiet(transport)
+        return transport is None or not transport.can_write_eof() or unread_input.is_quiet(transport)
 
     @property
     def may_close(self) -> bool:
         """Whether a close crosses nothing that the client has sent, as far as it has come."""
         transport = self.transport
-        return transport is None or transport.is_closing() or ends.is_quiet(transport)
+        return transport is None or transport.is_closing() or unread_input.is_quiet(transport)
 
     @property
     def may_be_given(self) -> bool:
@@ -452,7 +452,7 @@
 
     def notice_end(self) -> bool:
         """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on."""
-        if not self.paused or self.tunnel or not ends.has_left(self.transport):
+        if not self.paused or self.tunnel or not unread_input.has_left(self.transport):
             return False
         self.forgo()
         self.abort()
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -8,13 +8,13 @@
 import ssl
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 
-from badgergap.gateway import ends
-from badgergap.gateway.config import Address, Config
-from badgergap.gateway.pools import PoolPlan, Pools
-from badgergap.gateway.proxy import Observer, Proxy
+from badgergap.proxy import unread_input
+from badgergap.proxy.lifecycle.config import Address, Config
+from badgergap.proxy.pools import PoolPlan, Pools
+from badgergap.proxy.proxy import Observer, Proxy
 from badgergap.ordinary.turn import Carry, Guard, Join
 from badgergap.ordinary.ways import Ways
-from badgergap.gateway.back import carry
+from badgergap.proxy.upstream.stream_exchange import carry
 from badgergap.web.door import Door
 from badgergap.ordinary.plan import WebPlan
 
@@ -92,7 +92,7 @@
         self.ready = ready
         plan = self.read()[0]
         for name, listen in ((HTTP, plan.listen), (HTTPS, plan.listen_tls)):
-            if name in found and listen is not None and ends.is_bound(found[name], listen):
+            if name in found and listen is not None and unread_input.is_bound(found[name], listen):
                 self.inherited[name] = found.pop(name)
 
     def give_way(self, give: Callable[[int], bool]) -> None:
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -132,9 +132,9 @@
 async def listing(hosts: int) -> None:
     """In this process, so that the loop's stalls can be seen; the store is in another one."""
     from badgergap.etcd import EtcdRoom, Options, Times
-    from badgergap.gateway.config import Config, Names
-    from badgergap.gateway.proxy import Proxy
-    from badgergap.gateway.sources import News
+    from badgergap.proxy.lifecycle.config import Config, Names
+    from badgergap.proxy.proxy import Proxy
+    from badgergap.proxy.endpoints.sources import News
     from badgergap.balancing.interface import RequestClass, Settings
 
     def proxy() -> Proxy:
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -14,9 +14,9 @@
 from badgergap.admin.figures import SPAN_S, Figures, Seconds
 from badgergap.admin.protocol import ActionResult, BoxView, SourceView
 from badgergap.admin.story import Story
-from badgergap.gateway.config import Names
-from badgergap.gateway.roster import HandDrain, HostView
-from badgergap.gateway.sources import Entry, host_id
+from badgergap.proxy.lifecycle.config import Names
+from badgergap.proxy.endpoints.registry import HandDrain, HostView
+from badgergap.proxy.endpoints.sources import Entry, host_id
 from badgergap.balancing.interface import ListedServer, Outcome, ServerStatus, ServerView
 
 S = 1_000_000
--- a/tests/admin/test_room.py
+++ b/tests/admin/test_room.py
@@ -21,7 +21,7 @@
 from badgergap.admin import room as module
 from badgergap.admin.client import AdminClient, AdminError, NoAnswer, NoGateway, ask
 from badgergap.admin.protocol import ActionResult, AskAction, AskSnapshot, Drain, ProtocolError, Undrain
-from badgergap.gateway.roster import HandDrain
+from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.balancing.interface import AttemptEnded, ListKind, ServerList
 from badgergap.standins.scripted import chunk, entry, news
 from tests.sockets import Gateway, gateway, run
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -18,14 +18,14 @@
 from badgergap.agreement.durable import decode
 from badgergap.agreement.raft import Durable, Entry, Peer, Snapshot
 from badgergap.copies import snapshot
-from badgergap.gateway.drains import DrainStore
-from badgergap.gateway.roster import HandDrain
+from badgergap.proxy.endpoints.manual_drains import DrainStore
+from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.handover import will
 from badgergap.balancing.interface import ListKind
 from badgergap.store.log import Log, System
 from tests.helpers import Driver
 from tests.balancing.test_manual_drains import COLD
-from tests.staffed.test_will import worked
+from tests.hot_restart.test_state_transfer import worked
 
 DATA = Path(__file__).parent / "data"
 FILE_IDENTITY = 7  # what the fixture's log says of the file that it was written to
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from badgergap.etcd import EtcdRoom, EtcdSource, Options, Times
-from badgergap.gateway.back import BoxConnection
-from badgergap.gateway.config import Config, parse_config
-from badgergap.gateway.downstream import Downstream
-from badgergap.gateway.proxy import Proxy
-from badgergap.gateway.upstream import Exchange
+from badgergap.proxy.upstream.stream_exchange import BoxConnection
+from badgergap.proxy.lifecycle.config import Config, parse_config
+from badgergap.proxy.downstream.client_connection import Downstream
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.upstream.connection_pool import Exchange
 from badgergap.balancing.interface import ServerStatus
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
--- a/tests/etcd/test_hosts.py
+++ b/tests/etcd/test_hosts.py
@@ -12,7 +12,7 @@
 from badgergap.etcd.follow import Change
 from badgergap.etcd.hosts import SLICE, URGENT_SLICE, Hosts
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
-from badgergap.gateway.sources import host_id
+from badgergap.proxy.endpoints.sources import host_id
 from badgergap.balancing.interface import ServerStatus
 
 PREFIX = b"/boxes/"
--- a/tests/staffed/test_succession.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -33,8 +33,8 @@
     news,
     run,
 )
-from tests.staffed.test_calls import call
-from tests.test_process import logged
+from tests.proxy.commands.test_commands import call
+from tests.proxy.lifecycle.test_process import logged
 
 Process = asyncio.subprocess.Process
 
--- a/tests/staffed/test_will.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from badgergap.balancing.choice import Balancer
-from badgergap.gateway.config import Names
-from badgergap.gateway.discovery import parse_list
-from badgergap.gateway.roster import HandDrain
-from badgergap.gateway.sources import Entry, host_id
+from badgergap.proxy.lifecycle.config import Names
+from badgergap.proxy.endpoints.discovery import parse_list
+from badgergap.proxy.endpoints.registry import HandDrain
+from badgergap.proxy.endpoints.sources import Entry, host_id
 from badgergap.handover.will import (
     FRAME_LIMIT,
     HEADER,
--- a/tests/staffed/test_calls.py
+++ b/tests/proxy/commands/test_commands.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.gateway import desk
-from badgergap.gateway.calls import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
-from badgergap.gateway.config import Address
-from badgergap.gateway.desk import CALLERS, Desk, Hands
+from badgergap.proxy.commands import listener
+from badgergap.proxy.commands.parsing import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
 from badgergap.balancing.interface import AttemptEnded, Outcome, ServerStatus
 from tests.sockets import Client, Gateway, ask, entry, gateway, news, chunk, run
 
@@ -154,7 +154,7 @@
 
 
 def test_callers_that_say_nothing_or_too_much_keep_no_good_one_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(desk, "LINE_S", 60.0)
+    monkeypatch.setattr(listener, "LINE_S", 60.0)
 
     async def test() -> None:
         async with gateway() as it, opened(it) as address:
@@ -185,7 +185,7 @@
     ],
 )
 def test_no_whole_line_is_no_call(sent: bytes, end: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(desk, "LINE_S", 0.05)
+    monkeypatch.setattr(listener, "LINE_S", 0.05)
 
     async def test() -> None:
         async with gateway() as it, opened(it) as address:
--- a/tests/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from badgergap.gateway import discovery
-from badgergap.gateway.config import parse_address
-from badgergap.gateway.sources import host_id
+from badgergap.proxy.endpoints import discovery
+from badgergap.proxy.lifecycle.config import parse_address
+from badgergap.proxy.endpoints.sources import host_id
 from badgergap.balancing.interface import FetchList, ListKind, ServerList, ServerStatus, WatchList
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, settings
 
--- a/tests/test_roster.py
+++ b/tests/proxy/endpoints/test_registry.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.gateway import roster as module
-from badgergap.gateway.roster import HandDrain, Roster, RosterError
-from badgergap.gateway.sources import Entry, News, host_id
+from badgergap.proxy.endpoints import registry as module
+from badgergap.proxy.endpoints.registry import HandDrain, Roster, RosterError
+from badgergap.proxy.endpoints.sources import Entry, News, host_id
 from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
 
 READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
--- a/tests/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -16,7 +16,8 @@
 
 import pytest
 
-from badgergap.gateway import crowd, downstream
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.downstream import client_connection
 from badgergap.balancing.interface import AttemptEnded, PeerMessage, TellPeers
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
@@ -139,7 +140,7 @@
 
 def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The front goes on sending for a moment, on new connections and on those that it has."""
-    monkeypatch.setattr(crowd, "STALLED_S", PATIENCE_S)
+    monkeypatch.setattr(eviction, "STALLED_S", PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -186,7 +187,7 @@
 
 
 def test_a_client_that_reads_nothing_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "UNREAD_DRAIN_S", 0.0)
+    monkeypatch.setattr(client_connection, "UNREAD_DRAIN_S", 0.0)
 
     async def test() -> None:
         async with gateway() as it:
--- a/tests/staffed/test_crowd.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -9,11 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.gateway import crowd, downstream
-from badgergap.gateway.crowd import Standing
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.limits.eviction import Standing
 from badgergap.balancing.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
-from tests.staffed.test_bodies import Echo, beside, with_length
+from tests.proxy.test_bodies import Echo, beside, with_length
 
 COUNTS = st.integers(0, 2000)
 
@@ -21,13 +22,13 @@
 @given(st.integers(128, 4096), COUNTS, COUNTS)
 def test_descriptors_are_never_promised_twice(sockets: int, hosts: int, clients: int) -> None:
     """Whoever grows to its limit while the other has so many: together they leave the reserve alone."""
-    whole = sockets - crowd.reserve(sockets)
-    hosts = min(hosts, crowd.limit(sockets, clients))
-    clients = min(clients, crowd.limit(sockets, hosts))
+    whole = sockets - eviction.reserve(sockets)
+    hosts = min(hosts, eviction.limit(sockets, clients))
+    clients = min(clients, eviction.limit(sockets, hosts))
     assert hosts + clients <= whole
-    least = int(whole * crowd.LEAST_SHARE)
-    assert crowd.limit(sockets, whole) == least and crowd.limit(sockets, 0) == whole - least
-    assert 32 <= crowd.reserve(sockets) <= crowd.RESERVE
+    least = int(whole * eviction.LEAST_SHARE)
+    assert eviction.limit(sockets, whole) == least and eviction.limit(sockets, 0) == whole - least
+    assert 32 <= eviction.reserve(sockets) <= eviction.RESERVE
 
 
 @given(*(st.booleans(),) * 4, st.integers(0, 3), st.booleans(), *(st.floats(0, 5),) * 2)
@@ -42,7 +43,7 @@
     quiet: float,
 ) -> None:
     quiet = min(quiet, age)
-    found = crowd.standing(
+    found = eviction.standing(
         10.0,
         closing=closing,
         owed=owed,
@@ -53,15 +54,15 @@
         unsent=unsent,
         for_memory=for_memory,
     )
-    taken = unsent and not (for_memory and quiet > crowd.STALLED_S)
+    taken = unsent and not (for_memory and quiet > eviction.STALLED_S)
     assert (found is Standing.OWED) is (owed or taken)
     assert (found is Standing.CLOSING) is (closing and not owed and not unsent)
     if unsent and not owed and not taken:
         assert found is Standing.STALLED
     elif not closing and not owed and not unsent:
-        comes_on = reading and quiet <= crowd.STALLED_S
+        comes_on = reading and quiet <= eviction.STALLED_S
         assert (found is Standing.ASKING) is comes_on
-        if not reading and not asked and age > crowd.SILENT_S:
+        if not reading and not asked and age > eviction.SILENT_S:
             assert found is Standing.SILENT
 
 
@@ -71,9 +72,9 @@
 def test_what_has_come_in_part_is_waited_for_while_it_can_be_answered(
     deadline_s: float, half_s: float
 ) -> None:
-    assert crowd.half_sent_s(deadline_s) == pytest.approx(half_s)
-    killed_s = min(deadline_s, crowd.DEADLINE_MOST_S) + crowd.KILLED_AFTER_S
-    assert half_s <= max(crowd.HALF_SENT_LEAST_S, killed_s)
+    assert eviction.half_sent_s(deadline_s) == pytest.approx(half_s)
+    killed_s = min(deadline_s, eviction.DEADLINE_MOST_S) + eviction.KILLED_AFTER_S
+    assert half_s <= max(eviction.HALF_SENT_LEAST_S, killed_s)
 
 
 def test_a_request_that_is_written_slowly_gets_in_through_a_crowd(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -82,10 +83,10 @@
     Between two pieces of the slow one all others grow older by more than the bounds, which are far beyond
     what a busy machine adds: no clock decides who is which.
     """
-    monkeypatch.setattr(crowd, "STALLED_S", 30.0)
-    monkeypatch.setattr(crowd, "SILENT_S", 30.0)
-    monkeypatch.setattr(downstream, "REQUEST_S", 1e6)
-    monkeypatch.setattr(downstream, "IDLE_S", 1e6)
+    monkeypatch.setattr(eviction, "STALLED_S", 30.0)
+    monkeypatch.setattr(eviction, "SILENT_S", 30.0)
+    monkeypatch.setattr(client_connection, "REQUEST_S", 1e6)
+    monkeypatch.setattr(client_connection, "IDLE_S", 1e6)
 
     async def test() -> None:
         async with beside(
@@ -132,7 +133,7 @@
                 await asyncio.sleep(0.001)
             assert budget.used >= 10_000
             (connection,) = it.downstream.connections
-            connection.progress_at -= 2 * crowd.STALLED_S
+            connection.progress_at -= 2 * eviction.STALLED_S
             budget.change(budget.total)
             it.downstream.keep_to_limit()
             assert await client.closed()
@@ -165,7 +166,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """How long each has been quiet is set, not slept: what a busy machine adds is far below the bounds."""
-    monkeypatch.setattr(crowd, "STALLED_S", 30.0)
+    monkeypatch.setattr(eviction, "STALLED_S", 30.0)
 
     async def test() -> None:
         async with beside(Echo(lambda body: with_length(body))) as it:
@@ -192,7 +193,7 @@
                 ours.progress_at -= 15.0
                 came = ours.progress_at
                 for _ in range(3):  # looks of the end at its connections
-                    await asyncio.sleep(downstream.FINISH_POLL_S)
+                    await asyncio.sleep(client_connection.FINISH_POLL_S)
                 slow.send(whole[place : place + 50])
                 while ours.progress_at == came and not end.done():
                     await asyncio.sleep(0.001)
--- a/tests/staffed/test_budget.py
+++ b/tests/proxy/limits/test_memory.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.gateway.budget import ITSELF, LARGEST, LEAST, SMALLEST, UNSTATED, Budget, Reads, total_of
+from badgergap.proxy.limits.memory import ITSELF, LARGEST, LEAST, SMALLEST, UNSTATED, Budget, Reads, total_of
 
 
 @given(
--- a/tests/staffed/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -13,10 +13,11 @@
 
 import pytest
 
-from badgergap.gateway import back, downstream
-from badgergap.gateway.budget import LEAST, Budget
-from badgergap.gateway.downstream import ClientConnection
-from badgergap.gateway.streams import HOLD
+from badgergap.proxy.upstream import stream_exchange
+from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.limits.memory import LEAST, Budget
+from badgergap.proxy.downstream.client_connection import ClientConnection
+from badgergap.proxy.body_streams import HOLD
 from badgergap.balancing.interface import AttemptEnded, Outcome, StreamStarted
 from badgergap.standins.net import Server
 from tests.sockets import Client, Gateway, ask, entry, gateway, run, settings
@@ -316,7 +317,7 @@
 def test_a_host_that_stops_in_mid_body_is_seen_and_the_client_can_tell(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(downstream, "HOST_QUIET_S", 0.1)
+    monkeypatch.setattr(client_connection, "HOST_QUIET_S", 0.1)
 
     async def test() -> None:
         async with gateway() as it:
@@ -379,7 +380,7 @@
 def test_the_beginning_of_an_answer_of_unknown_length_does_not_wait_for_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(back, "HOLD_S", 0.02)
+    monkeypatch.setattr(stream_exchange, "HOLD_S", 0.02)
 
     async def test() -> None:
         async with gateway() as it:
@@ -427,9 +428,9 @@
                 await asyncio.sleep(0.001)
             now = connection.loop.time()
             connection.check_time(now)
-            connection.check_time(now + 0.9 * downstream.UNREAD_S)
+            connection.check_time(now + 0.9 * client_connection.UNREAD_S)
             assert not connection.closing
-            connection.check_time(now + 1.1 * downstream.UNREAD_S)
+            connection.check_time(now + 1.1 * client_connection.UNREAD_S)
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
 
     run(test())
@@ -507,12 +508,14 @@
     loop = Clockwork()
     connection = ClientConnection.__new__(ClientConnection)
     connection.loop = loop  # type: ignore[assignment]
-    due_at = downstream.REQUEST_S
+    due_at = client_connection.REQUEST_S
     for number in itertools.count():
         loop.now = number * 0.1
         if number * 6400 >= got or loop.now > due_at:
             break
-        due_at = max(due_at, min(due_at + 6400 / downstream.SLOWEST, loop.now + downstream.STALL_S))
+        due_at = max(
+            due_at, min(due_at + 6400 / client_connection.SLOWEST, loop.now + client_connection.STALL_S)
+        )
     assert (after_s > due_at) is late
 
 
@@ -525,7 +528,7 @@
     end: bytes, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Too long, or its framing lost, with most of it at a host already: that host never has it whole."""
-    monkeypatch.setattr(downstream, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
+    monkeypatch.setattr(client_connection, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
 
     async def test() -> None:
         host = Echo(with_length)
--- a/tests/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -18,10 +18,13 @@
 import pytest
 
 from badgergap.copies.guard import Held
-from badgergap.gateway import crowd, discovery, downstream, ends
-from badgergap.gateway.proxy import Books
-from badgergap.gateway.streams import HOLD
-from badgergap.gateway.upstream import Upstream
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.endpoints import discovery
+from badgergap.proxy import unread_input
+from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.proxy import Books
+from badgergap.proxy.body_streams import HOLD
+from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.balancing.interface import (
     AttemptEnded,
     Outcome,
@@ -44,8 +47,8 @@
     run,
     settings,
 )
-from tests.test_gateway import hold_connects
-from tests.test_process import logged, process
+from tests.proxy.test_gateway import hold_connects
+from tests.proxy.lifecycle.test_process import logged, process
 
 CAPS: dict[str, object] = {"maxAttempts": 4}
 
@@ -58,7 +61,7 @@
     assert not any(c.exchange is not None for c in it.proxy.upstream.connections)
 
 
-def unread(it: Gateway) -> list[downstream.ClientConnection]:
+def unread(it: Gateway) -> list[client_connection.ClientConnection]:
     """The loop is busy elsewhere: what clients send stands in their sockets."""
     held = list(it.downstream.connections)
     for connection in held:
@@ -117,7 +120,7 @@
     body: int, reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end stands behind a body that nobody takes yet, or behind requests sent ahead."""
-    monkeypatch.setattr(downstream, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_connection, "SWEEP_S", 0.01)
 
     async def test() -> None:
         async with gateway() as it:
@@ -153,7 +156,7 @@
             taken = await it.host.taken.get()
             (connection,) = unread(it)
             client.writer.close()
-            await until(lambda: ends.has_left(connection.transport))
+            await until(lambda: unread_input.has_left(connection.transport))
             taken.answer(500)
             await it.event(RequestGone)
             await settled(it)
@@ -227,7 +230,7 @@
             (connection,) = unread(it)
             if crossing:
                 client.send(ask())
-                await until(lambda: not ends.is_quiet(connection.transport))
+                await until(lambda: not unread_input.is_quiet(connection.transport))
             await close(it)
             assert connection.transport is not None
             assert connection.transport.is_closing() is not crossing
@@ -280,8 +283,8 @@
     klass: str, early: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With a longer time than is left, at a host that hangs, it was found unanswered by SIGKILL."""
-    monkeypatch.setattr(crowd, "DEADLINE_MOST_S", 0.3)
-    monkeypatch.setattr(crowd, "KILLED_AFTER_S", 0.6)
+    monkeypatch.setattr(eviction, "DEADLINE_MOST_S", 0.3)
+    monkeypatch.setattr(eviction, "KILLED_AFTER_S", 0.6)
 
     async def test() -> None:
         async with gateway() as it:
@@ -298,7 +301,7 @@
                 await it.host.taken.get()
             request = next(iter(it.proxy.requests.values()))
             left_s = (request.deadline_us - it.proxy.clock.now_us()) / 1e6
-            assert left_s <= crowd.killed_s(60.0) - crowd.LAST_ANSWER_S - (loop.time() - told) + 0.05
+            assert left_s <= eviction.killed_s(60.0) - eviction.LAST_ANSWER_S - (loop.time() - told) + 0.05
             assert (await client.answer())[0] in ((503, 504) if klass == "look" else (502, 504))
             await end
             nothing_left(it)
@@ -401,15 +404,19 @@
             client = await it.client()
             await until(lambda: bool(it.downstream.connections))
             (connection,) = unread(it)
-            assert ends.is_quiet(connection.transport) and not ends.has_left(connection.transport)
+            assert unread_input.is_quiet(connection.transport) and not unread_input.has_left(
+                connection.transport
+            )
             client.send(b"G")
-            await until(lambda: not ends.is_quiet(connection.transport))
-            assert not ends.has_left(connection.transport)
+            await until(lambda: not unread_input.is_quiet(connection.transport))
+            assert not unread_input.has_left(connection.transport)
             client.writer.write_eof()
-            await until(lambda: ends.has_left(connection.transport))
+            await until(lambda: unread_input.has_left(connection.transport))
             client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 0)
             connection.abort()
-            assert ends.has_left(connection.transport) and not ends.is_quiet(connection.transport)
+            assert unread_input.has_left(connection.transport) and not unread_input.is_quiet(
+                connection.transport
+            )
 
     run(test())
 
@@ -508,11 +515,11 @@
 
 # Where the start is held, whether it listens by then, and how the process ends.
 STARTS = [
-    ("badgergap.gateway.config:load_config", -signal.SIGTERM),
-    ("badgergap.gateway.run:gc.freeze", -signal.SIGTERM),
-    ("badgergap.gateway.run:Proxy", 0),
-    ("badgergap.gateway.run:Downstream.start", 0),
-    ("badgergap.gateway.run:Reloader", 0),
+    ("badgergap.proxy.lifecycle.config:load_config", -signal.SIGTERM),
+    ("badgergap.proxy.lifecycle.process:gc.freeze", -signal.SIGTERM),
+    ("badgergap.proxy.lifecycle.process:Proxy", 0),
+    ("badgergap.proxy.lifecycle.process:Downstream.start", 0),
+    ("badgergap.proxy.lifecycle.process:Reloader", 0),
 ]
 
 
@@ -546,7 +553,7 @@
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-        child = await started(path, "badgergap.gateway.config:load_config", signal.SIGHUP)
+        child = await started(path, "badgergap.proxy.lifecycle.config:load_config", signal.SIGHUP)
         try:
             await logged(child, b"the configuration was read again")
             child.send_signal(signal.SIGTERM)
@@ -624,7 +631,7 @@
             if order == "time first":
                 connection.transport.pause_reading()  # the answer has come, and the loop sees the time first
                 taken.answer()
-                await until(lambda: not ends.is_quiet(connection.transport))
+                await until(lambda: not unread_input.is_quiet(connection.transport))
                 exchange.give_up(Outcome.TIMEOUT)
                 assert (await client.answer())[0] == (503 if klass == "look" else 502)
                 await it.host.left.get()
@@ -662,7 +669,7 @@
                 taken.writer.transport.abort()
             else:
                 taken.writer.close()
-            await until(lambda: ends.has_left(connection.transport))
+            await until(lambda: unread_input.has_left(connection.transport))
             connection.transport.resume_reading()
             assert (await client.answer())[::2] == (200, b"whole")
             await settled(it)
@@ -853,7 +860,7 @@
             it.downstream.budget.total = 0
             it.downstream.keep_to_limit()
             assert connection in it.downstream.connections
-            connection.progress_at -= 2 * crowd.STALLED_S
+            connection.progress_at -= 2 * eviction.STALLED_S
             it.downstream.keep_to_limit()
             assert connection not in it.downstream.connections
 
@@ -871,7 +878,7 @@
             taken = await it.host.taken.get()
             (connection,) = unread(it)
             client.send(ask())
-            await until(lambda: not ends.is_quiet(connection.transport))
+            await until(lambda: not unread_input.is_quiet(connection.transport))
             taken.answer(body=bytes(size))
             assert (await client.answer())[::2] == (200, bytes(size))
             assert await client.closed()
@@ -894,12 +901,12 @@
             transport = connection.transport
             assert transport is not None
             client.send(ask())
-            await until(lambda: not ends.is_quiet(transport))
+            await until(lambda: not unread_input.is_quiet(transport))
             taken.answer()
             await settled(it)
             unread(it)
             client.send(ask())
-            await until(lambda: not ends.is_quiet(transport))
+            await until(lambda: not unread_input.is_quiet(transport))
             ending = asyncio.get_running_loop().create_task(it.downstream.finish())
             await asyncio.sleep(0)
             assert not transport.is_closing()
@@ -974,8 +981,8 @@
     beyond: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What it had sent stood unread as it was closed: the reset could overtake the 503."""
-    monkeypatch.setattr(downstream.Downstream, "limit", 0)
-    monkeypatch.setattr(downstream.Downstream, "make_room", lambda *_, **__: False)
+    monkeypatch.setattr(client_connection.Downstream, "limit", 0)
+    monkeypatch.setattr(client_connection.Downstream, "make_room", lambda *_, **__: False)
 
     async def test() -> None:
         async with gateway() as it:
--- a/tests/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -9,10 +9,12 @@
 
 import pytest
 
-from badgergap.gateway import crowd, downstream, upstream
-from badgergap.gateway.sources import host_id
-from badgergap.gateway.intake import BODY_LIMIT, HEAD_LIMIT
-from badgergap.gateway.streams import HOLD
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.upstream import connection_pool
+from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.endpoints.sources import host_id
+from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
+from badgergap.proxy.body_streams import HOLD
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
@@ -136,7 +138,7 @@
         async with gateway() as it:
             client = await it.client()
             client.send(ask("buy"))
-            (await it.host.taken.get()).raw(start + b"x" * upstream.RAW_LIMIT)
+            (await it.host.taken.get()).raw(start + b"x" * connection_pool.RAW_LIMIT)
             assert (await it.event(AttemptEnded)).outcome is Outcome.RESET
             assert (await client.answer())[0] == 502
 
@@ -421,7 +423,7 @@
     (ask("buy", Content_Length="9" * 30), 400),
     (ask("buy", Content_Length="3").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n") + b"abc", 400),
     (ask("buy", Content_Length="60000000"), 413),
-    (ask("buy", Transfer_Encoding="chunked") + b"1;" + b"x" * downstream.RAW_LIMIT, 413),
+    (ask("buy", Transfer_Encoding="chunked") + b"1;" + b"x" * client_connection.RAW_LIMIT, 413),
     (ask("buy", Content_Length=str(BODY_LIMIT + 1)) + bytes(70_000), 413),
     (ask(X="x" * HEAD_LIMIT), 431),
     (b"GET /look HTTP/1.1\r\nX: " + b"x" * (HEAD_LIMIT + 1), 431),
@@ -448,7 +450,7 @@
 
 def test_what_a_client_sends_after_a_refusal_resets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closed at once, the connection is reset by the rest of a body, which can overtake the 413."""
-    monkeypatch.setattr(downstream, "LINGER_S", 2 * PATIENCE_S)
+    monkeypatch.setattr(client_connection, "LINGER_S", 2 * PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -541,13 +543,15 @@
             (connection,) = [await connected(it)]
             while start and not connection.reading:
                 await asyncio.sleep(0.001)
-            connection.check_time(connection.since + 0.9 * downstream.REQUEST_S)
+            connection.check_time(connection.since + 0.9 * client_connection.REQUEST_S)
             assert not connection.closing
             at = connection.since
             if start:
                 client.send(start[-1:])
                 await asyncio.sleep(0.01)
-            connection.check_time(at + downstream.REQUEST_S + 0.01)  # from the accept, not from the last byte
+            connection.check_time(
+                at + client_connection.REQUEST_S + 0.01
+            )  # from the accept, not from the last byte
             if start:
                 assert (await client.answer())[0] == 408
             assert await client.closed()
@@ -555,7 +559,7 @@
     run(test())
 
 
-async def connected(it: Gateway) -> downstream.ClientConnection:
+async def connected(it: Gateway) -> client_connection.ClientConnection:
     while not it.downstream.connections:
         await asyncio.sleep(0.001)
     return next(iter(it.downstream.connections))
@@ -577,8 +581,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connection that was idle for longest went, and that was a client's own."""
-    monkeypatch.setattr(crowd, "SILENT_S", -1.0)
-    monkeypatch.setattr(crowd, "STALLED_S", -1.0)
+    monkeypatch.setattr(eviction, "SILENT_S", -1.0)
+    monkeypatch.setattr(eviction, "STALLED_S", -1.0)
 
     async def test() -> None:
         async with gateway(limits={"sockets": 128}) as it:
--- a/tests/site/test_drains.py
+++ b/tests/site/test_drains.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from badgergap.gateway.roster import HandDrain
+from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.site import DrainStore
 
 DRAINS = [HandDrain("box-1", "anna", 5, "a1"), HandDrain("bøx \x1b", "b", 6)]
--- a/tests/site/test_file.py
+++ b/tests/site/test_file.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.balancing.interface import Effect, Scope
 from badgergap.site import SiteError, combine, parse_site, read_site, to_config
 from badgergap.site.convert import carry_names
@@ -187,7 +187,7 @@
 def test_the_platforms_words_win(tmp_path: Path) -> None:
     import json
 
-    from badgergap.gateway.config import load_config
+    from badgergap.proxy.lifecycle.config import load_config
 
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration({}, "127.0.0.1:9")))
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -13,9 +13,9 @@
 
 import uvloop
 
-from badgergap.gateway.config import parse_config
-from badgergap.gateway.downstream import ClientConnection, Downstream
-from badgergap.gateway.proxy import Proxy
+from badgergap.proxy.lifecycle.config import parse_config
+from badgergap.proxy.downstream.client_connection import ClientConnection, Downstream
+from badgergap.proxy.proxy import Proxy
 from badgergap.balancing.interface import Action, Event
 from badgergap.standins.net import Head, Server, read_head, read_message, small_socket
 from badgergap.standins.scripted import Client, Host, Registry, Taken, chunk, entry, news
--- a/tests/web/test_checks.py
+++ b/tests/web/test_checks.py
@@ -12,8 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.gateway.streams import Headers
-from badgergap.gateway.fields import BadHead, answer_headers, trailers
+from badgergap.proxy.body_streams import Headers
+from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 from tests.sockets import run
 from tests.web.harness import Site, request, site
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from badgergap.gateway import ends
-from badgergap.gateway.streams import HOLD
+from badgergap.proxy import unread_input
+from badgergap.proxy.body_streams import HOLD
 from badgergap.web.front import Front
 from tests.sockets import run
-from tests.test_endings import until
+from tests.proxy.test_endings import until
 from tests.web.harness import Raw, Site, request, site
 
 
@@ -82,7 +82,7 @@
             assert front.transport is not None and door is not None
             front.transport.pause_reading()  # the loop is busy elsewhere
             client.send(request("GET"))
-            await until(lambda: not ends.is_quiet(front.transport))
+            await until(lambda: not unread_input.is_quiet(front.transport))
             ending = None
             if close == "time":
                 front.check_time(front.since + 1e6)
@@ -117,7 +117,7 @@
             if what == "request":
                 front.transport.pause_reading()  # the loop is busy elsewhere
                 client.send(request("GET"))
-                await until(lambda: not ends.is_quiet(front.transport))
+                await until(lambda: not unread_input.is_quiet(front.transport))
             elif what == "answer":
                 take_little(front, client)
                 client.send(request("GET", "/file?n=60000"))
@@ -178,7 +178,7 @@
             assert front.transport is not None
             front.transport.pause_reading()
             client.send(request("GET"))
-            await until(lambda: not ends.is_quiet(front.transport))
+            await until(lambda: not unread_input.is_quiet(front.transport))
             assert (await client.answer())[0] == 200
             assert await client.reader.read() == b""  # its end, and no reset
             assert it.runs() == 1
@@ -220,7 +220,7 @@
             for _ in range(2):
                 transport.pause_reading()
                 client.send(request("GET"))
-                await until(lambda: not ends.is_quiet(transport))
+                await until(lambda: not unread_input.is_quiet(transport))
                 await until(lambda: not it.proxy.requests)
             ending = asyncio.create_task(door.drain())
             await until(lambda: door.listener is None and door.socket is None)
--- a/tests/web/test_streams.py
+++ b/tests/web/test_streams.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from badgergap.gateway.streams import HOLD
+from badgergap.proxy.body_streams import HOLD
 from badgergap.standins.app import content
 from tests.sockets import run
 from tests.web.harness import ROUTE, Raw, Site, request, site
--- a/tests/web/test_tls.py
+++ b/tests/web/test_tls.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from badgergap.gateway.config import ConfigError
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.standins.certificates import Authority
 from badgergap.tls.names import Names
 from badgergap.tls.store import Certificates, Pair, Setting
