--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -26,7 +26,7 @@
         return 2
     succeed = None
     if config.console is not None:
-        from badgergap.handover.succession import succession_of
+        from badgergap.hot_restart.coordinator import succession_of
 
         succeed = partial(succession_of, os.environ)
     return run(config, partial(reload_config, os.environ), hung_up=early, succeed=succeed)
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -77,8 +77,8 @@
     handover = setup.site.site.handover
     if handover is None and (setup.config.console is None or setup.config.listen is None):
         return None
-    from badgergap.handover.link import Place
-    from badgergap.handover.succession import Succession, succession_of
+    from badgergap.hot_restart.channel import Place
+    from badgergap.hot_restart.coordinator import Succession, succession_of
 
     if handover is None:
         return partial(succession_of, environ)
--- a/badgergap/handover/link.py
+++ b/badgergap/hot_restart/channel.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.handover.will import FRAME_LIMIT, Decoder, WillError, encode
+from badgergap.hot_restart.state_transfer import FRAME_LIMIT, Decoder, WillError, encode
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/handover/succession.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -34,14 +34,14 @@
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.downstream.client_connection import ClientConnection, Downstream
 from badgergap.proxy.endpoints.manual_drains import DrainStore
-from badgergap.handover.link import Link, Place, check_peer, descriptor_of
-from badgergap.handover.parts import Part
+from badgergap.hot_restart.channel import Link, Place, check_peer, descriptor_of
+from badgergap.hot_restart.listeners import Part
 from badgergap.proxy.pools import MAIN, proxy_of
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.endpoints.registry import HandDrain, RosterError
 from badgergap.proxy.lifecycle.process import Pooled, Room
 from badgergap.proxy.endpoints.sources import PLATFORM
-from badgergap.handover.will import Will, WillError, list_of, read_will, whose, write_will
+from badgergap.hot_restart.state_transfer import Will, WillError, list_of, read_will, whose, write_will
 
 log = logging.getLogger(__name__)
 
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -8,7 +8,7 @@
 told=$(mktemp -d)
 trap 'rm -rf "$told"' EXIT
 mypy > "$told/types" 2>&1 & types=$!
-beside=(tests/etcd tests/h3 tests/hot_restart tests/handover tests/console tests/appliance tests/proxy/limits tests/proxy/lifecycle)
+beside=(tests/etcd tests/h3 tests/hot_restart tests/console tests/appliance tests/proxy/limits tests/proxy/lifecycle)
 python -m pytest tests/agreement tests/copies > "$told/groups" 2>&1 & groups=$!
 python -m pytest "${beside[@]}" > "$told/beside" 2>&1 & others=$!
 rest=0
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -20,7 +20,7 @@
 from badgergap.copies import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import HandDrain
-from badgergap.handover import will
+from badgergap.hot_restart import state_transfer
 from badgergap.balancing.interface import ListKind
 from badgergap.store.log import Log, System
 from tests.helpers import Driver
@@ -32,7 +32,7 @@
 
 DRAINS = [HandDrain("box-1", "anna", 1_700_000_000_000_000, "d-1"), HandDrain("box-2", "console", 6, "")]
 NAME, LISTEN = "n0", ("127.0.0.1", 3000)
-HANDED_OVER = will.Will(
+HANDED_OVER = state_transfer.Will(
     offset_ns=123,
     known={"index": 7, "snapshot": True, "endpoints": [{"name": "box-1", "address": "127.0.0.1:80"}]},
     drains=tuple(DRAINS),
@@ -44,7 +44,7 @@
 )
 LINK_MESSAGES: tuple[tuple[dict[str, Any], str], ...] = (
     (
-        {"ask": will.whose(NAME, LISTEN)},
+        {"ask": state_transfer.whose(NAME, LISTEN)},
         "6267770100000034e8aed24c7b2261736b223a7b2267617465776179223a226e30222c226c697374656e223a5b"
         "223132372e302e302e31222c333030305d7d7d",
     ),
@@ -116,15 +116,15 @@
 
 def test_what_a_process_hands_over_is_read_and_written_anew_as_it_was() -> None:
     written = (DATA / "state_transfer.frame").read_bytes()
-    (message,) = will.Decoder().feed(written)
-    assert will.read_will(message, NAME, LISTEN) == HANDED_OVER
-    assert will.encode(will.write_will(HANDED_OVER, NAME, LISTEN)) == written
+    (message,) = state_transfer.Decoder().feed(written)
+    assert state_transfer.read_will(message, NAME, LISTEN) == HANDED_OVER
+    assert state_transfer.encode(state_transfer.write_will(HANDED_OVER, NAME, LISTEN)) == written
 
 
 @pytest.mark.parametrize(("message", "written"), LINK_MESSAGES)
 def test_what_two_processes_say_to_each_other_keeps_its_bytes(message: dict[str, Any], written: str) -> None:
-    assert will.encode(message) == bytes.fromhex(written)
-    assert list(will.Decoder().feed(bytes.fromhex(written))) == [message]
+    assert state_transfer.encode(message) == bytes.fromhex(written)
+    assert list(state_transfer.Decoder().feed(bytes.fromhex(written))) == [message]
 
 
 def test_what_the_decisions_have_learnt_is_written_as_it_was() -> None:
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from badgergap.handover.link import NAME, Link, Place
-from badgergap.handover.succession import Succession
-from badgergap.handover.will import encode
+from badgergap.hot_restart.channel import NAME, Link, Place
+from badgergap.hot_restart.coordinator import Succession
+from badgergap.hot_restart.state_transfer import encode
 from badgergap.standins.net import Server, read_message
 from tests.sockets import (
     PATIENCE_S,
--- a/tests/handover/test_http3.py
+++ b/tests/hot_restart/test_http3.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from badgergap.standins.h3 import Broken, Client3
-from tests.handover.test_ordinary import Site, site
+from tests.hot_restart.test_http import Site, site
 from tests.sockets import PATIENCE_S, Clients, run
 
 REJECTED = 0x10B  # H3_REQUEST_REJECTED: nothing was done, and the client may ask anew
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -17,7 +17,7 @@
 from badgergap.proxy.endpoints.discovery import parse_list
 from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.proxy.endpoints.sources import Entry, host_id
-from badgergap.handover.will import (
+from badgergap.hot_restart.state_transfer import (
     FRAME_LIMIT,
     HEADER,
     Decoder,
