--- a/badgergap/agreement/room.py
+++ b/badgergap/agreement/room.py
@@ -40,9 +40,9 @@
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain, RosterError
 from badgergap.proxy.lifecycle.process import Again
 from badgergap.proxy.pools import proxy_of
-from badgergap.store.layout import Unusable
-from badgergap.store.log import Log
-from badgergap.store.writer import Writer
+from badgergap.storage.record_format import Unusable
+from badgergap.storage.record_log import Log
+from badgergap.storage.background_writer import Writer
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/copies/room.py
+++ b/badgergap/copies/room.py
@@ -25,9 +25,9 @@
 from badgergap.copies.words import Word
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
-from badgergap.store.layout import Unusable
-from badgergap.store.log import SIZE_LIMIT, Log
-from badgergap.store.writer import Writer
+from badgergap.storage.record_format import Unusable
+from badgergap.storage.record_log import SIZE_LIMIT, Log
+from badgergap.storage.background_writer import Writer
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/store/writer.py
+++ b/badgergap/storage/background_writer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from badgergap.store.log import Log
+from badgergap.storage.record_log import Log
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/store/log.py
+++ b/badgergap/storage/record_log.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 from typing import Protocol
 
-from badgergap.store import layout
-from badgergap.store.layout import Head, Unusable
+from badgergap.storage import record_format
+from badgergap.storage.record_format import Head, Unusable
 
 NAME, NEW, MARK, LOCK = "log", "log.new", "mark", "lock"
 SIZE_LIMIT = 256 * 1024 * 1024  # bytes of a log; its owner compacts long before
@@ -165,13 +165,13 @@
         except FileNotFoundError:
             return Found([], fresh=True)
         try:
-            head = layout.read_head(data)
+            head = record_format.read_head(data)
         except Unusable as error:
             if error.later:
                 raise
             return Found([], lost=str(error))
         try:
-            mark = layout.read_mark(self.files.read(self.folder / MARK), head)
+            mark = record_format.read_mark(self.files.read(self.folder / MARK), head)
         except OSError:
             mark = 0
         file = os.open(self.folder / NAME, os.O_RDONLY | os.O_CLOEXEC)
@@ -180,7 +180,7 @@
                 return Found([], lost="the folder was put back from a copy")
         finally:
             os.close(file)
-        scan = layout.scan(data, head, mark)
+        scan = record_format.scan(data, head, mark)
         if scan.damaged:
             return Found([], lost=f"the log is damaged: {scan.damaged}")
         self.identity, self.next = head.identity, scan.next
@@ -202,11 +202,11 @@
         if self.head is not head:
             return ""  # it was written anew meanwhile
         try:
-            if layout.read_head(data) != head:
+            if record_format.read_head(data) != head:
                 return "it is another file"
         except Unusable as error:
             return str(error)
-        return layout.scan(data, head, length).damaged
+        return record_format.scan(data, head, length).damaged
 
     def lose(self) -> None:
         """The folder is not gone on with: it opens empty, as another. Raises OSError."""
@@ -222,7 +222,7 @@
 
     def append(self, records: Sequence[bytes]) -> None:
         """All of them are durable when this returns."""
-        data = layout.encode_batch(self.next, records)
+        data = record_format.encode_batch(self.next, records)
         if self.length + len(data) > SIZE_LIMIT:
             self.broken = f"the log would grow over {SIZE_LIMIT} bytes"
         self._refuse_if_broken()
@@ -243,7 +243,7 @@
         try:
             file = self.files.create(new)
             head = Head(self.identity, self.files.birth(file), self.next)
-            batch = layout.encode_batch(self.next, records)
+            batch = record_format.encode_batch(self.next, records)
             self.files.write(file, head.encode() + batch)
             self.files.sync(file)
             self.syncs += 1
@@ -254,7 +254,7 @@
             raise
         if self.file >= 0:
             self.files.close(self.file)
-        self.file, self.head, self.length = file, head, layout.HEAD.size + len(batch)
+        self.file, self.head, self.length = file, head, record_format.HEAD.size + len(batch)
         self.next += 1
         self._note()
 
@@ -265,7 +265,7 @@
     def _note(self) -> None:
         """Lets a later reader tell a torn end from a lost one. Worth nothing more than what it costs."""
         with contextlib.suppress(OSError):  # the log itself is durable
-            self.files.note(self.folder / MARK, layout.encode_mark(self.head, self.length))
+            self.files.note(self.folder / MARK, record_format.encode_mark(self.head, self.length))
 
     def _refuse_if_broken(self) -> None:
         if self.broken:
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -28,7 +28,7 @@
 from badgergap.agreement.room import clock_us
 from badgergap.agreement.state import Publish, State, encode
 from badgergap.standins.rig import Gateway, rig, free_port
-from badgergap.store.log import Log
+from badgergap.storage.record_log import Log
 
 
 @contextmanager
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -22,7 +22,7 @@
 from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.hot_restart import state_transfer
 from badgergap.balancing.interface import ListKind
-from badgergap.store.log import Log, System
+from badgergap.storage.record_log import Log, System
 from tests.helpers import Driver
 from tests.balancing.test_manual_drains import COLD
 from tests.hot_restart.test_state_transfer import worked
--- a/tests/copies/dying.py
+++ b/tests/copies/dying.py
@@ -18,7 +18,7 @@
     ("badgergap.copies.room", "CopiesRoom", "_write"),
     ("badgergap.copies.room", "CopiesRoom", "_durable"),
     ("badgergap.copies.room", "CopiesRoom", "_hear"),
-    ("badgergap.store.log", "Log", "append"),
+    ("badgergap.storage.record_log", "Log", "append"),
     ("badgergap.copies.guard", "Held", "go"),
     ("badgergap.copies.guard", "Seat", "answered"),
     ("badgergap.copies.guard", "Seat", "reply"),
--- a/tests/store/test_log.py
+++ b/tests/storage/test_record_log.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from badgergap.store import layout
-from badgergap.store.log import InUse, Log, System
-from badgergap.store.writer import Writer
+from badgergap.storage import record_format
+from badgergap.storage.record_log import InUse, Log, System
+from badgergap.storage.background_writer import Writer
 
 GROUPS = [[b"one"], [b"two", b"three" * 40], [b""], [b"four" * 300]]
 RECORDS = [record for group in GROUPS for record in group]
@@ -51,12 +51,15 @@
 def test_a_file_cut_at_any_length_is_torn_or_misses_what_was_durable(tmp_path: Path) -> None:
     filled(tmp_path)
     data, mark = ((tmp_path / name).read_bytes() for name in ("log", "mark"))
-    head = layout.read_head(data)
-    durable = layout.read_mark(mark, head)
+    head = record_format.read_head(data)
+    durable = record_format.read_mark(mark, head)
     assert durable == len(data)
     ends = set()
-    for length in range(layout.HEAD.size, len(data)):
-        without, known = layout.scan(data[:length], head, 0), layout.scan(data[:length], head, durable)
+    for length in range(record_format.HEAD.size, len(data)):
+        without, known = (
+            record_format.scan(data[:length], head, 0),
+            record_format.scan(data[:length], head, durable),
+        )
         ends.add(without.length)
         assert not without.damaged and without.torn == length - without.length
         assert without.records == RECORDS[: len(without.records)]
@@ -67,18 +70,18 @@
 def test_every_byte_flipped_once_is_noticed(tmp_path: Path) -> None:
     filled(tmp_path)
     data = bytearray((tmp_path / "log").read_bytes())
-    head, last = layout.read_head(bytes(data)), data.rfind(layout.BATCH_MAGIC)
+    head, last = record_format.read_head(bytes(data)), data.rfind(record_format.BATCH_MAGIC)
     for place in range(len(data)):
         data[place] ^= 0x10
-        if place < layout.HEAD.size:
-            with pytest.raises(layout.Unusable):
-                layout.read_head(bytes(data))
+        if place < record_format.HEAD.size:
+            with pytest.raises(record_format.Unusable):
+                record_format.read_head(bytes(data))
         else:
-            scan = layout.scan(bytes(data), head, 0)
+            scan = record_format.scan(bytes(data), head, 0)
             # In the last batch it may be a write that a power loss tore; before it, never.
             assert bool(scan.damaged) == (place < last), place
             assert scan.records == RECORDS[: len(scan.records)] != RECORDS
-            assert layout.scan(bytes(data), head, len(data)).damaged
+            assert record_format.scan(bytes(data), head, len(data)).damaged
         data[place] ^= 0x10
 
 
@@ -118,7 +121,7 @@
         os.truncate(path, path.stat().st_size - 10)
     else:
         with path.open("r+b") as file:
-            file.seek(3 if how == "head" else layout.HEAD.size + 40)
+            file.seek(3 if how == "head" else record_format.HEAD.size + 40)
             file.write(b"\xee")
     again, records, lost = reopened(folder)
     assert records == [] and again.identity != log.identity
@@ -130,9 +133,9 @@
     filled(tmp_path)
     with (tmp_path / "log").open("r+b") as file:
         file.seek(5)
-        file.write(bytes([layout.VERSION + 1]))
+        file.write(bytes([record_format.VERSION + 1]))
     data = (tmp_path / "log").read_bytes()
-    with pytest.raises(layout.Unusable, match="version 2"):
+    with pytest.raises(record_format.Unusable, match="version 2"):
         Log(tmp_path).open()
     assert (tmp_path / "log").read_bytes() == data
 
@@ -213,8 +216,8 @@
         for part in (0.0, 0.3, 0.7, 1.0):
             for renamed in (False, True):
                 data, mark = crashed(files.calls[:count], part, renamed)
-                head = layout.read_head(data)
-                scan = layout.scan(data, head, layout.read_mark(mark, head))
+                head = record_format.read_head(data)
+                scan = record_format.scan(data, head, record_format.read_mark(mark, head))
                 known = max(n for n, (at, _) in enumerate(promised) if at <= count)
                 # What was promised last, or already what was being written then.
                 allowed = [records for _, records in promised[known : known + 2]]
