--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from badgergap.admin import CallRefused
-from badgergap.agreement.room import GroupRoom, Refused
+from badgergap.consensus.service import GroupRoom, Refused
 from badgergap.cli.group import Asked
 from badgergap.cli.setup import Setup
 from badgergap.copies.calls import Calls
--- a/badgergap/cli/group.py
+++ b/badgergap/cli/group.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from badgergap.admin import CallRefused
-from badgergap.agreement.calls import Calls
-from badgergap.agreement.frames import KEY_LEAST
-from badgergap.agreement.member import Known, Settings
-from badgergap.agreement.room import GroupRoom, Options, Refused
+from badgergap.consensus.commands import Calls
+from badgergap.consensus.framing import KEY_LEAST
+from badgergap.consensus.member import Known, Settings
+from badgergap.consensus.service import GroupRoom, Options, Refused
 from badgergap.cli.setup import Setup
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import GroupTable
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -22,7 +22,7 @@
 from badgergap.site.web import never
 
 if TYPE_CHECKING:
-    from badgergap.agreement.room import GroupRoom
+    from badgergap.consensus.service import GroupRoom
     from badgergap.ordinary.turn import Guard
 
 log = logging.getLogger(__name__)
--- a/badgergap/cli/staged.py
+++ b/badgergap/cli/staged.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from badgergap.admin import CallRefused, Figures
-from badgergap.agreement.room import GroupRoom, Refused
+from badgergap.consensus.service import GroupRoom, Refused
 from badgergap.staged.calls import Calls
 from badgergap.staged.meter import Meter
 from badgergap.staged.room import StagedRoom
--- a/badgergap/agreement/calls.py
+++ b/badgergap/consensus/commands.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from badgergap.agreement import relation
-from badgergap.agreement.member import Line, Steer, read_tables
-from badgergap.agreement.room import PUBLISH_S, STATUS_S, GroupRoom, Refused, clock_us, encode_tables
-from badgergap.agreement.state import Publish, Version
+from badgergap.consensus import compatibility
+from badgergap.consensus.member import Line, Steer, read_tables
+from badgergap.consensus.service import PUBLISH_S, STATUS_S, GroupRoom, Refused, clock_us, encode_tables
+from badgergap.consensus.replicated_state import Publish, Version
 
 WAIT_MOST_S = 120.0
 CHANGE_S = 15.0
@@ -244,7 +244,7 @@
 
 
 def relation_of(older: str, newer: str) -> list[str]:
-    return relation.contradictions(read_tables(older), read_tables(newer))
+    return compatibility.contradictions(read_tables(older), read_tables(newer))
 
 
 def changes(older: str, newer: str) -> list[str]:
--- a/badgergap/agreement/following.py
+++ b/badgergap/consensus/endpoint_list_source.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from badgergap.agreement import lists
-from badgergap.agreement.lists import Hosts, Listed
-from badgergap.agreement.state import Outcome, Publish, Whole
+from badgergap.consensus import endpoint_lists
+from badgergap.consensus.endpoint_lists import Hosts, Listed
+from badgergap.consensus.replicated_state import Outcome, Publish, Whole
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.endpoints.sources import Entry, News, host_id
 from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
@@ -45,7 +45,7 @@
     ) -> None:
         self.proxy, self.source, self.group = proxy, source, group
         self.now_us, self.shout = now_us, shout
-        self.own = lists.Source()
+        self.own = endpoint_lists.Source()
         self.acting: Hosts = {}
         self.newest: Hosts = {}
         self.agreed = False  # there is an agreed list
@@ -81,7 +81,7 @@
 
     @property
     def orphan(self) -> bool:
-        return self.group.orphaned_us() > lists.ORPHAN_US
+        return self.group.orphaned_us() > endpoint_lists.ORPHAN_US
 
     def _listed(self, entry: Entry) -> Listed:
         server, names = entry.server, self.proxy.config.names
@@ -110,7 +110,7 @@
                 if follows:
                     source.fetch()
                 else:
-                    self.own = lists.Source()
+                    self.own = endpoint_lists.Source()
             if self.group.leads():
                 await self._propose()
             now = asyncio.get_running_loop().time()
@@ -135,9 +135,12 @@
     def hear(self, acting: Whole, newest: Whole) -> None:
         """The version in force, and the newest that is known."""
         if acting.listed or newest.listed:
-            self.acting, self.newest = lists.decode(acting.listed), lists.decode(newest.listed)
+            self.acting, self.newest = (
+                endpoint_lists.decode(acting.listed),
+                endpoint_lists.decode(newest.listed),
+            )
             self.agreed = True
-            self._tell(lists.effective(self.acting, self.newest))
+            self._tell(endpoint_lists.effective(self.acting, self.newest))
 
     def _tell(self, hosts: Hosts) -> None:
         if hosts != self.told:
--- a/badgergap/agreement/frames.py
+++ b/badgergap/consensus/framing.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from badgergap.agreement.member import (
+from badgergap.consensus.member import (
     Ask,
     Carried,
     Check,
@@ -36,7 +36,7 @@
     Turned,
     Wish,
 )
-from badgergap.agreement.raft import Append, Appended, Disown, Part, Parted, PreVote, PreVoted, Vote, Voted
+from badgergap.consensus.raft import Append, Appended, Disown, Part, Parted, PreVote, PreVoted, Vote, Voted
 
 GREETING = b"BGG1"
 NONCE = 16
--- a/badgergap/agreement/member.py
+++ b/badgergap/consensus/member.py
@@ -19,10 +19,13 @@
 
 import msgspec
 
-from badgergap.agreement import lease, raft, relation, state
-from badgergap.agreement.lease import Grants, Lease
-from badgergap.agreement.raft import Durable, Peer, Raft, Save, Snapshot
-from badgergap.agreement.state import Bar, Enforce, Outcome, Publish, State, Unreadable, Whole
+from badgergap.consensus import lease
+from badgergap.consensus import raft
+from badgergap.consensus import compatibility
+from badgergap.consensus import replicated_state
+from badgergap.consensus.lease import Grants, Lease
+from badgergap.consensus.raft import Durable, Peer, Raft, Save, Snapshot
+from badgergap.consensus.replicated_state import Bar, Enforce, Outcome, Publish, State, Unreadable, Whole
 
 HELLO_US = 300_000
 FRESH_US = 2_000_000
@@ -449,7 +452,7 @@
     def keep(self, now_us: int, room: str, number: int, data: bytes) -> None:
         """A subsystem's next word for the log, at the leader. It may be lost: it is there once it is read."""
         if self.raft.settled and not self.halted:
-            self._propose_command(now_us, state.Keep(room, number, data))
+            self._propose_command(now_us, replicated_state.Keep(room, number, data))
             self._carry(now_us)
 
     def examined(self, now_us: int, id: str, why: str) -> None:
@@ -780,8 +783,8 @@
                 self._propose_command(now_us, Enforce(number))
                 return
 
-    def _propose_command(self, now_us: int, command: state.Command) -> None:
-        self.raft.propose(now_us, "data", state.encode(command))
+    def _propose_command(self, now_us: int, command: replicated_state.Command) -> None:
+        self.raft.propose(now_us, "data", replicated_state.encode(command))
 
     def _configure(self, now_us: int, config: Iterable[Peer]) -> bool:
         done = self.raft.propose(now_us, "config", raft.encode_config(config)) is not None
@@ -868,9 +871,9 @@
         """With the newest version, in words. Raises MsgspecError."""
         newest = self.state.newest
         if publish.kind == "list":
-            return relation.contradictions(read_list(newest.listed), read_list(publish.body))
+            return compatibility.contradictions(read_list(newest.listed), read_list(publish.body))
         older, newer = read_tables(newest.settings), read_tables(publish.body)
-        return relation.contradictions(older, newer) if newest.settings_at else []
+        return compatibility.contradictions(older, newer) if newest.settings_at else []
 
     def _on_checked(self, now_us: int, sender: str, said: Checked) -> None:
         open = self.opens.get(said.id)
--- a/badgergap/agreement/durable.py
+++ b/badgergap/consensus/persistence.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from badgergap.agreement.raft import Durable, Entry, Save, Snapshot
-from badgergap.agreement.state import Unreadable
+from badgergap.consensus.raft import Durable, Entry, Save, Snapshot
+from badgergap.consensus.replicated_state import Unreadable
 
 FORMAT = 1
 
--- a/badgergap/agreement/room.py
+++ b/badgergap/consensus/service.py
@@ -21,12 +21,14 @@
 
 import msgspec
 
-from badgergap.agreement import durable, member, relation
-from badgergap.agreement.following import Following
-from badgergap.agreement.links import UNSENT_BYTES, Links
-from badgergap.agreement.member import Line, Member, Settings, read_tables
-from badgergap.agreement.raft import Durable, Save
-from badgergap.agreement.state import (
+from badgergap.consensus import member
+from badgergap.consensus import compatibility
+from badgergap.consensus import persistence
+from badgergap.consensus.endpoint_list_source import Following
+from badgergap.consensus.transport import UNSENT_BYTES, Links
+from badgergap.consensus.member import Line, Member, Settings, read_tables
+from badgergap.consensus.raft import Durable, Save
+from badgergap.consensus.replicated_state import (
     BACK_ALREADY,
     OUT_ALREADY,
     Outcome,
@@ -220,7 +222,7 @@
         self.log = Log(self.options.folder)
         try:
             found = self.log.open()
-            disk = durable.decode(found.records)
+            disk = persistence.decode(found.records)
         except (Unusable, Unreadable) as error:
             raise OSError(None, f"the group's log in {self.options.folder}: {error}") from None
         self.id = self.log.identity.hex()
@@ -324,7 +326,7 @@
         for todo in it.take():
             match todo:
                 case Save():
-                    writer.write(todo.token, [durable.encode(todo)], anew=todo.snapshot is not None)
+                    writer.write(todo.token, [persistence.encode(todo)], anew=todo.snapshot is not None)
                 case member.Send():
                     # Those that rely on a save keep their order; the others need not wait for them.
                     if todo.after > self.durable_token:
@@ -444,7 +446,7 @@
                 log.info("settings of a change: %s", "taken up" if body != whole.settings else "left again")
             else:
                 log.info("version %d is in force: settings %s", whole.number, whole.digest())
-                if relation.contradictions(read_tables(self.acting_on.settings), tables):
+                if compatibility.contradictions(read_tables(self.acting_on.settings), tables):
                     self.epoch = whole.number  # what was taken before goes to no box any more
             self.body = body
         self.acting_on = whole
--- a/badgergap/agreement/links.py
+++ b/badgergap/consensus/transport.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from badgergap.agreement.frames import (
+from badgergap.consensus.framing import (
     GREETING,
     NONCE,
     BadFrame,
@@ -27,8 +27,8 @@
     open_link,
     session_key,
 )
-from badgergap.agreement.frames import VERSION as FRAMES_VERSION
-from badgergap.agreement.member import Message
+from badgergap.consensus.framing import VERSION as FRAMES_VERSION
+from badgergap.consensus.member import Message
 from badgergap.proxy.lifecycle.config import Address
 
 log = logging.getLogger(__name__)
--- a/badgergap/copies/calls.py
+++ b/badgergap/copies/calls.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from badgergap.agreement.room import PUBLISH_S, Refused
-from badgergap.agreement.state import Publish
+from badgergap.consensus.service import PUBLISH_S, Refused
+from badgergap.consensus.replicated_state import Publish
 from badgergap.copies import record as records
 from badgergap.copies import snapshot, words
 from badgergap.copies.guard import Guard
--- a/badgergap/copies/guard.py
+++ b/badgergap/copies/guard.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from badgergap.agreement.room import clock_us
+from badgergap.consensus.service import clock_us
 from badgergap.copies import record as records
 from badgergap.copies.once import End, Once, Request
 from badgergap.copies.record import Record, Repeats
--- a/badgergap/copies/lessons.py
+++ b/badgergap/copies/lessons.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from badgergap.agreement.room import GroupRoom, clock_us
+from badgergap.consensus.service import GroupRoom, clock_us
 from badgergap.copies import learnt
 from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson, Want
 from badgergap.copies.placement import Seat
--- a/badgergap/copies/room.py
+++ b/badgergap/copies/room.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from badgergap.agreement.room import GroupRoom, clock_us
+from badgergap.consensus.service import GroupRoom, clock_us
 from badgergap.copies import keeper as keepers
 from badgergap.copies import words
 from badgergap.copies.keeper import Keeper, Options, Shout, Wish
--- a/badgergap/staged/calls.py
+++ b/badgergap/staged/calls.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from badgergap.agreement.member import read_tables
-from badgergap.agreement.relation import contradictions
-from badgergap.agreement.room import GroupRoom, Refused, encode_tables
+from badgergap.consensus.member import read_tables
+from badgergap.consensus.compatibility import contradictions
+from badgergap.consensus.service import GroupRoom, Refused, encode_tables
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.staged import sides
 from badgergap.staged.controller import Run
--- a/badgergap/staged/room.py
+++ b/badgergap/staged/room.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from badgergap.agreement.room import PUBLISH_S, GroupRoom, Refused, clock_us
-from badgergap.agreement.member import read_tables
-from badgergap.agreement.state import Publish
+from badgergap.consensus.service import PUBLISH_S, GroupRoom, Refused, clock_us
+from badgergap.consensus.member import read_tables
+from badgergap.consensus.replicated_state import Publish
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Proxy
 from badgergap.site.schema import parse_duration
--- a/badgergap/staged/sides.py
+++ b/badgergap/staged/sides.py
@@ -19,7 +19,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from badgergap.agreement.relation import DEFAULTS, measure, named
+from badgergap.consensus.compatibility import DEFAULTS, measure, named
 
 Tables = Mapping[str, Any]
 KNOWN = ("limits", "fleet", "class", "route", "pool", "box")
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -30,7 +30,7 @@
 from badgergap.balancing.interface import Outcome
 from badgergap.balancing.interface import Send as Attempted
 from badgergap.standins.rig import Gateway, Rig, rig
-from tests.agreement.simulation import MS, S
+from tests.consensus.simulation import MS, S
 from badgergap.copies.keeper import Send
 from tests.copies.simulation import Node, World
 from tests.copies.test_process import last_steps, placed
--- a/benchmarks/copies_schedules.py
+++ b/benchmarks/copies_schedules.py
@@ -14,7 +14,7 @@
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.agreement.simulation import Violation
+from tests.consensus.simulation import Violation
 from tests.copies.simulation import SCHEDULES
 
 # Share of the seeds, schedule, members, copies.
--- a/benchmarks/group_faults.py
+++ b/benchmarks/group_faults.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.group_faults --members 3 --minutes 30 --seed 1
 
-What `tests/agreement/test_process.py` plays for seconds. Prints the timeline, and a line of figures at the
+What `tests/consensus/test_process.py` plays for seconds. Prints the timeline, and a line of figures at the
 end; exits with 1 where the bound, an acknowledged publish, one answer in time, or an effect's once was
 broken.
 """
@@ -20,7 +20,7 @@
 
 from benchmarks.common import quantile
 from badgergap.standins.rig import Timeline, rig
-from tests.agreement.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
+from tests.consensus.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
 
 FAULTS = ("kill", "kill", "stop", "stop", "cut", "cut", "deaf", "delay", "reset", "wipe", "copy")
 
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,4 +1,4 @@
-"""Groups in simulated time, many at once: the schedules of `tests/agreement`, and 200 followers at rest.
+"""Groups in simulated time, many at once: the schedules of `tests/consensus`, and 200 followers at rest.
 
     python -m benchmarks.schedules [--count 20000] [--jobs 7] [--plot agreement-bound.png]
     python -m benchmarks.schedules --followers 200
@@ -20,9 +20,9 @@
 from pathlib import Path
 
 from benchmarks.common import quantile
-from badgergap.agreement.frames import Talker
-from badgergap.agreement.member import Member, Send
-from tests.agreement.simulation import (
+from badgergap.consensus.framing import Talker
+from badgergap.consensus.member import Member, Send
+from tests.consensus.simulation import (
     BOUND_US,
     MS,
     SCHEDULES,
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -18,7 +18,7 @@
 from badgergap.site.schema import Duration
 from badgergap.staged.plan import ChangeFile, to_plan
 from badgergap.standins.rig import rig
-from tests.agreement.test_process import run
+from tests.consensus.test_process import run
 from tests.staged.simulation import S, World
 from tests.staged.test_process import site
 
@@ -68,7 +68,7 @@
 async def real() -> None:
     with tempfile.TemporaryDirectory() as folder:
         async with site(Path(folder)) as its:
-            from tests.agreement.load import Load as Clients
+            from tests.consensus.load import Load as Clients
 
             over = asyncio.Event()
             work = asyncio.create_task(Clients(its.it, 150.0, 1).play(over))
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -14,9 +14,10 @@
 
 import pytest
 
-from badgergap.agreement import lists, state
-from badgergap.agreement.durable import decode
-from badgergap.agreement.raft import Durable, Entry, Peer, Snapshot
+from badgergap.consensus import endpoint_lists
+from badgergap.consensus import replicated_state
+from badgergap.consensus.persistence import decode
+from badgergap.consensus.raft import Durable, Entry, Peer, Snapshot
 from badgergap.copies import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import HandDrain
@@ -88,7 +89,7 @@
 
 def test_a_group_state_in_a_snapshot_is_read_and_written_anew_as_it_was() -> None:
     written = (DATA / "group_state.bin").read_bytes()
-    group = state.State()
+    group = replicated_state.State()
     group.restore(written)
     assert group.newest.number == 3 and group.newest.out == {"box-1": "anna"}
     assert group.snapshot() == written
@@ -96,7 +97,7 @@
 
 
 def test_an_endpoint_list_in_the_log_keeps_its_form() -> None:
-    assert lists.encode(lists.decode(LISTED)) == LISTED
+    assert endpoint_lists.encode(endpoint_lists.decode(LISTED)) == LISTED
 
 
 def test_manual_drains_are_read_and_written_anew_as_they_were(tmp_path: Path) -> None:
--- a/tests/agreement/cluster.py
+++ b/tests/consensus/cluster.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from badgergap.agreement.raft import (
+from badgergap.consensus.raft import (
     Apply,
     Config,
     Durable,
--- a/tests/agreement/guards.py
+++ b/tests/consensus/guards.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from random import Random
 
-from badgergap.agreement.lease import Account, Grants, Lease
-from badgergap.agreement.member import Send
-from badgergap.agreement.raft import Config, Durable, Raft, Vote, Voted
-from tests.agreement.simulation import (
+from badgergap.consensus.lease import Account, Grants, Lease
+from badgergap.consensus.member import Send
+from badgergap.consensus.raft import Config, Durable, Raft, Vote, Voted
+from tests.consensus.simulation import (
     Node,
     Recorded,
     Schedule,
--- a/tests/agreement/simulation.py
+++ b/tests/consensus/simulation.py
@@ -15,10 +15,10 @@
 from functools import partial
 from typing import Protocol
 
-from badgergap.agreement import raft
-from badgergap.agreement.member import Examine, First, Known, Load, Member, Reborn, Send, Settings, Settled
-from badgergap.agreement.raft import Durable, Save
-from badgergap.agreement.state import Publish
+from badgergap.consensus import raft
+from badgergap.consensus.member import Examine, First, Known, Load, Member, Reborn, Send, Settings, Settled
+from badgergap.consensus.raft import Durable, Save
+from badgergap.consensus.replicated_state import Publish
 
 MS, S = 1_000, 1_000_000
 TICK_US = 50 * MS
--- a/tests/agreement/test_relation.py
+++ b/tests/consensus/test_compatibility.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.agreement.relation import contradictions, measure
+from badgergap.consensus.compatibility import contradictions, measure
 
 BASE: dict[str, Any] = {
     "limits": {"open_requests": 100},
--- a/tests/agreement/test_frames.py
+++ b/tests/consensus/test_framing.py
@@ -8,15 +8,17 @@
 import msgspec
 import pytest
 
-from badgergap.agreement import durable, frames, state
-from badgergap.agreement.frames import BadFrame, Envelope, Listener, Opening, Talker, open_link, session_key
-from badgergap.agreement.member import Hello, Message, Shout
-from badgergap.agreement.raft import Append, Durable, Entry, Peer, Save, Snapshot
-from badgergap.agreement.state import Publish, State, Unreadable
-from tests.agreement.simulation import S, World
+from badgergap.consensus import persistence
+from badgergap.consensus import framing
+from badgergap.consensus import replicated_state
+from badgergap.consensus.framing import BadFrame, Envelope, Listener, Opening, Talker, open_link, session_key
+from badgergap.consensus.member import Hello, Message, Shout
+from badgergap.consensus.raft import Append, Durable, Entry, Peer, Save, Snapshot
+from badgergap.consensus.replicated_state import Publish, State, Unreadable
+from tests.consensus.simulation import S, World
 
 KEY, CHALLENGE = b"k" * 32, b"c" * 16
-OPENING = Opening(frames.VERSION, b"n" * 16, "group", "id-a", "a", "b")
+OPENING = Opening(framing.VERSION, b"n" * 16, "group", "id-a", "a", "b")
 MESSAGES: list[Message] = [
     Hello("north", True, ""),
     Append(3, 1, 1, (Entry(2, 3, "data", b"x" * 300),), 1, 77),
@@ -75,7 +77,7 @@
         listener = Listener(KEY, CHALLENGE)
         with contextlib.suppress(BadFrame):
             assert not list(listener.feed(chance.randbytes(chance.randrange(200))))
-        assert len(listener.buffer) <= frames.OPENING_LIMIT + 64
+        assert len(listener.buffer) <= framing.OPENING_LIMIT + 64
 
 
 def test_saves_come_back_as_they_were_and_later_formats_are_not_guessed() -> None:
@@ -87,29 +89,33 @@
     expected = Durable()
     for save in saves:
         expected.keep(save)
-    records = [durable.encode(save) for save in saves]
-    assert durable.decode(records) == expected
+    records = [persistence.encode(save) for save in saves]
+    assert persistence.decode(records) == expected
     assert [entry.data for entry in expected.entries] == [b"", b"e"]
-    for bad in (msgspec.msgpack.encode([durable.FORMAT + 1]), b"\xc1", records[0][:-3]):
+    for bad in (msgspec.msgpack.encode([persistence.FORMAT + 1]), b"\xc1", records[0][:-3]):
         with pytest.raises(Unreadable):
-            durable.decode([*records, bad])
+            persistence.decode([*records, bad])
 
 
 def test_a_snapshot_brings_the_same_state_and_a_later_one_is_refused() -> None:
     it = State("g")
     for number in range(5):
-        it.apply(state.encode(Publish(f"p{number}", "out", f"box{number}", "me", "", -1, bool(number % 2))))
-    it.apply(state.encode(state.Keep("copies", 1, b"first")))
-    it.apply(state.encode(state.Keep("copies", 3, b"not the next one")))
+        it.apply(
+            replicated_state.encode(
+                Publish(f"p{number}", "out", f"box{number}", "me", "", -1, bool(number % 2))
+            )
+        )
+    it.apply(replicated_state.encode(replicated_state.Keep("copies", 1, b"first")))
+    it.apply(replicated_state.encode(replicated_state.Keep("copies", 3, b"not the next one")))
     other = State()
     other.restore(it.snapshot())
     assert other.rooms == {"copies": (1, b"first")}
     assert other.snapshot() == it.snapshot() and other.acting.number == it.acting.number == 1
-    again = state.encode(Publish("p4", "out", "box4", "me", "", -1, False))
+    again = replicated_state.encode(Publish("p4", "out", "box4", "me", "", -1, False))
     outcome = other.apply(again)  # said twice, done once
     assert outcome is not None and outcome.version == 5 and other.newest.number == 5
     kept = msgspec.msgpack.decode(it.snapshot())
-    kept[state.Kept.__struct_fields__.index("format")] = state.FORMAT + 1
+    kept[replicated_state.Kept.__struct_fields__.index("format")] = replicated_state.FORMAT + 1
     with pytest.raises(Unreadable, match="format 2"):
         other.restore(msgspec.msgpack.encode(kept))
 
--- a/tests/agreement/test_lease.py
+++ b/tests/consensus/test_lease.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from badgergap.agreement.lease import Grants
-from badgergap.agreement.member import Ask
+from badgergap.consensus.lease import Grants
+from badgergap.consensus.member import Ask
 
 
 def test_a_late_word_of_a_process_that_has_gone_does_not_shut_out_the_one_that_lives() -> None:
--- a/tests/agreement/test_process.py
+++ b/tests/consensus/test_process.py
@@ -15,7 +15,7 @@
 
 from badgergap.standins.registry import LiveRegistry
 from badgergap.standins.rig import Gateway, Timeline, rig
-from tests.agreement.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
+from tests.consensus.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
 
 
 def run(*words: str) -> subprocess.CompletedProcess[str]:
@@ -32,7 +32,7 @@
 from badgergap.cli.serve import check
 import badgergap.__main__
 check(Path({str(shipped)!r}), {{}})
-UNWANTED = ("badgergap.agreement", "badgergap.copies", "badgergap.storage", "xxhash", "zstandard")
+UNWANTED = ("badgergap.consensus", "badgergap.copies", "badgergap.storage", "xxhash", "zstandard")
 found = [name for name in sys.modules if name.startswith(UNWANTED)]
 assert not found, found
 """
--- a/tests/agreement/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from badgergap.agreement import raft
-from badgergap.agreement.raft import Raft, Role, Vote
-from tests.agreement.cluster import Cluster, Disagreement
-from tests.agreement.guards import CountsEarlierTerms, ForgetsItsVote, ManyChangesAtOnce
+from badgergap.consensus import raft
+from badgergap.consensus.raft import Raft, Role, Vote
+from tests.consensus.cluster import Cluster, Disagreement
+from tests.consensus.guards import CountsEarlierTerms, ForgetsItsVote, ManyChangesAtOnce
 
 
 def old_entry_on_a_majority(kind: type[Raft]) -> None:
--- a/tests/agreement/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from badgergap.agreement.member import Settled, Steer
-from tests.agreement.guards import GUARDS, Guard
-from tests.agreement.simulation import BOUND_US, S, Node, World, leader_of, play, play_cuts
+from badgergap.consensus.member import Settled, Steer
+from tests.consensus.guards import GUARDS, Guard
+from tests.consensus.simulation import BOUND_US, S, Node, World, leader_of, play, play_cuts
 
 
 @pytest.mark.parametrize(
--- a/tests/copies/guards.py
+++ b/tests/copies/guards.py
@@ -16,7 +16,7 @@
 from badgergap.copies.register import NONE, Ballot, Reply, Shelf
 from badgergap.copies.repair import Found, Pass
 from badgergap.copies.words import Accept, Prepare, Promised, Word
-from tests.agreement.simulation import Violation
+from tests.consensus.simulation import Violation
 from tests.copies.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
 
 
--- a/tests/copies/simulation.py
+++ b/tests/copies/simulation.py
@@ -2,7 +2,7 @@
 seed; clients that repeat elsewhere; boxes with ledgers.
 
 The group's agreement is a log that all members read, some later than others, and one of them leads: that it
-is so is what `tests/agreement` shows. The first thing found wrong raises `Violation` with seed and time.
+is so is what `tests/consensus` shows. The first thing found wrong raises `Violation` with seed and time.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from badgergap.copies.proposer import Change, Done, Grip, Op, Proposer, Result
 from badgergap.copies.record import Record, Repeats, digest_of
 from badgergap.copies.register import Bounds
-from tests.agreement.simulation import MS, S, Timed, Violation
+from tests.consensus.simulation import MS, S, Timed, Violation
 from tests.copies.history import NEVER, Step, order_of
 
 TICK_US = 25 * MS
--- a/tests/copies/test_process.py
+++ b/tests/copies/test_process.py
@@ -16,7 +16,7 @@
 from badgergap.admin import AdminError, NoGateway
 from badgergap.standins.h3 import Client3
 from badgergap.standins.rig import Gateway, Rig, Timeline, rig
-from tests.agreement.test_process import run
+from tests.consensus.test_process import run
 from tests.copies.load import Keyed, keyed, post
 from tests.h3.harness import https
 
--- a/tests/copies/test_schedules.py
+++ b/tests/copies/test_schedules.py
@@ -14,7 +14,7 @@
 from badgergap.copies.placement import Seat
 from badgergap.copies.register import Bounds, Shelf
 from badgergap.copies.words import Prepare
-from tests.agreement.simulation import S
+from tests.consensus.simulation import S
 from tests.copies.guards import GUARDS, Guard
 from tests.copies.history import Step, order_of
 from tests.copies.simulation import SCHEDULES, Schedule, World, ask, expires
--- a/tests/staged/test_process.py
+++ b/tests/staged/test_process.py
@@ -15,8 +15,8 @@
 
 from badgergap.standins.app import App
 from badgergap.standins.rig import Gateway, Rig, rig
-from tests.agreement.load import Load
-from tests.agreement.test_process import run
+from tests.consensus.load import Load
+from tests.consensus.test_process import run
 
 QUICK = (sys.executable, "-B", "-m", "tests.staged.quick")
 CHANGE = """\
