--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -10,11 +10,11 @@
 from badgergap.consensus.service import GroupRoom, Refused
 from badgergap.cli.group import Asked
 from badgergap.cli.setup import Setup
-from badgergap.copies.calls import Calls
-from badgergap.copies.guard import Guard
-from badgergap.copies.keeper import Options
-from badgergap.copies.register import Bounds
-from badgergap.copies.room import CopiesRoom
+from badgergap.replication.commands import Calls
+from badgergap.replication.idempotency_filter import Guard
+from badgergap.replication.replica import Options
+from badgergap.replication.acceptor import Bounds
+from badgergap.replication.service import CopiesRoom
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import Site
 
--- a/badgergap/cli/copies_words.py
+++ b/badgergap/cli/copies_words.py
@@ -51,7 +51,7 @@
 
 def verify(path: Path) -> str:
     """One line on a snapshot. Raises ConfigError for one that cannot be used."""
-    from badgergap.copies import snapshot
+    from badgergap.replication import snapshot
 
     try:
         found = snapshot.verify(path)
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -110,7 +110,7 @@
     assert group is not None  # the file was checked
     try:
         from badgergap.cli.copies import WithCopies, copies_room
-        from badgergap.copies.lessons import LessonsRoom
+        from badgergap.replication.learned_state_service import LessonsRoom
         from badgergap.cli.group import Asked
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[copies]'"
--- a/badgergap/cli/staged.py
+++ b/badgergap/cli/staged.py
@@ -8,9 +8,9 @@
 
 from badgergap.admin import CallRefused, Figures
 from badgergap.consensus.service import GroupRoom, Refused
-from badgergap.staged.calls import Calls
-from badgergap.staged.meter import Meter
-from badgergap.staged.room import StagedRoom
+from badgergap.rollout.commands import Calls
+from badgergap.rollout.metrics import Meter
+from badgergap.rollout.service import StagedRoom
 
 
 class Asked(Protocol):
--- a/badgergap/cli/staged_words.py
+++ b/badgergap/cli/staged_words.py
@@ -50,7 +50,7 @@
         return "change_history", {}
     import msgspec
 
-    from badgergap.staged.plan import BadPlan, read_plan
+    from badgergap.rollout.plan import BadPlan, read_plan
 
     try:
         plan, found = read_plan(read_text(args.path), str(args.path))
--- a/badgergap/copies/register.py
+++ b/badgergap/replication/acceptor.py
@@ -23,9 +23,9 @@
 import msgspec
 import xxhash
 
-from badgergap.copies import record as records
-from badgergap.copies.placement import PARTS, part_of
-from badgergap.copies.record import Record
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.placement import PARTS, part_of
+from badgergap.replication.idempotency_record import Record
 
 Ballot = tuple[int, int, int, int]
 NONE: Ballot = (0, 0, 0, 0)
--- a/badgergap/copies/repair.py
+++ b/badgergap/replication/anti_entropy.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from badgergap.copies.placement import Seat, majority
-from badgergap.copies.register import BUCKETS, NONE, Ballot, Mark
+from badgergap.replication.placement import Seat, majority
+from badgergap.replication.acceptor import BUCKETS, NONE, Ballot, Mark
 
 WAIT_US = 1_000_000  # for the other seats of a part to speak
 GIVE_UP_US = 20_000_000  # until a look that comes no further is begun anew
--- a/badgergap/copies/calls.py
+++ b/badgergap/replication/commands.py
@@ -12,13 +12,14 @@
 
 from badgergap.consensus.service import PUBLISH_S, Refused
 from badgergap.consensus.replicated_state import Publish
-from badgergap.copies import record as records
-from badgergap.copies import snapshot, words
-from badgergap.copies.guard import Guard
-from badgergap.copies.placement import Placement, Seat, majority
-from badgergap.copies.record import Record
-from badgergap.copies.room import CopiesRoom
-from badgergap.copies.words import Word
+from badgergap.replication import idempotency_record as records
+from badgergap.replication import snapshot
+from badgergap.replication import messages
+from badgergap.replication.idempotency_filter import Guard
+from badgergap.replication.placement import Placement, Seat, majority
+from badgergap.replication.idempotency_record import Record
+from badgergap.replication.service import CopiesRoom
+from badgergap.replication.messages import Word
 
 CHANGE_S = 3.0
 FREEZE_S = 0.4  # for all seats to hold still
@@ -75,7 +76,7 @@
             why.append("seats are moving: new ones are being filled")
         behind: set[int] = set()
         for report in lines.values():
-            behind |= words.unbits(report.behind)
+            behind |= messages.unbits(report.behind)
         if behind:
             why.append(f"{len(behind)} parts lack something at one of their seats, and are being mended")
         if not placement.epoch:
@@ -265,17 +266,17 @@
         self.room, self.placement = room, placement
         self.id = secrets.randbits(60)
         self.frozen: set[str] = set()
-        self.pages: dict[tuple[str, int, bytes], asyncio.Future[words.Paged]] = {}
+        self.pages: dict[tuple[str, int, bytes], asyncio.Future[messages.Paged]] = {}
 
     def _say(self, seat: Seat, word: Word) -> None:
         self.room.say(seat.name, word)
 
     def _hear(self, name: str, word: Word) -> None:
         match word:
-            case words.Frozen():
+            case messages.Frozen():
                 if word.id == self.id:
                     self.frozen.add(word.holder)
-            case words.Paged():
+            case messages.Paged():
                 for (holder, part, _), waits in self.pages.items():
                     if word.id == self.id and (holder, part) == (word.holder, word.part) and not waits.done():
                         waits.set_result(word)
@@ -285,7 +286,7 @@
         self.room.listeners.append(self._hear)
         try:
             for seat in self.placement.seats:
-                self._say(seat, words.Freeze(self.id, self.placement.epoch, seat.holder))
+                self._say(seat, messages.Freeze(self.id, self.placement.epoch, seat.holder))
             deadline = asyncio.get_running_loop().time() + FREEZE_S
             while len(self.frozen) < len(self.placement.seats):
                 if asyncio.get_running_loop().time() >= deadline:
@@ -298,7 +299,7 @@
             )
         finally:
             for seat in self.placement.seats:
-                self._say(seat, words.Thaw(self.id, seat.holder))
+                self._say(seat, messages.Thaw(self.id, seat.holder))
             self.room.listeners.remove(self._hear)
         if not whole:
             raise Refused("too few seats could be held still at one moment: try again")
@@ -325,13 +326,13 @@
             self.room.listeners.remove(self._hear)
         return ((key, value) for part in found for key, (_, value) in sorted(part.items()))
 
-    async def _page(self, seat: Seat, part: int, after: bytes) -> words.Paged:
+    async def _page(self, seat: Seat, part: int, after: bytes) -> messages.Paged:
         place = (seat.holder, part, after)
-        waits: asyncio.Future[words.Paged] = asyncio.get_running_loop().create_future()
+        waits: asyncio.Future[messages.Paged] = asyncio.get_running_loop().create_future()
         self.pages[place] = waits
         try:
             for _ in range(3):
-                self._say(seat, words.Page(self.id, seat.holder, part, after))
+                self._say(seat, messages.Page(self.id, seat.holder, part, after))
                 await asyncio.wait({waits}, timeout=PAGE_S / 3)
                 if waits.done():
                     return waits.result()
@@ -349,14 +350,14 @@
     )
 
 
-def _seat(seat: Seat, report: words.Report | None, there: bool) -> dict[str, Any]:
+def _seat(seat: Seat, report: messages.Report | None, there: bool) -> dict[str, Any]:
     return {
         "name": seat.name,
         "zone": seat.zone,
         "there": there,
         "records": report.records if report is not None else 0,
         "bytes": report.size if report is not None else 0,
-        "behind": len(words.unbits(report.behind)) if report is not None else 0,
+        "behind": len(messages.unbits(report.behind)) if report is not None else 0,
         "scrubbed_s": report.scrubbed_us // 1_000_000
         if report is not None and report.scrubbed_us >= 0
         else -1,
--- a/badgergap/copies/guard.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -16,10 +16,10 @@
 from dataclasses import replace
 
 from badgergap.consensus.service import clock_us
-from badgergap.copies import record as records
-from badgergap.copies.once import End, Once, Request
-from badgergap.copies.record import Record, Repeats
-from badgergap.copies.room import CopiesRoom
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.idempotent_request import End, Once, Request
+from badgergap.replication.idempotency_record import Record, Repeats
+from badgergap.replication.service import CopiesRoom
 from badgergap.proxy.proxy import OUT_OF_TOUCH, TRANSIT_US, Books, plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import Client, Tried
--- a/badgergap/copies/once.py
+++ b/badgergap/replication/idempotent_request.py
@@ -19,10 +19,10 @@
 from enum import Enum
 from typing import Protocol
 
-from badgergap.copies import record as records
-from badgergap.copies.keeper import Keeper
-from badgergap.copies.proposer import FULL, Grip, Result
-from badgergap.copies.record import Do, Fields, Record, Repeats
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.replica import Keeper
+from badgergap.replication.proposer import FULL, Grip, Result
+from badgergap.replication.idempotency_record import Do, Fields, Record, Repeats
 
 SEND_SHARE = 0.5  # of the time a key is kept, after which a claim is not sent any more
 KEEP_US = 30_000_000  # for which an outcome is tried to be kept, whoever still waits
--- a/badgergap/copies/learnt.py
+++ b/badgergap/replication/learned_state.py
@@ -15,7 +15,7 @@
 import msgspec
 import zstandard
 
-from badgergap.copies.placement import Seat, seats_of
+from badgergap.replication.placement import Seat, seats_of
 
 HOLDERS = 2  # others that keep a gateway's lesson: one of them may be lost with it
 HALF_LIFE_US = 60_000_000  # after which what one answer tells counts half
--- a/badgergap/copies/lessons.py
+++ b/badgergap/replication/learned_state_service.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from badgergap.consensus.service import GroupRoom, clock_us
-from badgergap.copies import learnt
-from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson, Want
-from badgergap.copies.placement import Seat
-from badgergap.copies.room import CopiesRoom
+from badgergap.replication import learned_state
+from badgergap.replication.learned_state import BadLesson, Have, Keep, Kept, Lesson, Want
+from badgergap.replication.placement import Seat
+from badgergap.replication.service import CopiesRoom
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Proxy
 
@@ -66,7 +66,7 @@
 
     def heard(self, name: str, data: bytes) -> None:
         try:
-            word = learnt.decode(data)
+            word = learned_state.decode(data)
         except msgspec.MsgspecError as error:
             log.warning("a word on what was learnt from %s that this program does not know: %s", name, error)
             return
@@ -88,8 +88,8 @@
     def against(self, name: str) -> str:
         return ""
 
-    def _say(self, name: str, word: learnt.Word) -> None:
-        self.group.pass_on(name, ROOM, learnt.encode(word))
+    def _say(self, name: str, word: learned_state.Word) -> None:
+        self.group.pass_on(name, ROOM, learned_state.encode(word))
 
     # Its own lesson
 
@@ -115,16 +115,16 @@
         if own is None or not proxies:
             return
         lesson = None
-        if boxes <= learnt.BOXES_MOST:
+        if boxes <= learned_state.BOXES_MOST:
             main = next(iter(proxies.values()))
             pools = {name: proxy.balancer.snapshot() for name, proxy in proxies.items()}
-            lesson = learnt.pack(Lesson(main.clock.now_us(), main.filed.names.classes, pools))
+            lesson = learned_state.pack(Lesson(main.clock.now_us(), main.filed.names.classes, pools))
         if lesson is None:
             if not self.too_long:
                 log.info("what is learnt of %d boxes is too much to be kept by others", boxes)
             self.too_long = True
             return
-        self.sent_to = learnt.holders(own, self.seats)
+        self.sent_to = learned_state.holders(own, self.seats)
         for name in self.sent_to:
             self._say(name, Keep(lesson))
 
@@ -151,11 +151,11 @@
         if not any(proxy.balancer.servers for proxy in proxies.values()):
             return False
         try:
-            lesson = learnt.unpack(have.lesson)
+            lesson = learned_state.unpack(have.lesson)
             main = next(iter(proxies.values()))
             if lesson.classes != main.filed.names.classes:
                 raise BadLesson("its classes are not those of now")
-            if have.age_us > learnt.OLDEST_US:
+            if have.age_us > learned_state.OLDEST_US:
                 raise BadLesson("it is too old")
             for pool, raw in lesson.pools.items():
                 if pool in proxies:
@@ -167,10 +167,10 @@
         log.info("%d boxes are known again, by what %s has kept for %.1f s", self.taken_back, name, age_s)
         return True
 
-    def _restore(self, proxy: Proxy, lesson: Lesson, raw: learnt.Learnt, age_us: int) -> int:
+    def _restore(self, proxy: Proxy, lesson: Lesson, raw: learned_state.Learnt, age_us: int) -> int:
         """How many boxes are known again. Raises ValueError, and has then changed nothing."""
         now_us = proxy.clock.now_us()
-        older = learnt.aged(raw, age_us, now_us - age_us - lesson.taken_us)
+        older = learned_state.aged(raw, age_us, now_us - age_us - lesson.taken_us)
         proxy.balancer.restore(now_us, older)
         known: Any = {server[0] for server in older["servers"]}
         return len(known & proxy.balancer.servers.keys())
--- a/badgergap/copies/words.py
+++ b/badgergap/replication/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from badgergap.copies.register import Ballot, Item, Mark
+from badgergap.replication.acceptor import Ballot, Item, Mark
 
 Struct = msgspec.Struct
 
--- a/badgergap/copies/proposer.py
+++ b/badgergap/replication/proposer.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgergap.copies import record as records
-from badgergap.copies.placement import Placement, Seat, majority, part_of
-from badgergap.copies.record import Record
-from badgergap.copies.register import NONE, Ballot
-from badgergap.copies.words import Accept, Accepted, Prepare, Promised
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.placement import Placement, Seat, majority, part_of
+from badgergap.replication.idempotency_record import Record
+from badgergap.replication.acceptor import NONE, Ballot
+from badgergap.replication.messages import Accept, Accepted, Prepare, Promised
 
 AGAIN_US = 150_000  # until seats that said nothing are asked again
 ROUND_US = 2_000_000  # until a round that stands still begins anew
--- a/badgergap/copies/keeper.py
+++ b/badgergap/replication/replica.py
@@ -13,16 +13,17 @@
 
 import msgspec
 
-from badgergap.copies import placement as places
-from badgergap.copies import record as records
-from badgergap.copies import register, words
-from badgergap.copies.clock import GroupClock
-from badgergap.copies.placement import PARTS, Placement, Seat, part_of
-from badgergap.copies.proposer import Change, Done, Grip, Op, Proposer, Result
-from badgergap.copies.record import Record
-from badgergap.copies.register import BUCKETS, Bounds, Entry, Item, Shelf
-from badgergap.copies.repair import GIVE_UP_US, Pass
-from badgergap.copies.words import (
+from badgergap.replication import placement as places
+from badgergap.replication import idempotency_record as records
+from badgergap.replication import messages
+from badgergap.replication import acceptor
+from badgergap.replication.group_clock import GroupClock
+from badgergap.replication.placement import PARTS, Placement, Seat, part_of
+from badgergap.replication.proposer import Change, Done, Grip, Op, Proposer, Result
+from badgergap.replication.idempotency_record import Record
+from badgergap.replication.acceptor import BUCKETS, Bounds, Entry, Item, Shelf
+from badgergap.replication.anti_entropy import GIVE_UP_US, Pass
+from badgergap.replication.messages import (
     Accept,
     Accepted,
     Ask,
@@ -175,7 +176,7 @@
         self.passes: dict[int, Pass] = {}
         self.beginning = False
         self.quiet_us: dict[str, int] = {}  # until when a seat that said nothing is not waited for
-        self.seen: dict[int, dict[bytes, register.Ballot]] = {}
+        self.seen: dict[int, dict[bytes, acceptor.Ballot]] = {}
         self.mended = 0
         self.allowance = 0.0
         self.allowed_us = now_us
@@ -189,7 +190,7 @@
         self.report_us = now_us
         self.wished: dict[str, tuple[int, int]] = {}  # of each kind: the number, and when
         self.members: Collection[str] = ()
-        self.looked: tuple[int, words.Looked] | None = None
+        self.looked: tuple[int, messages.Looked] | None = None
 
     def take(self) -> list[Todo]:
         out, self.out = self.out, []
@@ -393,9 +394,9 @@
             case Report():
                 if self.leads:
                     self.reports[name] = (now_us, word)
-            case words.Look():
-                self.out.append(Send(name, words.Looked(self.placement.epoch, self.fresh(now_us))))
-            case words.Looked():
+            case messages.Look():
+                self.out.append(Send(name, messages.Looked(self.placement.epoch, self.fresh(now_us))))
+            case messages.Looked():
                 self.looked = (now_us, word)
             case _:
                 self._on_snapshot(now_us, name, word)
@@ -420,19 +421,19 @@
         if word.holder != self.holder or self.broken or self.stuck:
             return
         epoch = self.shelf.epoch
-        reply = self.shelf.prepare(word.key, word.ballot) if word.epoch == epoch else register.Reply(False)
+        reply = self.shelf.prepare(word.key, word.ballot) if word.epoch == epoch else acceptor.Reply(False)
         self._save(reply.save)
         said = Promised(
             word.op, epoch, self.holder, word.ballot, reply.ok, reply.accepted, reply.value, reply.promised
         )
         # What is there may have been accepted just now, and not be on disk yet.
-        self._tell(name, said, bool(reply.save) or reply.accepted > register.NONE)
+        self._tell(name, said, bool(reply.save) or reply.accepted > acceptor.NONE)
 
     def _on_accept(self, name: str, word: Accept) -> None:
         if word.holder != self.holder or self.broken or self.stuck:
             return
         epoch = self.shelf.epoch
-        reply = register.Reply(False)
+        reply = acceptor.Reply(False)
         if word.epoch == epoch:
             reply = self.shelf.accept(word.key, word.ballot, word.prior, word.value)
         self._save(reply.save)
@@ -520,7 +521,7 @@
         if not self._serves(word.holder, word.epoch):
             return
         same: list[int] = []
-        marks: dict[int, list[register.Mark]] = {}
+        marks: dict[int, list[acceptor.Mark]] = {}
         count = 0
         for number, (own, other) in enumerate(zip(self.shelf.sums_of(word.part), word.sums, strict=True)):
             if own == other:
@@ -647,8 +648,8 @@
             self.options.zone,
             self.holder,
             self.placement.epoch,
-            words.bits(self.filled),
-            words.bits(self.behind),
+            messages.bits(self.filled),
+            messages.bits(self.behind),
             self.shelf.records,
             self.shelf.bytes,
             self.shelf.states.get("doubt", 0),
@@ -664,7 +665,7 @@
     def look(self) -> None:
         """Ask the leader what it knows of all seats; `looked` has it then."""
         if self.leader:
-            self.out.append(Send(self.leader, words.Look()))
+            self.out.append(Send(self.leader, messages.Look()))
 
     def _lead(self, now_us: int) -> None:
         tick = self.clock.next(now_us)
@@ -679,7 +680,7 @@
         ):
             return
         filled = {
-            report.holder: words.unbits(report.filled)
+            report.holder: messages.unbits(report.filled)
             for report in reports.values()
             if report.epoch == self.placement.epoch
         }
@@ -718,22 +719,22 @@
 
     def _on_snapshot(self, now_us: int, name: str, word: Word) -> None:
         match word:
-            case words.Freeze():
+            case messages.Freeze():
                 if self._serves(word.holder, word.epoch) and len(self.frosts) < 2:
                     buckets = {n: list(keys) for n, keys in self.shelf.buckets.items()}
                     self.frosts[word.id] = Frost(now_us, dict(self.shelf.entries), buckets)
-                    self._tell(name, words.Frozen(word.id, self.holder))
-            case words.Thaw():
+                    self._tell(name, messages.Frozen(word.id, self.holder))
+            case messages.Thaw():
                 frost = self.frosts.get(word.id)
                 if frost is not None and word.holder == self.holder:
                     frost.thawed = True
                     if not self._frozen(now_us):
                         self._release(now_us)
-            case words.Page():
+            case messages.Page():
                 frost = self.frosts.get(word.id)
                 if frost is not None and word.holder == self.holder:
                     items, more = frost.page(word.part, word.after)
-                    self._tell(name, words.Paged(word.id, self.holder, word.part, items, more))
+                    self._tell(name, messages.Paged(word.id, self.holder, word.part, items, more))
             case _:
                 self.snapshots(name, word)
 
--- a/badgergap/copies/room.py
+++ b/badgergap/replication/service.py
@@ -18,11 +18,11 @@
 import msgspec
 
 from badgergap.consensus.service import GroupRoom, clock_us
-from badgergap.copies import keeper as keepers
-from badgergap.copies import words
-from badgergap.copies.keeper import Keeper, Options, Shout, Wish
-from badgergap.copies.proposer import Change, Grip, Result
-from badgergap.copies.words import Word
+from badgergap.replication import replica as keepers
+from badgergap.replication import messages
+from badgergap.replication.replica import Keeper, Options, Shout, Wish
+from badgergap.replication.proposer import Change, Grip, Result
+from badgergap.replication.messages import Word
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
 from badgergap.storage.record_format import Unusable
@@ -201,7 +201,7 @@
         if self.keeper is None:
             return
         try:
-            found = words.decode(data)
+            found = messages.decode(data)
         except msgspec.MsgspecError as error:
             log.warning("a word on copies from %s that this program does not know: %s", name, error)
             return
@@ -297,7 +297,7 @@
             self.settle()
 
     def _frames(self, name: str, said: list[Word]) -> None:
-        data = words.encode(said)
+        data = messages.encode(said)
         if len(data) > FRAME_BYTES and len(said) > 1:
             half = len(said) // 2
             self._frames(name, said[:half])
@@ -324,7 +324,7 @@
         self.settle()
         return await done
 
-    async def look(self) -> words.Looked | None:
+    async def look(self) -> messages.Looked | None:
         """What the leader knows of all seats."""
         it = self.keeper
         if it is None:
--- a/badgergap/staged/judge.py
+++ b/badgergap/rollout/analysis.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from badgergap.staged.plan import MEMBER, POINTS, Guard, Plan
+from badgergap.rollout.plan import MEMBER, POINTS, Guard, Plan
 
 BLOCK_S = 10
 PAST_BLOCKS = 60  # ten minutes before the change
--- a/badgergap/staged/calls.py
+++ b/badgergap/rollout/commands.py
@@ -13,11 +13,11 @@
 from badgergap.consensus.compatibility import contradictions
 from badgergap.consensus.service import GroupRoom, Refused, encode_tables
 from badgergap.proxy.lifecycle.config import ConfigError
-from badgergap.staged import sides
-from badgergap.staged.controller import Run
-from badgergap.staged.judge import BLOCK_S, BLOCKS_LEAST
-from badgergap.staged.plan import MEMBER, BadPlan, Plan, shown, stages_of
-from badgergap.staged.room import StagedRoom
+from badgergap.rollout import compatibility
+from badgergap.rollout.controller import Run
+from badgergap.rollout.analysis import BLOCK_S, BLOCKS_LEAST
+from badgergap.rollout.plan import MEMBER, BadPlan, Plan, shown, stages_of
+from badgergap.rollout.service import StagedRoom
 
 Arguments = Mapping[str, Any]
 
@@ -79,7 +79,7 @@
         member = self.group.member
         if member is not None and body == member.state.newest.settings:
             return ["the group acts on these settings already"]
-        apart = sides.apart(older, newer)
+        apart = compatibility.apart(older, newer)
         if apart:
             return apart
         try:
@@ -89,10 +89,10 @@
         return []
 
     def _split(self, older: Mapping[str, Any], newer: Mapping[str, Any]) -> list[str]:
-        apart = sides.apart(older, newer)
+        apart = compatibility.apart(older, newer)
         if not apart:
             return []
-        wide = sides.split(older, newer)
+        wide = compatibility.split(older, newer)
         if wide is None:
             return ["nothing of it may live side by side: publish it (`settings publish`)"]
         return [
--- a/badgergap/staged/controller.py
+++ b/badgergap/rollout/controller.py
@@ -37,8 +37,8 @@
 
 import msgspec
 
-from badgergap.staged.judge import Reading, Verdict
-from badgergap.staged.plan import Plan, Seat, stages_of
+from badgergap.rollout.analysis import Reading, Verdict
+from badgergap.rollout.plan import Plan, Seat, stages_of
 
 FORMAT = 1
 BEAT_US = 500_000  # between two words of the leader to each member
--- a/badgergap/staged/words.py
+++ b/badgergap/rollout/messages.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from badgergap.staged.controller import Stand
-from badgergap.staged.judge import Block
-from badgergap.staged.plan import Plan
+from badgergap.rollout.controller import Stand
+from badgergap.rollout.analysis import Block
+from badgergap.rollout.plan import Plan
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
--- a/badgergap/staged/meter.py
+++ b/badgergap/rollout/metrics.py
@@ -8,7 +8,7 @@
 
 from badgergap.proxy.proxy import Observer
 from badgergap.balancing.interface import Outcome
-from badgergap.staged.judge import CLASSES_MOST, Block, Counts
+from badgergap.rollout.analysis import CLASSES_MOST, Block, Counts
 
 PAGE = resource.getpagesize()
 
--- a/badgergap/staged/room.py
+++ b/badgergap/rollout/service.py
@@ -22,12 +22,13 @@
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Proxy
 from badgergap.site.schema import parse_duration
-from badgergap.staged import controller, words
-from badgergap.staged.controller import BEAT_US, HISTORY_MOST, STALE_US, Kept, Run, Stand, View
-from badgergap.staged.judge import BLOCK_S, PAST_BLOCKS, Block, Judge, Verdict
-from badgergap.staged.meter import Meter
-from badgergap.staged.plan import BadPlan, Plan, Seat
-from badgergap.staged.words import Answer, Beat, Begin, Did, Past, Steer, Want, Word
+from badgergap.rollout import controller
+from badgergap.rollout import messages
+from badgergap.rollout.controller import BEAT_US, HISTORY_MOST, STALE_US, Kept, Run, Stand, View
+from badgergap.rollout.analysis import BLOCK_S, PAST_BLOCKS, Block, Judge, Verdict
+from badgergap.rollout.metrics import Meter
+from badgergap.rollout.plan import BadPlan, Plan, Seat
+from badgergap.rollout.messages import Answer, Beat, Begin, Did, Past, Steer, Want, Word
 
 log = logging.getLogger(__name__)
 
@@ -147,7 +148,7 @@
 
     def heard(self, name: str, data: bytes) -> None:
         try:
-            word = words.decode(data)
+            word = messages.decode(data)
         except msgspec.MsgspecError as error:
             log.warning("a word on a change from %s that this program does not know: %s", name, error)
             return
@@ -223,7 +224,7 @@
         if name == self.name:
             self._hear(name, word)
         else:
-            self.group.pass_on(name, ROOM, words.encode(word))
+            self.group.pass_on(name, ROOM, messages.encode(word))
 
     def leader(self) -> str:
         member = self.group.member
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -24,16 +24,18 @@
 from typing import Any
 
 from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb, quantile
-from badgergap.copies import learnt, snapshot, words
-from badgergap.copies import record as records
-from badgergap.copies.learnt import Lesson
+from badgergap.replication import snapshot
+from badgergap.replication import learned_state
+from badgergap.replication import messages
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.learned_state import Lesson
 from badgergap.balancing.interface import Outcome
 from badgergap.balancing.interface import Send as Attempted
 from badgergap.standins.rig import Gateway, Rig, rig
 from tests.consensus.simulation import MS, S
-from badgergap.copies.keeper import Send
-from tests.copies.simulation import Node, World
-from tests.copies.test_process import last_steps, placed
+from badgergap.replication.replica import Send
+from tests.replication.simulation import Node, World
+from tests.replication.test_process import last_steps, placed
 from tests.helpers import Driver
 
 WHOLE = 100_000  # records up to which all are laid out in simulated time
@@ -298,7 +300,7 @@
 
 async def steps(points: int) -> int:
     with tempfile.TemporaryDirectory() as folder:
-        from tests.copies.load import keyed
+        from tests.replication.load import keyed
 
         async with rig(Path(folder), copies="copies = 3\n", shared=keyed()) as it:
             await it.settled()
@@ -316,7 +318,7 @@
 
     def send(self, node: Node, send: Send) -> None:
         if send.name != node.name:
-            self.sizes += len(words.encode([send.word])) + 60
+            self.sizes += len(messages.encode([send.word])) + 60
         super().send(node, send)
 
 
@@ -381,7 +383,7 @@
 
 
 def lessons() -> None:
-    for boxes in (10, 100, learnt.BOXES_MOST):
+    for boxes in (10, 100, learned_state.BOXES_MOST):
         driver = Driver(servers=boxes)
         for n in range(min(20 * boxes, 4000)):
             name, actions = driver.arrive()
@@ -392,7 +394,7 @@
         took, data = [], b""
         for _ in range(20):
             began = time.perf_counter()
-            packed = learnt.pack(Lesson(driver.now_us, ("a",), {"": driver.balancer.snapshot()}))
+            packed = learned_state.pack(Lesson(driver.now_us, ("a",), {"": driver.balancer.snapshot()}))
             took.append(time.perf_counter() - began)
             assert packed is not None
             data = packed
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/copies_faults.py
@@ -19,8 +19,8 @@
 
 from benchmarks.common import quantile
 from badgergap.standins.rig import Timeline, rig
-from tests.copies.load import Keyed, keyed
-from tests.copies.test_process import placed
+from tests.replication.load import Keyed, keyed
+from tests.replication.test_process import placed
 
 FAULTS = ("kill", "kill", "stop", "stop", "cut", "cut", "deaf", "reset", "wipe", "copy")
 
--- a/benchmarks/copies_schedules.py
+++ b/benchmarks/copies_schedules.py
@@ -1,4 +1,4 @@
-"""Copies in simulated time, many schedules at once: those of `tests/copies`.
+"""Copies in simulated time, many schedules at once: those of `tests/replication`.
 
     python -m benchmarks.copies_schedules [--count 20000] [--jobs 7]
 
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from tests.consensus.simulation import Violation
-from tests.copies.simulation import SCHEDULES
+from tests.replication.simulation import SCHEDULES
 
 # Share of the seeds, schedule, members, copies.
 PLAN = (
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -16,11 +16,11 @@
 
 from benchmarks.copies import SITE, Load, box, cpu_of
 from badgergap.site.schema import Duration
-from badgergap.staged.plan import ChangeFile, to_plan
+from badgergap.rollout.plan import ChangeFile, to_plan
 from badgergap.standins.rig import rig
 from tests.consensus.test_process import run
-from tests.staged.simulation import S, World
-from tests.staged.test_process import site
+from tests.rollout.simulation import S, World
+from tests.rollout.test_process import site
 
 CHANGE = 'name = "more"\nsettings = "new.toml"\nleast = "1h"\nlongest = "2h"\n'
 
--- a/benchmarks/staged_judging.py
+++ b/benchmarks/staged_judging.py
@@ -20,8 +20,8 @@
 
 import numpy as np
 
-from badgergap.staged.judge import BLOCK_S, PAST_BLOCKS, Block, Counts, Judge
-from badgergap.staged.plan import ChangeFile, Guard, Plan, Seat, stages_of, to_plan
+from badgergap.rollout.analysis import BLOCK_S, PAST_BLOCKS, Block, Counts, Judge
+from badgergap.rollout.plan import ChangeFile, Guard, Plan, Seat, stages_of, to_plan
 
 CLASSES = {"pages": (0.89, 0.985, 40.0), "slips": (0.10, 0.99, 120.0), "rare": (0.01, 0.98, 300.0)}
 RATES = (5.0, 20.0, 100.0, 500.0)
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -9,10 +9,10 @@
 trap 'rm -rf "$told"' EXIT
 mypy > "$told/types" 2>&1 & types=$!
 beside=(tests/etcd tests/h3 tests/hot_restart tests/console tests/appliance tests/proxy/limits tests/proxy/lifecycle)
-python -m pytest tests/consensus tests/copies > "$told/groups" 2>&1 & groups=$!
+python -m pytest tests/consensus tests/replication > "$told/groups" 2>&1 & groups=$!
 python -m pytest "${beside[@]}" > "$told/beside" 2>&1 & others=$!
 rest=0
-python -m pytest --ignore=tests/consensus --ignore=tests/copies "${beside[@]/#/--ignore=}" > "$told/rest" 2>&1 || rest=$?
+python -m pytest --ignore=tests/consensus --ignore=tests/replication "${beside[@]/#/--ignore=}" > "$told/rest" 2>&1 || rest=$?
 wait "$types" || { cat "$told/types"; rest=1; }
 wait "$groups" || rest=1
 wait "$others" || rest=1
--- a/tests/compatibility/test_replication_bytes.py
+++ b/tests/compatibility/test_replication_bytes.py
@@ -11,23 +11,23 @@
 import msgspec
 import pytest
 
-from badgergap.copies import clock as copies_clock
-from badgergap.copies import learnt as copies_learnt
-from badgergap.copies import placement as copies_placement
-from badgergap.copies import record as copies_record
-from badgergap.copies import register as copies_register
-from badgergap.copies import snapshot as copies_snapshot
-from badgergap.copies import words as copies_words
+from badgergap.replication import group_clock as replication_group_clock
+from badgergap.replication import learned_state as replication_learned_state
+from badgergap.replication import placement as replication_placement
+from badgergap.replication import idempotency_record as replication_idempotency_record
+from badgergap.replication import acceptor as replication_acceptor
+from badgergap.replication import snapshot as replication_snapshot
+from badgergap.replication import messages as replication_messages
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
     # replication messages
     (
-        copies_words.Prepare(op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9)),
+        replication_messages.Prepare(op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9)),
         "96a1700203a27334c40262359406070809",
     ),
     (
-        copies_words.Promised(
+        replication_messages.Promised(
             op=2,
             epoch=3,
             holder="s4",
@@ -40,35 +40,35 @@
         "99a1710203a273349405060708c2940a0b0c0dc403623134940f101112",
     ),
     (
-        copies_words.Accept(
+        replication_messages.Accept(
             op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9), prior=(10, 11, 12, 13), value=b"b14"
         ),
         "98a1610203a27334c40262359406070809940a0b0c0dc403623134",
     ),
     (
-        copies_words.Accepted(
+        replication_messages.Accepted(
             op=2, epoch=3, holder="s4", ballot=(5, 6, 7, 8), ok=False, promised=(10, 11, 12, 13), full=True
         ),
         "98a1620203a273349405060708c2940a0b0c0dc3",
     ),
-    (copies_words.Compare(epoch=2, holder="s3", part=4, sums=(5,), had=6), "96a16302a2733304910506"),
+    (replication_messages.Compare(epoch=2, holder="s3", part=4, sums=(5,), had=6), "96a16302a2733304910506"),
     (
-        copies_words.Compared(
+        replication_messages.Compared(
             epoch=2, holder="s3", part=4, same=(5,), marks={6: [(b"b7", (8, 9, 10, 11), 12)]}
         ),
         "96a16402a2733304910581069193c40262379408090a0b0c",
     ),
-    (copies_words.Fetch(epoch=2, holder="s3", part=4, keys=[b"b5"]), "95a16602a273330491c4026235"),
+    (replication_messages.Fetch(epoch=2, holder="s3", part=4, keys=[b"b5"]), "95a16602a273330491c4026235"),
     (
-        copies_words.Fetched(
+        replication_messages.Fetched(
             epoch=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], gone=[b"b11"]
         ),
         "96a16702a27333049193c40262359406070809c40362313091c403623131",
     ),
-    (copies_words.Ask(op=2, life=3, claim="s4"), "94a1770203a27334"),
-    (copies_words.Told(op=2, state="s3"), "93a17802a27333"),
+    (replication_messages.Ask(op=2, life=3, claim="s4"), "94a1770203a27334"),
+    (replication_messages.Told(op=2, state="s3"), "93a17802a27333"),
     (
-        copies_words.Report(
+        replication_messages.Report(
             zone="s2",
             holder="s3",
             epoch=4,
@@ -83,12 +83,12 @@
         ),
         "9ca172a27332a2733304c4026235c4026236070809a37331300b0c",
     ),
-    (copies_words.Look(), "91a16c"),
+    (replication_messages.Look(), "91a16c"),
     (
-        copies_words.Looked(
+        replication_messages.Looked(
             epoch=2,
             lines={
-                "s3": copies_words.Report(
+                "s3": replication_messages.Report(
                     zone="s4",
                     holder="s5",
                     epoch=6,
@@ -105,34 +105,36 @@
         ),
         "93a16d0281a273339ca172a27334a2733506c4026237c4026238090a0ba37331320d0e",
     ),
-    (copies_words.Freeze(id=2, epoch=3, holder="s4"), "94a17a0203a27334"),
-    (copies_words.Frozen(id=2, holder="s3"), "93a17902a27333"),
-    (copies_words.Thaw(id=2, holder="s3"), "93a17402a27333"),
-    (copies_words.Page(id=2, holder="s3", part=4, after=b"b5"), "95a16e02a2733304c4026235"),
+    (replication_messages.Freeze(id=2, epoch=3, holder="s4"), "94a17a0203a27334"),
+    (replication_messages.Frozen(id=2, holder="s3"), "93a17902a27333"),
+    (replication_messages.Thaw(id=2, holder="s3"), "93a17402a27333"),
+    (replication_messages.Page(id=2, holder="s3", part=4, after=b"b5"), "95a16e02a2733304c4026235"),
     (
-        copies_words.Paged(id=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], more=False),
+        replication_messages.Paged(
+            id=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], more=False
+        ),
         "96a16f02a27333049193c40262359406070809c403623130c2",
     ),
     # learned state
-    (copies_learnt.Keep(lesson=b"b2"), "92a16bc4026232"),
-    (copies_learnt.Want(), "91a177"),
-    (copies_learnt.Have(lesson=b"b2", age_us=3), "93a168c402623203"),
+    (replication_learned_state.Keep(lesson=b"b2"), "92a16bc4026232"),
+    (replication_learned_state.Want(), "91a177"),
+    (replication_learned_state.Have(lesson=b"b2", age_us=3), "93a168c402623203"),
     (
-        copies_learnt.Lesson(taken_us=2, classes=("s3",), pools={"s4": {"s5": {"mean_out": 6}}}),
+        replication_learned_state.Lesson(taken_us=2, classes=("s3",), pools={"s4": {"s5": {"mean_out": 6}}}),
         "930291a2733381a2733481a2733581a86d65616e5f6f757406",
     ),
     # replication data
     (
-        copies_register.Line(epoch=2, reserve=3, key=b"b4", ballot=(5, 6, 7, 8), value=b"b9"),
+        replication_acceptor.Line(epoch=2, reserve=3, key=b"b4", ballot=(5, 6, 7, 8), value=b"b9"),
         "950203c40262349405060708c4026239",
     ),
-    (copies_clock.Tick(now_us=2, sure_since_us=3), "920203"),
+    (replication_group_clock.Tick(now_us=2, sure_since_us=3), "920203"),
     (
-        copies_placement.Placement(
+        replication_placement.Placement(
             epoch=2,
             copies=3,
-            seats=(copies_placement.Seat(name="s4", zone="s5", holder="s6"),),
-            before=(copies_placement.Seat(name="s7", zone="s8", holder="s9"),),
+            seats=(replication_placement.Seat(name="s4", zone="s5", holder="s6"),),
+            before=(replication_placement.Seat(name="s7", zone="s8", holder="s9"),),
             holes={10: 11},
             lost=(12,),
             parts=13,
@@ -141,13 +143,13 @@
         "9802039193a27334a27335a273369193a27337a27338a27339810a0b910c0d01",
     ),
     (
-        copies_snapshot.Head(format=1, group="s2", epoch=3, at_us=4, settings="s5", out={"s6": "s7"}),
+        replication_snapshot.Head(format=1, group="s2", epoch=3, at_us=4, settings="s5", out={"s6": "s7"}),
         "97a46865616401a273320304a2733581a27336a27337",
     ),
-    (copies_snapshot.Page(records=[(b"b2", b"b3")]), "92a4706167659192c4026232c4026233"),
-    (copies_snapshot.Foot(count=2, digest=b"b3"), "93a4666f6f7402c4026233"),
+    (replication_snapshot.Page(records=[(b"b2", b"b3")]), "92a4706167659192c4026232c4026233"),
+    (replication_snapshot.Foot(count=2, digest=b"b3"), "93a4666f6f7402c4026233"),
     (
-        copies_record.Record(
+        replication_idempotency_record.Record(
             state="begun",
             claim="s2",
             owner="s3",
@@ -167,7 +169,7 @@
         "9fa5626567756ea27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
     ),
     (
-        copies_record.Record(
+        replication_idempotency_record.Record(
             state="free",
             claim="s2",
             owner="s3",
@@ -187,7 +189,7 @@
         "9fa466726565a27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
     ),
     (
-        copies_record.Record(
+        replication_idempotency_record.Record(
             state="done",
             claim="s2",
             owner="s3",
@@ -207,7 +209,7 @@
         "9fa4646f6e65a27332a2733304c4026235a27336a273370809910ac20c9192c403623133c403623134c403623135c3",
     ),
     (
-        copies_record.Record(
+        replication_idempotency_record.Record(
             state="doubt",
             claim="s2",
             owner="s3",
--- a/tests/compatibility/test_rollout_bytes.py
+++ b/tests/compatibility/test_rollout_bytes.py
@@ -11,24 +11,24 @@
 import msgspec
 import pytest
 
-from badgergap.staged import controller as staged_controller
-from badgergap.staged import judge as staged_judge
-from badgergap.staged import plan as staged_plan
-from badgergap.staged import words as staged_words
+from badgergap.rollout import controller as rollout_controller
+from badgergap.rollout import analysis as rollout_analysis
+from badgergap.rollout import plan as rollout_plan
+from badgergap.rollout import messages as rollout_messages
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
     # rollout messages
-    (staged_words.Beat(number=2), "92a16202"),
+    (rollout_messages.Beat(number=2), "92a16202"),
     (
-        staged_controller.Stand(number=2, id="s3", treated=True, failed="s5", moving=True),
+        rollout_controller.Stand(number=2, id="s3", treated=True, failed="s5", moving=True),
         "96a17302a27333c3a27335c3",
     ),
     (
-        staged_words.Did(
-            block=staged_judge.Block(
+        rollout_messages.Did(
+            block=rollout_analysis.Block(
                 classes={
-                    "s2": staged_judge.Counts(asked=3, good=4, late=5, refused=6, failed=7, took_ms=8.5)
+                    "s2": rollout_analysis.Counts(asked=3, good=4, late=5, refused=6, failed=7, took_ms=8.5)
                 },
                 tries=9,
                 cpu_us=10,
@@ -39,12 +39,14 @@
         "92a1649581a27332960304050607cb4021000000000000090a0b0c",
     ),
     (
-        staged_words.Past(
+        rollout_messages.Past(
             id="s2",
             blocks=[
-                staged_judge.Block(
+                rollout_analysis.Block(
                     classes={
-                        "s3": staged_judge.Counts(asked=4, good=5, late=6, refused=7, failed=8, took_ms=9.5)
+                        "s3": rollout_analysis.Counts(
+                            asked=4, good=5, late=6, refused=7, failed=8, took_ms=9.5
+                        )
                     },
                     tries=10,
                     cpu_us=11,
@@ -55,13 +57,13 @@
         ),
         "93a170a27332919581a27333960405060708cb40230000000000000a0b0c0d",
     ),
-    (staged_words.Want(id="s2"), "92a177a27332"),
+    (rollout_messages.Want(id="s2"), "92a177a27332"),
     (
-        staged_words.Begin(
+        rollout_messages.Begin(
             id="s2",
             by="s3",
             reason="s4",
-            plan=staged_plan.Plan(
+            plan=rollout_plan.Plan(
                 name="s5",
                 stages=("s6",),
                 least_us=7,
@@ -72,7 +74,7 @@
                 away_us=12,
                 undo="s13",
                 guards=(
-                    staged_plan.Guard(measure="service", klass="s14", worse_by=15.5, hard=16.5, must=False),
+                    rollout_plan.Guard(measure="service", klass="s14", worse_by=15.5, hard=16.5, must=False),
                 ),
             ),
             base=18,
@@ -80,17 +82,17 @@
         ),
         "97a16ea27332a27333a273349aa2733591a273360708090a0b0ca37331339185a76d656173757265a773657276696365a5636c617373a3733134a8776f7273655f6279cb402f000000000000a468617264cb4030800000000000a46d757374c212a3733139",
     ),
-    (staged_words.Steer(wish="s2", id="s3", do="s4", by="s5"), "95a174a27332a27333a27334a27335"),
-    (staged_words.Answer(id="s2", why="s3"), "93a161a27332a27333"),
+    (rollout_messages.Steer(wish="s2", id="s3", do="s4", by="s5"), "95a174a27332a27333a27334a27335"),
+    (rollout_messages.Answer(id="s2", why="s3"), "93a161a27332a27333"),
     # rollout data
     (
-        staged_controller.Kept(
+        rollout_controller.Kept(
             format=1,
-            run=staged_controller.Run(
+            run=rollout_controller.Run(
                 id="s2",
                 by="s3",
                 reason="s4",
-                plan=staged_plan.Plan(
+                plan=rollout_plan.Plan(
                     name="s5",
                     stages=("s6",),
                     least_us=7,
@@ -101,7 +103,7 @@
                     away_us=12,
                     undo="s13",
                     guards=(
-                        staged_plan.Guard(
+                        rollout_plan.Guard(
                             measure="service", klass="s14", worse_by=15.5, hard=16.5, must=False
                         ),
                     ),
@@ -113,13 +115,13 @@
                 told=("s22",),
                 why="s23",
                 hurry=True,
-                events=(staged_controller.Event(at=25.5, text="s26"),),
+                events=(rollout_controller.Event(at=25.5, text="s26"),),
                 judged=(
-                    staged_controller.Judged(
+                    rollout_controller.Judged(
                         stage=27,
                         seconds=28.5,
                         readings=(
-                            staged_judge.Reading(
+                            rollout_analysis.Reading(
                                 guard="s29",
                                 verdict="s30",
                                 worse=31.5,
@@ -134,11 +136,11 @@
                 ),
             ),
             history=(
-                staged_controller.Run(
+                rollout_controller.Run(
                     id="s37",
                     by="s38",
                     reason="s39",
-                    plan=staged_plan.Plan(
+                    plan=rollout_plan.Plan(
                         name="s40",
                         stages=("s41",),
                         least_us=42,
@@ -149,7 +151,7 @@
                         away_us=47,
                         undo="s48",
                         guards=(
-                            staged_plan.Guard(
+                            rollout_plan.Guard(
                                 measure="service", klass="s49", worse_by=50.5, hard=51.5, must=True
                             ),
                         ),
@@ -161,13 +163,13 @@
                     told=("s57",),
                     why="s58",
                     hurry=False,
-                    events=(staged_controller.Event(at=60.5, text="s61"),),
+                    events=(rollout_controller.Event(at=60.5, text="s61"),),
                     judged=(
-                        staged_controller.Judged(
+                        rollout_controller.Judged(
                             stage=62,
                             seconds=63.5,
                             readings=(
-                                staged_judge.Reading(
+                                rollout_analysis.Reading(
                                     guard="s64",
                                     verdict="s65",
                                     worse=66.5,
@@ -186,8 +188,10 @@
         "93019da27332a27333a273349aa2733591a273360708090a0b0ca37331339185a76d656173757265a773657276696365a5636c617373a3733134a8776f7273655f6279cb402f000000000000a468617264cb4030800000000000a46d757374c2129191a3733139a37332301591a3733232a3733233c39192cb4039800000000000a373323691931bcb403c8000000000009198a3733239a3733330cb403f800000000000cb4040400000000000cb4040c000000000002223a3733336919da3733337a3733338a37333399aa373343091a37334312a2b2c2d2e2fa37334389185a76d656173757265a773657276696365a5636c617373a3733439a8776f7273655f6279cb4049400000000000a468617264cb4049c00000000000a46d757374c3359191a3733534a37335353891a3733537a3733538c29192cb404e400000000000a373363191933ecb404fc000000000009198a3733634a3733635cb4050a00000000000cb4050e00000000000cb40512000000000004546a3733731",
     ),
     (
-        staged_judge.Block(
-            classes={"s2": staged_judge.Counts(asked=3, good=4, late=5, refused=6, failed=7, took_ms=8.5)},
+        rollout_analysis.Block(
+            classes={
+                "s2": rollout_analysis.Counts(asked=3, good=4, late=5, refused=6, failed=7, took_ms=8.5)
+            },
             tries=9,
             cpu_us=10,
             rss=11,
@@ -196,17 +200,17 @@
         "9581a27332960304050607cb4021000000000000090a0b0c",
     ),
     (
-        staged_judge.Reading(
+        rollout_analysis.Reading(
             guard="s2", verdict="s3", worse=4.5, least=5.5, most=6.5, requests=7, blocks=8, why="s9"
         ),
         "98a27332a27333cb4012000000000000cb4016000000000000cb401a0000000000000708a27339",
     ),
     (
-        staged_judge.Verdict(
+        rollout_analysis.Verdict(
             verdict="s2",
             why="s3",
             readings=(
-                staged_judge.Reading(
+                rollout_analysis.Reading(
                     guard="s4", verdict="s5", worse=6.5, least=7.5, most=8.5, requests=9, blocks=10, why="s11"
                 ),
             ),
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -18,7 +18,7 @@
 from badgergap.consensus import replicated_state
 from badgergap.consensus.persistence import decode
 from badgergap.consensus.raft import Durable, Entry, Peer, Snapshot
-from badgergap.copies import snapshot
+from badgergap.replication import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.hot_restart import state_transfer
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -32,7 +32,7 @@
 from badgergap.cli.serve import check
 import badgergap.__main__
 check(Path({str(shipped)!r}), {{}})
-UNWANTED = ("badgergap.consensus", "badgergap.copies", "badgergap.storage", "xxhash", "zstandard")
+UNWANTED = ("badgergap.consensus", "badgergap.replication", "badgergap.storage", "xxhash", "zstandard")
 found = [name for name in sys.modules if name.startswith(UNWANTED)]
 assert not found, found
 """
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from badgergap.copies.guard import Held
+from badgergap.replication.idempotency_filter import Held
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy import unread_input
--- a/tests/copies/dying.py
+++ b/tests/replication/dying.py
@@ -1,6 +1,6 @@
 """`badgergap` that kills itself at the n-th step of what it does for keyed requests. For tests only.
 
-    python -m tests.copies.dying NUMBER serve FILE ...
+    python -m tests.replication.dying NUMBER serve FILE ...
 
 Steps are counted from the first keyed request on: each word that goes out, each write to the log before and
 after, each attempt that may go, each answer that is kept, each that is given.
@@ -14,14 +14,14 @@
 from typing import Any
 
 STEPS = [
-    ("badgergap.copies.room", "CopiesRoom", "_send"),
-    ("badgergap.copies.room", "CopiesRoom", "_write"),
-    ("badgergap.copies.room", "CopiesRoom", "_durable"),
-    ("badgergap.copies.room", "CopiesRoom", "_hear"),
+    ("badgergap.replication.service", "CopiesRoom", "_send"),
+    ("badgergap.replication.service", "CopiesRoom", "_write"),
+    ("badgergap.replication.service", "CopiesRoom", "_durable"),
+    ("badgergap.replication.service", "CopiesRoom", "_hear"),
     ("badgergap.storage.record_log", "Log", "append"),
-    ("badgergap.copies.guard", "Held", "go"),
-    ("badgergap.copies.guard", "Seat", "answered"),
-    ("badgergap.copies.guard", "Seat", "reply"),
+    ("badgergap.replication.idempotency_filter", "Held", "go"),
+    ("badgergap.replication.idempotency_filter", "Seat", "answered"),
+    ("badgergap.replication.idempotency_filter", "Seat", "reply"),
 ]
 
 
@@ -47,7 +47,7 @@
 
     for module, kind, name in STEPS:
         wrap(getattr(__import__(module, fromlist=[kind]), kind), name)
-    from badgergap.copies.guard import Guard
+    from badgergap.replication.idempotency_filter import Guard
 
     start = Guard.start
 
--- a/tests/copies/guards.py
+++ b/tests/replication/guards.py
@@ -8,16 +8,18 @@
 
 import msgspec
 
-from badgergap.copies import keeper, placement, record
-from badgergap.copies.once import Once
-from badgergap.copies.placement import Placement, Seat
-from badgergap.copies.proposer import Grip, Op, Result
-from badgergap.copies.record import Do, Record
-from badgergap.copies.register import NONE, Ballot, Reply, Shelf
-from badgergap.copies.repair import Found, Pass
-from badgergap.copies.words import Accept, Prepare, Promised, Word
+from badgergap.replication import placement
+from badgergap.replication import idempotency_record
+from badgergap.replication import replica
+from badgergap.replication.idempotent_request import Once
+from badgergap.replication.placement import Placement, Seat
+from badgergap.replication.proposer import Grip, Op, Result
+from badgergap.replication.idempotency_record import Do, Record
+from badgergap.replication.acceptor import NONE, Ballot, Reply, Shelf
+from badgergap.replication.anti_entropy import Found, Pass
+from badgergap.replication.messages import Accept, Prepare, Promised, Word
 from tests.consensus.simulation import Violation
-from tests.copies.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
+from tests.replication.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
 
 
 class PromisesNothing(Shelf):
@@ -60,7 +62,7 @@
 
 class SaysBeforeItIsWritten(Watch):
     def _tell(self, name: str, word: Word, rests: bool = True) -> None:
-        self.out.append(keeper.Send(name, word))
+        self.out.append(replica.Send(name, word))
 
 
 class NoWriteBack(Watched):
@@ -94,9 +96,9 @@
 
 
 class GivesBeforeItIsKept(Once):
-    def answered(self, status: int, headers: record.Fields, body: bytes) -> None:
+    def answered(self, status: int, headers: idempotency_record.Fields, body: bytes) -> None:
         if self.running and self.record is not None:
-            given = record.done(self.record, status, headers, body)
+            given = idempotency_record.done(self.record, status, headers, body)
             super().answered(status, headers, body)
             if not self.over:
                 self.over = True
@@ -158,7 +160,7 @@
     )
 
 
-judge, follows = record.judge, record.follows
+judge, follows = idempotency_record.judge, idempotency_record.follows
 
 
 def keeper_of(**classes: object) -> type[Watch]:
@@ -198,7 +200,7 @@
         "what is in doubt is not run anew",
         "crossing",
         5,
-        patches=((record, "judge", run_in_doubt), (record, "follows", follows_doubt)),
+        patches=((idempotency_record, "judge", run_in_doubt), (idempotency_record, "follows", follows_doubt)),
     ),
     Guard("a promise is kept", "crossing", 0, keeper_of(shelves=PromisesNothing)),
     Guard("a promise is kept over a restart", "anything", 390, keeper_of(shelves=ForgetsPromises)),
@@ -208,7 +210,7 @@
     Guard("an old epoch is refused", "joins", 1, AnyEpoch),
     Guard("both sets agree while seats move", "ruin", 2, patches=((Placement, "sets", new_set_alone),)),
     Guard("a new seat is filled before it counts", "ruin", 2, patches=((placement, "_is_held", held),)),
-    Guard("what is not chosen is settled", "anything", 64, patches=((keeper, "Pass", AdoptsAnything),)),
+    Guard("what is not chosen is settled", "anything", 64, patches=((replica, "Pass", AdoptsAnything),)),
     Guard("a wiped disk is another", "moves", 148, world=SameIdentity),
     Guard("what was lost is in doubt", "ruin", 2, patches=((Placement, "is_hole", no_holes),)),
 ]
--- a/tests/copies/simulation.py
+++ b/tests/replication/simulation.py
@@ -14,14 +14,14 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from badgergap.copies import record as records
-from badgergap.copies.keeper import Keeper, Options, Save, Send, Wish
-from badgergap.copies.once import End, Once, Request
-from badgergap.copies.proposer import Change, Done, Grip, Op, Proposer, Result
-from badgergap.copies.record import Record, Repeats, digest_of
-from badgergap.copies.register import Bounds
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.replica import Keeper, Options, Save, Send, Wish
+from badgergap.replication.idempotent_request import End, Once, Request
+from badgergap.replication.proposer import Change, Done, Grip, Op, Proposer, Result
+from badgergap.replication.idempotency_record import Record, Repeats, digest_of
+from badgergap.replication.acceptor import Bounds
 from tests.consensus.simulation import MS, S, Timed, Violation
-from tests.copies.history import NEVER, Step, order_of
+from tests.replication.history import NEVER, Step, order_of
 
 TICK_US = 25 * MS
 LEASE_US = 2_400 * MS
--- a/tests/copies/test_lessons.py
+++ b/tests/replication/test_learned_state.py
@@ -14,13 +14,13 @@
 from hypothesis import strategies as st
 
 from badgergap.balancing.choice import CEILING, FLOOR, RING, State
-from badgergap.copies import learnt
-from badgergap.copies.learnt import BadLesson, Have, Keep, Kept, Lesson
-from badgergap.copies.lessons import LessonsRoom
-from badgergap.copies.placement import Seat
+from badgergap.replication import learned_state
+from badgergap.replication.learned_state import BadLesson, Have, Keep, Kept, Lesson
+from badgergap.replication.learned_state_service import LessonsRoom
+from badgergap.replication.placement import Seat
 from badgergap.standins.rig import rig
-from tests.copies.load import keyed, post
-from tests.copies.test_process import placed, played
+from tests.replication.load import keyed, post
+from tests.replication.test_process import placed, played
 from tests.helpers import START_US, Driver, trip
 
 S = 1_000_000
@@ -39,11 +39,11 @@
     return driver
 
 
-def carried(raw: learnt.Learnt) -> learnt.Learnt:
+def carried(raw: learned_state.Learnt) -> learned_state.Learnt:
     """As it comes out at the other end."""
-    data = learnt.pack(Lesson(1, ("a",), {"": raw}))
+    data = learned_state.pack(Lesson(1, ("a",), {"": raw}))
     assert data is not None
-    return learnt.unpack(data).pools[""]
+    return learned_state.unpack(data).pools[""]
 
 
 @pytest.mark.parametrize("skew_us", [0, -3_600 * S, 3_600 * S])
@@ -55,7 +55,7 @@
     new = Driver()
     now_us = START_US + 7_200 * S + skew_us
     age_us = left_us // 2
-    older = learnt.aged(raw, age_us, now_us - age_us - old.now_us)
+    older = learned_state.aged(raw, age_us, now_us - age_us - old.now_us)
     new.balancer.restore(now_us, older)
     new.now_us = now_us
     breaker = new.balancer.servers[0].breakers[0]
@@ -67,12 +67,12 @@
 @given(st.integers(0, 20 * 60 * S), st.integers(-(10**15), 10**15))
 def test_the_older_it_is_the_less_it_says(age_us: int, shift_us: int) -> None:
     raw = experienced().balancer.snapshot()
-    older = learnt.aged(raw, age_us, shift_us)
+    older = learned_state.aged(raw, age_us, shift_us)
     for before, after in zip(raw["servers"], older["servers"], strict=True):
         assert before[1] <= after[1] <= CEILING
         assert all(len(a[3]) <= len(b[3]) <= RING for a, b in zip(after[8], before[8], strict=True))
         assert all(a[3] == b[3][len(b[3]) - len(a[3]) :] for a, b in zip(after[8], before[8], strict=True))
-    if age_us >= 10 * learnt.HALF_LIFE_US:
+    if age_us >= 10 * learned_state.HALF_LIFE_US:
         assert older["servers"][0][1] > 0.99 and not older["servers"][0][8][0][3]
     Driver().balancer.restore(START_US, older)  # whatever it is, it can be gone on with
 
@@ -81,40 +81,40 @@
     raw: Any = experienced().balancer.snapshot()
     for key, value in (("servers", [[1, 2]]), ("asked", 7), ("shed", "x"), ("servers", None)):
         with pytest.raises(BadLesson):
-            learnt.aged({**raw, key: value}, 0, 0)
+            learned_state.aged({**raw, key: value}, 0, 0)
     with pytest.raises(BadLesson):
-        learnt.aged({}, 0, 0)
-    data = learnt.pack(Lesson(1, (), {}))
+        learned_state.aged({}, 0, 0)
+    data = learned_state.pack(Lesson(1, (), {}))
     assert data is not None
     for bad in (b"", b"x" * 20, data[:-2], msgspec.msgpack.encode([1])):
         with pytest.raises(BadLesson):
-            learnt.unpack(bad)
+            learned_state.unpack(bad)
 
 
 def test_what_is_kept_for_others_is_bounded() -> None:
     kept = Kept()
     for n in range(100):
-        kept.keep(n, f"g{n}", bytes(learnt.LESSON_BYTES))
-    assert kept.size <= learnt.KEPT_BYTES and kept.have(100, "g0") is None
-    assert kept.have(100, "g99") == Have(bytes(learnt.LESSON_BYTES), 1)
+        kept.keep(n, f"g{n}", bytes(learned_state.LESSON_BYTES))
+    assert kept.size <= learned_state.KEPT_BYTES and kept.have(100, "g0") is None
+    assert kept.have(100, "g99") == Have(bytes(learned_state.LESSON_BYTES), 1)
     kept.keep(200, "g99", b"newer")
     assert kept.have(300, "g99") == Have(b"newer", 100)
-    kept.keep(300, "g99", bytes(learnt.LESSON_BYTES + 1))  # none at all rather than an old one
+    kept.keep(300, "g99", bytes(learned_state.LESSON_BYTES + 1))  # none at all rather than an old one
     assert kept.have(300, "g99") is None
-    assert kept.have(101 + learnt.OLDEST_US, "g98") is None and not kept.lessons
-    assert learnt.decode(learnt.encode(Keep(b"x"))) == Keep(b"x")
+    assert kept.have(101 + learned_state.OLDEST_US, "g98") is None and not kept.lessons
+    assert learned_state.decode(learned_state.encode(Keep(b"x"))) == Keep(b"x")
 
 
 @given(st.integers(1, 9), st.integers(1, 4))
 def test_others_keep_it_and_of_other_zones_first(members: int, zones: int) -> None:
     seats = tuple(Seat(f"g{n}", f"z{n % zones}", "h") for n in range(members))
     for own in seats:
-        names = learnt.holders(own, seats)
+        names = learned_state.holders(own, seats)
         chosen = [seat for seat in seats if seat.name in names]
-        assert own.name not in names and len(names) == min(learnt.HOLDERS, members - 1) == len(chosen)
+        assert own.name not in names and len(names) == min(learned_state.HOLDERS, members - 1) == len(chosen)
         away = {seat.zone for seat in seats} - {own.zone}
         assert len({seat.zone for seat in chosen} - {own.zone}) >= min(len(away), len(chosen))
-        assert learnt.holders(own, tuple(reversed(seats))) == names
+        assert learned_state.holders(own, tuple(reversed(seats))) == names
 
 
 def room_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LessonsRoom:
@@ -128,8 +128,8 @@
 def test_a_lesson_is_taken_before_anything_is_sent_and_only_if_it_fits() -> None:
     old = experienced()
     raw = old.balancer.snapshot()
-    good = learnt.pack(Lesson(old.now_us, ("a",), {"": raw, "gone": raw}))
-    bad = learnt.pack(Lesson(old.now_us, ("a",), {"": {**raw, "reach": float("nan")}}))
+    good = learned_state.pack(Lesson(old.now_us, ("a",), {"": raw, "gone": raw}))
+    bad = learned_state.pack(Lesson(old.now_us, ("a",), {"": {**raw, "reach": float("nan")}}))
     assert good is not None and bad is not None
     assert room_of(Driver(servers=0)).take_back("g1", Have(good, S)) is False  # until there is a list
     room = room_of(taken := Driver())
@@ -137,7 +137,7 @@
     assert taken.balancer.servers[0].breakers[0].state is State.OPEN
     for room, have in (
         (room_of(Driver(), ("b",)), Have(good, S)),
-        (room_of(Driver()), Have(good, learnt.OLDEST_US + 1)),
+        (room_of(Driver()), Have(good, learned_state.OLDEST_US + 1)),
         (room_of(Driver()), Have(bad, S)),
         (room_of(Driver()), Have(good[:-3], S)),
     ):
--- a/tests/copies/test_process.py
+++ b/tests/replication/test_process.py
@@ -17,7 +17,7 @@
 from badgergap.standins.h3 import Client3
 from badgergap.standins.rig import Gateway, Rig, Timeline, rig
 from tests.consensus.test_process import run
-from tests.copies.load import Keyed, keyed, post
+from tests.replication.load import Keyed, keyed, post
 from tests.h3.harness import https
 
 PLACED_S = 20.0
@@ -203,7 +203,7 @@
     wrong, known = [], dict[str, bytes]()
     for step in steps:
         it.wipe(a)
-        it.run(a, program=(sys.executable, "-B", "-m", "tests.copies.dying", str(step)))
+        it.run(a, program=(sys.executable, "-B", "-m", "tests.replication.dying", str(step)))
         await it.settled()
         voted = [m for m in (await it.status(b))["members"] if m["name"] == a.name]
         if len(voted) > 1:
--- a/tests/copies/test_schedules.py
+++ b/tests/replication/test_schedules.py
@@ -7,17 +7,17 @@
 import msgspec
 import pytest
 
-from badgergap.copies import keeper as keepers
-from badgergap.copies import placement
-from badgergap.copies import record as records
-from badgergap.copies.keeper import Keeper, Options, Save, Send
-from badgergap.copies.placement import Seat
-from badgergap.copies.register import Bounds, Shelf
-from badgergap.copies.words import Prepare
+from badgergap.replication import replica as keepers
+from badgergap.replication import placement
+from badgergap.replication import idempotency_record as records
+from badgergap.replication.replica import Keeper, Options, Save, Send
+from badgergap.replication.placement import Seat
+from badgergap.replication.acceptor import Bounds, Shelf
+from badgergap.replication.messages import Prepare
 from tests.consensus.simulation import S
-from tests.copies.guards import GUARDS, Guard
-from tests.copies.history import Step, order_of
-from tests.copies.simulation import SCHEDULES, Schedule, World, ask, expires
+from tests.replication.guards import GUARDS, Guard
+from tests.replication.history import Step, order_of
+from tests.replication.simulation import SCHEDULES, Schedule, World, ask, expires
 
 
 @pytest.mark.parametrize("name", list(SCHEDULES))
--- a/tests/staged/quick.py
+++ b/tests/rollout/quick.py
@@ -5,9 +5,11 @@
 import sys
 
 from badgergap.cli.main import main
-from badgergap.staged import calls, judge, room
+from badgergap.rollout import commands
+from badgergap.rollout import service
+from badgergap.rollout import analysis
 
-for module in (calls, judge, room):
+for module in (commands, analysis, service):
     module.BLOCK_S = 1  # type: ignore[attr-defined]
 
 if __name__ == "__main__":
--- a/tests/staged/simulation.py
+++ b/tests/rollout/simulation.py
@@ -15,10 +15,10 @@
 import msgspec
 
 from badgergap.site.schema import Duration
-from badgergap.staged import controller
-from badgergap.staged.controller import GONE_BACK_US, STALE_US, Kept, Run, Stand, View
-from badgergap.staged.judge import Verdict
-from badgergap.staged.plan import ChangeFile, Plan, Seat, to_plan
+from badgergap.rollout import controller
+from badgergap.rollout.controller import GONE_BACK_US, STALE_US, Kept, Run, Stand, View
+from badgergap.rollout.analysis import Verdict
+from badgergap.rollout.plan import ChangeFile, Plan, Seat, to_plan
 
 MS, S = 1_000, 1_000_000
 TICK_US = 100 * MS
--- a/tests/staged/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from badgergap.staged import controller
-from badgergap.staged.controller import Run, View, wished
-from badgergap.staged.plan import ChangeFile, Seat, to_plan
-from tests.staged.simulation import S, Violation, World, ends, schedule
+from badgergap.rollout import controller
+from badgergap.rollout.controller import Run, View, wished
+from badgergap.rollout.plan import ChangeFile, Seat, to_plan
+from tests.rollout.simulation import S, Violation, World, ends, schedule
 
 
 def test_whatever_happens_a_change_ends_and_never_mixes_stages() -> None:
--- a/tests/staged/test_process.py
+++ b/tests/rollout/test_process.py
@@ -18,7 +18,7 @@
 from tests.consensus.load import Load
 from tests.consensus.test_process import run
 
-QUICK = (sys.executable, "-B", "-m", "tests.staged.quick")
+QUICK = (sys.executable, "-B", "-m", "tests.rollout.quick")
 CHANGE = """\
 name = "{name}"
 settings = "{settings}"
--- a/tests/staged/test_pure.py
+++ b/tests/rollout/test_pure.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from badgergap.staged.judge import Block, Counts, Judge
-from badgergap.staged.plan import BadPlan, ChangeFile, Guard, Plan, Seat, read_plan, stages_of, to_plan
-from badgergap.staged.sides import apart, split
+from badgergap.rollout.analysis import Block, Counts, Judge
+from badgergap.rollout.plan import BadPlan, ChangeFile, Guard, Plan, Seat, read_plan, stages_of, to_plan
+from badgergap.rollout.compatibility import apart, split
 
 SEATS = [Seat(f"g{n}", f"z{n % 3}") for n in range(9)]
 FILE = 'name = "x"\nsettings = "y"\n'
