--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -28,7 +28,7 @@
     read_will,
     write_will,
 )
-from badgergap.balancing.interface import ListedServer, ListKind, Outcome, ServerStatus
+from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, Outcome, EndpointStatus
 from tests.helpers import SETTINGS, Driver, sends
 from tests.balancing.test_manual_drains import COLD, serve, share, tell
 
@@ -104,9 +104,11 @@
 def test_the_list_of_hosts_is_one_that_discovery_could_have_sent() -> None:
     names = Names((), (), ("a", "b"), ("m1", "m2"))
     entries = [
-        Entry(ListedServer(host_id("h1"), ServerStatus.READY, 2.0, 1, 3, 1, 5_000), ("10.0.0.1", 80), "h1"),
-        Entry(ListedServer(host_id("h2"), ServerStatus.DRAINING), ("10.0.0.2", 80), "h2"),
-        Entry(ListedServer(host_id("h3"), ServerStatus.GONE), ("10.0.0.3", 80), "h3"),
+        Entry(
+            ListedEndpoint(host_id("h1"), EndpointStatus.READY, 2.0, 1, 3, 1, 5_000), ("10.0.0.1", 80), "h1"
+        ),
+        Entry(ListedEndpoint(host_id("h2"), EndpointStatus.DRAINING), ("10.0.0.2", 80), "h2"),
+        Entry(ListedEndpoint(host_id("h3"), EndpointStatus.GONE), ("10.0.0.3", 80), "h3"),
     ]
     assert parse_list(list_of(entries, names, 9), names).entries == tuple(entries[:2])
     assert list_of(entries, names, 9)["index"] == 9
@@ -119,7 +121,7 @@
     """Another process: the same list, and what the first has learnt, by way of JSON."""
     heir = Driver(driver.balancer.settings, servers=0)
     heir.now_us = driver.now_us
-    heir.list_servers(*(s.entry for s in driver.balancer.servers.values()), kind=ListKind.DISK)
+    heir.list_servers(*(s.entry for s in driver.balancer.servers.values()), kind=EndpointListKind.DISK)
     heir.balancer.restore(heir.now_us, json.loads(json.dumps(driver.balancer.snapshot())))
     return heir
 
@@ -128,14 +130,14 @@
     """One that has something to tell: an open breaker, a cold host that was sent work, one put back."""
     driver = Driver(COLD, servers=6, seed=seed)
     used = [number for number in serve(driver, 50) if number not in (1, 5)]
-    tell(driver, used[-1], ServerStatus.OUT)
-    tell(driver, 5, ServerStatus.READY, started_us=driver.now_us - 1_000_000)
+    tell(driver, used[-1], EndpointStatus.OUT)
+    tell(driver, 5, EndpointStatus.READY, started_us=driver.now_us - 1_000_000)
     serve(driver, 100)
     while not driver.balancer.look(driver.now_us, [1])[0].open_until_us:
         name, actions = driver.arrive(driver.count % 2)
         for send in sends(actions):
             driver.now_us += 1_000
-            driver.end(name, send.server, Outcome.ERROR if send.server == 1 else Outcome.OK)
+            driver.end(name, send.endpoint_id, Outcome.ERROR if send.endpoint_id == 1 else Outcome.SUCCESS)
     return driver
 
 
@@ -144,9 +146,9 @@
     heir = heir_of(driver)
     assert heir.balancer.snapshot() == driver.balancer.snapshot()
     now_us = driver.now_us
-    assert heir.balancer.look(now_us) == tuple(replace(v, out=0) for v in driver.balancer.look(now_us))
-    views = {view.server: view for view in heir.balancer.look(now_us)}
-    assert views[1].open_until_us > now_us and views[5].warm_share < 1.0
+    assert heir.balancer.look(now_us) == tuple(replace(v, in_flight=0) for v in driver.balancer.look(now_us))
+    views = {view.endpoint_id: view for view in heir.balancer.look(now_us)}
+    assert views[1].open_until_us > now_us and views[5].warm_up_fraction < 1.0
     assert any(s.spent_us > 0.0 for s in heir.balancer.servers.values())
 
 
@@ -157,17 +159,17 @@
     assert breaker.lets_through(driver.now_us) and breaker.take_trial() and breaker.trials_out
     heir = heir_of(driver)
     (view,) = heir.balancer.look(heir.now_us, [1])
-    assert view.on_trial and not heir.balancer.servers[1].breakers[0].trials_out
+    assert view.half_open and not heir.balancer.servers[1].breakers[0].trials_out
 
 
 def test_a_host_put_back_stays_cold_for_the_next_process() -> None:
     driver = worked()
-    (out,) = (n for n, s in driver.balancer.servers.items() if s.entry.status is ServerStatus.OUT)
-    tell(driver, out, ServerStatus.READY)
+    (out,) = (n for n, s in driver.balancer.servers.items() if s.entry.status is EndpointStatus.OUT)
+    tell(driver, out, EndpointStatus.READY)
     driver.now_us += 2_000_000
     heir = heir_of(driver)
     assert share(heir, out) == share(driver, out) < 0.3
-    assert [s.entry.server for s in heir.balancer.returned] == [out]
+    assert [s.entry.endpoint_id for s in heir.balancer.returned] == [out]
     assert out in serve(heir, 60)
 
 
@@ -177,9 +179,12 @@
     heir.now_us = driver.now_us
     entries = [s.entry for s in driver.balancer.servers.values()]
     started = replace(entries[2], started_us=driver.now_us)
-    heir.list_servers(*(started if e.server == entries[2].server else e for e in entries), kind=ListKind.DISK)
+    heir.list_servers(
+        *(started if e.endpoint_id == entries[2].endpoint_id else e for e in entries),
+        kind=EndpointListKind.DISK,
+    )
     heir.balancer.restore(heir.now_us, driver.balancer.snapshot())
-    assert share(heir, started.server) < 0.2
+    assert share(heir, started.endpoint_id) < 0.2
 
 
 @given(st.data())
@@ -206,7 +211,7 @@
 
 def test_a_process_whose_heir_serves_sends_cold_hosts_nothing() -> None:
     driver = Driver(COLD, servers=0)
-    driver.list_servers(ListedServer(0, started_us=driver.now_us), ListedServer(1))
+    driver.list_servers(ListedEndpoint(0, started_us=driver.now_us), ListedEndpoint(1))
     driver.balancer.yields = True
     assert set(serve(driver, 60)) == {1}
 
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -15,7 +15,7 @@
 from badgergap.proxy.commands.parsing import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
 from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
-from badgergap.balancing.interface import AttemptEnded, Outcome, ServerStatus
+from badgergap.balancing.interface import AttemptEnded, Outcome, EndpointStatus
 from tests.sockets import Client, Gateway, ask, entry, gateway, news, chunk, run
 
 GOOD = [
@@ -95,7 +95,7 @@
             assert await call(address, b"DETACH h0\n") == b"ok h0 is out\n"
             assert await call(address, b"DETACH h0\n") == b"ok h0 was out already\n"
             _, watch = await it.registry.watches.get()
-            numbers = {e.name: e.server.server for e in it.proxy.roster._merged(["h0", "h1"])}
+            numbers = {e.name: e.listed.endpoint_id for e in it.proxy.roster._merged(["h0", "h1"])}
             for index, since_ms in enumerate([0, 5, 6]):
                 said = news(
                     entry("h0", it.host.address, since_ms=since_ms, weight=1.0 + index), index=20 + index
@@ -105,14 +105,14 @@
                     await asyncio.sleep(0.001)
                 for _ in range(20):
                     await it.served(client)
-                    assert (await it.event(AttemptEnded)).server == numbers["h1"]
+                    assert (await it.event(AttemptEnded)).endpoint_id == numbers["h1"]
             assert await call(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
             assert await call(address, b"ATTACH h0\n") == b"ok h0 was in already\n"
             assert await call(address, b"ATTACH nobody\n") == b"fail no box is called 'nobody'\n"
             served = set[int]()
             while len(served) < 2:
                 await it.served(client)
-                served.add((await it.event(AttemptEnded)).server)
+                served.add((await it.event(AttemptEnded)).endpoint_id)
 
     run(test())
 
@@ -135,7 +135,7 @@
             assert (await call_with(opening, address, b"DETACH h0\n")).startswith(b"ok ")
             go.set()
             ended = await it.event(AttemptEnded)
-            assert ended.outcome is Outcome.MOOT and it.host.taken.empty()
+            assert ended.outcome is Outcome.NEVER_SENT and it.host.taken.empty()
             assert (await client.answer())[0] == 503
 
     run(test())
@@ -239,7 +239,7 @@
         async with gateway(hosts=2) as it, opened(it) as address:
             assert (await call(address, b"DETACH h1\n")).startswith(b"ok")
             statuses = {s.entry.status for s in it.proxy.balancer.ranked}
-            assert statuses == {ServerStatus.READY, ServerStatus.OUT}
+            assert statuses == {EndpointStatus.READY, EndpointStatus.OUT}
             assert b"1 out by hand" in await call(address, b"PING\n")
 
     run(test())
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -13,36 +13,42 @@
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy.lifecycle.config import parse_address
 from badgergap.proxy.endpoints.sources import host_id
-from badgergap.balancing.interface import FetchList, ListKind, ServerList, ServerStatus, WatchList
+from badgergap.balancing.interface import (
+    FetchEndpoints,
+    EndpointListKind,
+    EndpointList,
+    EndpointStatus,
+    WatchEndpoints,
+)
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, settings
 
 
-async def told(it: Gateway) -> tuple[ListKind, list[str]]:
+async def told(it: Gateway) -> tuple[EndpointListKind, list[str]]:
     """The next list event: its kind and its hosts' states, by name."""
-    event = await it.event(ServerList)
+    event = await it.event(EndpointList)
     names = {host_id(f"h{n}"): f"h{n}" for n in range(9)}
-    return event.kind, [f"{names[s.server]} {s.status.value}" for s in event.servers]
+    return event.kind, [f"{names[s.endpoint_id]} {s.status.value}" for s in event.endpoints]
 
 
 def test_the_watch_starts_from_what_is_known_and_brings_changes() -> None:
     async def test() -> None:
         async with gateway() as it:
-            assert await told(it) == (ListKind.DISK, ["h0 ready"])
+            assert await told(it) == (EndpointListKind.DISK, ["h0 ready"])
             first, watch = await it.registry.watches.get()
             assert first == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
             h1 = entry(
                 "h1", it.host.address, since_ms=1_700_000_000_123, zone="b", weight=1.5, group=3, new=1
             )
             watch.write(chunk(news(h1)) + chunk("\n"))
-            event = await it.event(ServerList)
-            assert event.kind is ListKind.DELTA
-            (server,) = event.servers
+            event = await it.event(EndpointList)
+            assert event.kind is EndpointListKind.DELTA
+            (server,) = event.endpoints
             assert (server.zone, server.kind, server.group, server.weight) == (1, 0, 3, 1.5)
             assert server.started_us == 1_700_000_000_123_000
             watch.write(chunk(news(entry("h1", it.host.address, "left"))))
-            assert await told(it) == (ListKind.DELTA, ["h1 gone"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 gone"])
             watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
-            assert await told(it) == (ListKind.FULL, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
             assert it.proxy.upstream.hosts[host_id("h0")].stop_at is not None  # the full list lacks it
 
     run(test())
@@ -57,8 +63,8 @@
             watch.write(chunk(line[:30]))
             await watch.drain()
             watch.write(chunk(line[30:] + news(entry("h2", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])
-            assert await told(it) == (ListKind.DELTA, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
 
     run(test())
 
@@ -86,7 +92,7 @@
             await told(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(bad, entry("h2", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert "skipped a list entry" in caplog.text
 
     run(test())
@@ -99,7 +105,7 @@
             await told(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert "skipped what discovery said" in caplog.text
 
     run(test())
@@ -112,9 +118,9 @@
             await told(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(index=12)) + end)
-            assert await told(it) == (ListKind.DELTA, [])
+            assert await told(it) == (EndpointListKind.DELTA, [])
             watch.close()
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
             first, _ = await it.registry.watches.get()
             assert "index=12" in first
             assert it.proxy.upstream.hosts  # the old list stands
@@ -129,7 +135,7 @@
         async with gateway() as it:
             await told(it)
             await it.registry.watches.get()
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
             await it.registry.watches.get()
 
     run(test())
@@ -139,8 +145,8 @@
     async def test() -> None:
         async with gateway(discovery="127.0.0.1:1") as it:
             await told(it)
-            assert await told(it) == (ListKind.ERROR, [])
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
 
     run(test())
 
@@ -150,11 +156,11 @@
         async with gateway() as it:
             await told(it)
             it.registry.whole = news(entry("h3", it.host.address), snapshot=True).encode()
-            it.proxy.carry_out(FetchList())
-            assert await told(it) == (ListKind.FULL, ["h3 ready"])
+            it.proxy.carry_out(FetchEndpoints())
+            assert await told(it) == (EndpointListKind.FULL, ["h3 ready"])
             it.registry.whole = b"no list"
-            it.proxy.carry_out(FetchList())
-            assert await told(it) == (ListKind.ERROR, [])
+            it.proxy.carry_out(FetchEndpoints())
+            assert await told(it) == (EndpointListKind.ERROR, [])
 
     run(test())
 
@@ -169,7 +175,7 @@
             watch.close()
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
 
     run(test())
 
@@ -184,7 +190,7 @@
             host = it.proxy.upstream.hosts[host_id("h0")]
             assert host.address == ("127.0.0.1", 9)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
-            assert await told(it) == (ListKind.DELTA, [f"h0 {ServerStatus.DRAINING.value}"])
+            assert await told(it) == (EndpointListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
             assert not it.proxy.upstream.may_send(host)
 
     run(test())
@@ -201,12 +207,12 @@
             first, new = await second.watches.get()
             assert "index=0" in first  # the numbers of the old service may mean nothing there
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             old.close()  # no error: the service has moved
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
-            assert await told(it) == (ListKind.FULL, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
             new.close()
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
             first, _ = await second.watches.get()
             assert "index=3" in first
             second.stop()
@@ -230,7 +236,7 @@
             third.listener = await asyncio.start_server(third.accept, address, int(port))
             _, new = await third.watches.get()
             new.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             third.stop()
 
     run(test())
@@ -246,15 +252,15 @@
     async def test() -> None:
         async with gateway(settings=STEADY) as it:
             await told(it)
-            it.proxy.carry_out(WatchList())
+            it.proxy.carry_out(WatchEndpoints())
             _, watch = await it.registry.watches.get()
             monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
             watch.write(chunk(news(entry("h1", it.host.address), index=12)))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             first, watch = await it.registry.watches.get()
             assert "index=12" in first
             watch.write(chunk(news(entry("h1", it.host.address, "leaving"), index=13)))
-            assert await told(it) == (ListKind.DELTA, ["h1 draining"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 draining"])
 
     run(test())
 
@@ -268,17 +274,17 @@
             await told(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(index=42)))
-            assert await told(it) == (ListKind.DELTA, [])
+            assert await told(it) == (EndpointListKind.DELTA, [])
             watch.write(chunk(bad + "\n") + chunk("\n"))
             first, again = await it.registry.watches.get()
             assert "index=42" in first
             await told_empty(it, bad)
             watch.write(chunk(news(entry("h2", it.host.address), index=44)))  # the old one is heard meanwhile
-            assert await told(it) == (ListKind.DELTA, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
             again.write(chunk(news(entry("h0", it.host.address, "leaving"), index=44)))
-            assert await told(it) == (ListKind.DELTA, ["h0 draining"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h0 draining"])
             again.close()
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
             first, _ = await it.registry.watches.get()
             assert "index=44" in first
 
@@ -287,7 +293,7 @@
 
 async def told_empty(it: Gateway, bad: str) -> None:
     if "endpoints" in bad and "{}" not in bad:  # what could be read of it was told
-        assert await told(it) == (ListKind.DELTA, [])
+        assert await told(it) == (EndpointListKind.DELTA, [])
 
 
 def test_a_line_that_stays_spoilt_is_asked_for_so_often_and_no_more() -> None:
@@ -299,11 +305,11 @@
                 first, watch = await it.registry.watches.get()
                 asked.append(int(first.partition("index=")[2].split()[0]))
                 watch.write(chunk(news(entry("h1", "nowhere"), entry("h2", it.host.address), index=9)))
-                assert await told(it) == (ListKind.DELTA, ["h2 ready"])
+                assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert asked == [7, 7, 0, 0] and it.registry.watches.empty()
             assert it.proxy.discovery is not None and it.proxy.discovery.index == 9
             watch.write(chunk(news(entry("h3", it.host.address), index=10)))
-            assert await told(it) == (ListKind.DELTA, ["h3 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h3 ready"])
 
     run(test())
 
@@ -319,9 +325,9 @@
                 text = json.dumps(raw, indent=indent) + "\n\n" + news(index=step + 1)
                 for begin in range(0, len(text), step):
                     watch.write(chunk(text[begin : begin + step]))
-                event = await it.event(ServerList)
-                assert [s.started_us for s in event.servers] == [step * 1000]
-                assert await told(it) == (ListKind.DELTA, [])
+                event = await it.event(EndpointList)
+                assert [s.started_us for s in event.endpoints] == [step * 1000]
+                assert await told(it) == (EndpointListKind.DELTA, [])
             assert it.registry.watches.empty()
 
     run(test())
@@ -335,7 +341,7 @@
             await told(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(index=8)))
-            assert await told(it) == (ListKind.DELTA, [])
+            assert await told(it) == (EndpointListKind.DELTA, [])
             loop, waits = asyncio.get_running_loop(), list[float]()
             later = loop.call_later
 
@@ -352,7 +358,7 @@
             assert waits == [pytest.approx(discovery.REOPEN_S * n) for n in (1, 2, 4)]
             assert waits[0] * 1e6 < 50_000  # what the protocol page allows beyond the settings' time
             watch.write(chunk(news(index=9)))
-            assert await told(it) == (ListKind.DELTA, [])
+            assert await told(it) == (EndpointListKind.DELTA, [])
             watch.transport.abort()
             await it.registry.watches.get()
             assert waits[3] == waits[0]
@@ -372,9 +378,9 @@
             first, new = await third.watches.get()
             assert "index=0" in first
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
-            assert await told(it) == (ListKind.FULL, ["h2 ready"])
+            assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
             assert it.proxy.discovery is not None and it.proxy.discovery.fading is None
             for registry in (second, third):
                 registry.stop()
@@ -400,7 +406,7 @@
             await second.watches.get()
             _, new = await second.watches.get()
             new.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             await asyncio.sleep(0)
             call = it.proxy.discovery.current if it.proxy.discovery is not None else None
             assert call is not None and call.silence is not None
@@ -420,13 +426,13 @@
             watch.write(chunk("no json\n"))
             _, again = await it.registry.watches.get()
             again.close()
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
             first, third = await it.registry.watches.get()
             assert "index=7" in first
             third.write(chunk(news(index=50)))
-            assert await told(it) == (ListKind.DELTA, [])
+            assert await told(it) == (EndpointListKind.DELTA, [])
             third.close()
-            assert await told(it) == (ListKind.ERROR, [])
+            assert await told(it) == (EndpointListKind.ERROR, [])
             assert "index=50" in (await it.registry.watches.get())[0]
 
     run(test())
@@ -448,7 +454,7 @@
             first, new = await second.watches.get()
             assert "index=0" in first
             new.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (ListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             second.stop()
 
     run(test())
--- a/tests/proxy/endpoints/test_registry.py
+++ b/tests/proxy/endpoints/test_registry.py
@@ -9,26 +9,26 @@
 from badgergap.proxy.endpoints import registry as module
 from badgergap.proxy.endpoints.registry import HandDrain, Roster, RosterError
 from badgergap.proxy.endpoints.sources import Entry, News, host_id
-from badgergap.balancing.interface import ListedServer, ListKind, ServerStatus
+from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, EndpointStatus
 
-READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
+READY, DRAINING, GONE = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.GONE
 
 
-def box(name: str, status: ServerStatus = READY, port: int = 1, started_us: int = 0) -> Entry:
-    server = ListedServer(host_id(name), status, started_us=started_us)
+def box(name: str, status: EndpointStatus = READY, port: int = 1, started_us: int = 0) -> Entry:
+    server = ListedEndpoint(host_id(name), status, started_us=started_us)
     return Entry(server, ("127.0.0.1", port), name)
 
 
 def full(*entries: Entry) -> News:
-    return News(ListKind.FULL, entries)
+    return News(EndpointListKind.FULL, entries)
 
 
 def change(*entries: Entry) -> News:
-    return News(ListKind.DELTA, entries)
+    return News(EndpointListKind.DELTA, entries)
 
 
 def states(news: News) -> dict[str, str]:
-    return {entry.name: entry.server.status.value for entry in news.entries}
+    return {entry.name: entry.listed.status.value for entry in news.entries}
 
 
 def two_sources() -> Roster:
@@ -41,7 +41,12 @@
 def test_a_single_source_goes_on_as_it_speaks() -> None:
     roster = Roster()
     roster.add_source("platform", 0, dynamic=True)
-    for news in (News(ListKind.DISK, (box("a"),)), full(box("a", GONE)), change(), News(ListKind.ERROR)):
+    for news in (
+        News(EndpointListKind.DISK, (box("a"),)),
+        full(box("a", GONE)),
+        change(),
+        News(EndpointListKind.ERROR),
+    ):
         assert roster.hear(1, "platform", news) is news
 
 
@@ -49,7 +54,7 @@
     roster = two_sources()
     assert states(roster.hear(1, "file", full(box("a", port=9), box("b")))) == {"a": "ready", "b": "ready"}
     news = roster.hear(2, "platform", full(box("a", DRAINING)))
-    assert news.kind is ListKind.FULL and states(news) == {"a": "draining", "b": "ready"}
+    assert news.kind is EndpointListKind.FULL and states(news) == {"a": "draining", "b": "ready"}
     assert roster.hear(3, "file", full(box("a", port=9))).entries[0].address[1] == 1
     (view,) = [view for view in roster.view() if view.entry.name == "a"]
     assert view.source == "platform"
@@ -75,8 +80,8 @@
 
 def test_an_error_is_passed_on_and_noted_until_the_next_word() -> None:
     roster = two_sources()
-    assert roster.hear(5, "platform", News(ListKind.ERROR)).kind is ListKind.ERROR
-    roster.hear(6, "platform", News(ListKind.ERROR))
+    assert roster.hear(5, "platform", News(EndpointListKind.ERROR)).kind is EndpointListKind.ERROR
+    roster.hear(6, "platform", News(EndpointListKind.ERROR))
     assert roster.sources["platform"].failing_since_us == 5
     roster.hear(7, "platform", change())
     assert roster.sources["platform"].failing_since_us == 0
@@ -91,7 +96,7 @@
         full(box("a"), box("b")),
         change(box("a", started_us=77)),
         change(box("a", port=5)),
-        News(ListKind.DISK, (box("a"), box("b"))),
+        News(EndpointListKind.DISK, (box("a"), box("b"))),
     ):
         assert states(roster.hear(3, "platform", news))["a"] == "out"
     assert states(roster.hear(4, "platform", change(box("a", GONE)))) == {"a": "gone"}
@@ -149,7 +154,9 @@
     st.tuples(st.just("undrain"), NAMES),
     st.tuples(
         st.sampled_from(["file", "platform"]),
-        st.sampled_from([ListKind.FULL, ListKind.DELTA, ListKind.DISK, ListKind.ERROR]),
+        st.sampled_from(
+            [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.DISK, EndpointListKind.ERROR]
+        ),
         st.dictionaries(NAMES, STATUS),
     ),
 )
@@ -158,7 +165,7 @@
 @given(st.lists(STEPS, max_size=25))
 def test_what_goes_on_adds_up_to_what_is_known(steps: list[tuple[object, ...]]) -> None:
     """Whoever carries out the news one by one holds the roster's own view; no drained box ever serves."""
-    roster, held = two_sources(), dict[str, ServerStatus]()
+    roster, held = two_sources(), dict[str, EndpointStatus]()
     for now_us, step in enumerate(steps, 1):
         try:
             if step[0] == "drain":
@@ -167,15 +174,15 @@
                 news = roster.undrain(str(step[1]))
             else:
                 source, kind, named = step
-                assert isinstance(kind, ListKind) and isinstance(named, dict)
-                entries = () if kind is ListKind.ERROR else tuple(box(n, s) for n, s in named.items())
+                assert isinstance(kind, EndpointListKind) and isinstance(named, dict)
+                entries = () if kind is EndpointListKind.ERROR else tuple(box(n, s) for n, s in named.items())
                 news = roster.hear(now_us, str(source), News(kind, entries))
         except RosterError:
             continue
-        if news.kind in (ListKind.FULL, ListKind.DISK):
+        if news.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
             held = {}
-        held |= {entry.name: entry.server.status for entry in news.entries}
-        known = {v.entry.name: v.entry.server.status for v in roster.view()}
+        held |= {entry.name: entry.listed.status for entry in news.entries}
+        known = {v.entry.name: v.entry.listed.status for v in roster.view()}
         serving = {name for name, status in known.items() if status is not GONE}
         assert {name for name, status in held.items() if status is not GONE} == serving
         assert all(held[name] is known[name] for name in serving)
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -18,7 +18,7 @@
 
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.downstream import client_connection
-from badgergap.balancing.interface import AttemptEnded, PeerMessage, TellPeers
+from badgergap.balancing.interface import AttemptEnded, PeerMessage, SendPeerMessage
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
 
@@ -284,11 +284,11 @@
                 peers_all=address,
             ) as it:
                 loop = asyncio.get_running_loop()
-                for message in (TellPeers(b"to one", 1), TellPeers(b"to all")):
+                for message in (SendPeerMessage(b"to one", 1), SendPeerMessage(b"to all")):
                     it.proxy.carry_out(message)
                     assert await loop.sock_recv(peer, 512) == message.data
                 with pytest.raises(ValueError, match="too long"):
-                    it.proxy.carry_out(TellPeers(bytes(257)))
+                    it.proxy.carry_out(SendPeerMessage(bytes(257)))
                 assert it.proxy.peers is not None
                 to = it.proxy.peers.get_extra_info("sockname")
                 stranger.sendto(b"from nobody", to)
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -159,7 +159,7 @@
                 assert status == 200 and hashlib.sha256(body).digest() == hashlib.sha256(wanted).digest()
                 assert "digest" not in head and "link" not in head
                 ended = await it.event(AttemptEnded)
-                assert ended.outcome is Outcome.OK
+                assert ended.outcome is Outcome.SUCCESS
             assert it.proxy.upstream.budget.used == 0
 
     run(test())
@@ -393,7 +393,7 @@
             assert await client.reader.readexactly(10) == b"5\r\nfirst\r\n"
             taken.raw(b"0\r\n\r\n")
             assert await client.reader.readexactly(5) == b"0\r\n\r\n"
-            assert (await it.event(AttemptEnded)).outcome is Outcome.OK
+            assert (await it.event(AttemptEnded)).outcome is Outcome.SUCCESS
             await it.served(client)  # on the same connection
 
     run(test())
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -29,9 +29,9 @@
     AttemptEnded,
     Outcome,
     RequestArrived,
-    RequestGone,
+    ClientDisconnected,
     TimerFired,
-    WatchList,
+    WatchEndpoints,
 )
 from tests.sockets import (
     Client,
@@ -100,13 +100,13 @@
             (request,) = it.proxy.requests.values()
             if left:
                 client.writer.close()
-                await it.event(RequestGone)
+                await it.event(ClientDisconnected)
             else:
                 it.proxy.answer_at_last(request)
                 assert (await client.answer())[0] == 504
             free.set()
             ended = await it.event(AttemptEnded)
-            assert ended.outcome is (Outcome.CANCELLED if cancels else Outcome.MOOT)
+            assert ended.outcome is (Outcome.CANCELLED if cancels else Outcome.NEVER_SENT)
             await settled(it)
             assert it.host.taken.empty()
             nothing_left(it)
@@ -138,7 +138,7 @@
                 client.writer.transport.abort()
             else:
                 client.writer.close()
-            await it.event(RequestGone)
+            await it.event(ClientDisconnected)
             free.set()
             await settled(it)
             await until(lambda: not it.downstream.connections)
@@ -158,7 +158,7 @@
             client.writer.close()
             await until(lambda: unread_input.has_left(connection.transport))
             taken.answer(500)
-            await it.event(RequestGone)
+            await it.event(ClientDisconnected)
             await settled(it)
             assert it.host.taken.empty()
             nothing_left(it)
@@ -176,9 +176,9 @@
             client.send(ask(klass) + ask(klass))
             taken = await it.host.taken.get()
             client.writer.close()
-            await it.event(RequestGone)
+            await it.event(ClientDisconnected)
             taken.answer(503, Not_Started="1")
-            assert (await it.event(AttemptEnded)).outcome is Outcome.FULL
+            assert (await it.event(AttemptEnded)).outcome is Outcome.REJECTED
             await settled(it)
             assert it.host.taken.empty()
             nothing_left(it)
@@ -390,7 +390,7 @@
             watch.write(chunk(news(change)))
             await until(lambda: host.stop_at is not None)
             free.set()
-            assert (await it.event(AttemptEnded)).outcome is Outcome.MOOT
+            assert (await it.event(AttemptEnded)).outcome is Outcome.NEVER_SENT
             assert (await client.answer())[0] == 503 and it.host.taken.empty()
             await settled(it)
             nothing_left(it)
@@ -698,7 +698,7 @@
         held = Held(seat, upstream, 9.0, books, begin)  # type: ignore[arg-type]
         held.unwant()
         held.go(True)
-        assert told == [Outcome.MOOT] and over == [False] and not begun
+        assert told == [Outcome.NEVER_SENT] and over == [False] and not begun
 
     run(test())
 
@@ -718,7 +718,7 @@
     async def test() -> None:
         async with gateway(hosts=3, settings=lanes(aimUs=200_000) | {"caps": {"mayCancel": False}}) as it:
             it.proxy.balancer.settings = replace(
-                it.proxy.balancer.settings, second_copies=True, max_attempts=4
+                it.proxy.balancer.settings, hedging_allowed=True, max_attempts=4
             )
             it.proxy.settings = it.proxy.balancer.settings
             client = await it.client()
@@ -726,7 +726,7 @@
             first = await it.host.taken.get()
             if leaves:
                 client.writer.close()
-                await it.event(RequestGone)
+                await it.event(ClientDisconnected)
             overdue = it.proxy.balancer.next_token - 1
             await it.event(TimerFired, lambda e: e.token == overdue)
             if leaves:
@@ -757,7 +757,7 @@
             await until(lambda: it.proxy.open == 3)
             if leaves:
                 two.writer.close()
-                await it.event(RequestGone)
+                await it.event(ClientDisconnected)
             first.answer()
             assert (await one.answer())[0] == 200
             if not leaves:
@@ -783,7 +783,7 @@
             | {"contract": {"stopSendingWithinUs": 0, "warmAfterUs": 10**9, "startCapacity": 0.2}}
         ) as it:
             await it.registry.watches.get()
-            it.proxy.carry_out(WatchList())
+            it.proxy.carry_out(WatchEndpoints())
             _, watch = await it.registry.watches.get()
             client = await it.client()
             await it.served(client)
@@ -934,7 +934,7 @@
             transport = connection.transport
             assert transport is not None and transport.get_write_buffer_size() and not connection.paused
             client.writer.write_eof()
-            await it.event(RequestGone)
+            await it.event(ClientDisconnected)
             assert transport.get_write_buffer_size()
             second.answer()
             await settled(it)
@@ -969,7 +969,7 @@
             await reading.wait()
             ended = await it.event(AttemptEnded)
             if says:
-                assert ended.outcome is Outcome.OK
+                assert ended.outcome is Outcome.SUCCESS
             else:
                 assert ended.outcome is Outcome.CONNECT_FAILED and (await client.answer())[0] in (502, 503)
 
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -19,15 +19,15 @@
     Action,
     AttemptEnded,
     Event,
-    ListKind,
+    EndpointListKind,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
+    HealthCheck,
+    HealthCheckEnded,
+    Reject,
     RequestArrived,
-    RequestGone,
+    ClientDisconnected,
     Send,
-    ServerList,
+    EndpointList,
 )
 from tests.sockets import PATIENCE_S, Client, Gateway, ask, chunk, entry, gateway, news, run, settings
 
@@ -50,7 +50,7 @@
             status, head, body = await client.answer()
             assert (status, body) == (200, b"\1\xfepaid") and head["content-type"] == "application/x-slip"
             arrived = await it.event(RequestArrived)
-            assert (arrived.klass, arrived.key) == (1, 0xFF)
+            assert (arrived.request_class, arrived.key) == (1, 0xFF)
 
     run(test())
 
@@ -83,14 +83,14 @@
 
 ANSWERS = [
     (b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-    (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nNot-Started: 1\r\n\r\n", Outcome.FULL),
-    (b"HTTP/1.1 504 Late\r\nContent-Length: 0\r\nNot-Started: 1\r\n\r\n", Outcome.FULL),
+    (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nNot-Started: 1\r\n\r\n", Outcome.REJECTED),
+    (b"HTTP/1.1 504 Late\r\nContent-Length: 0\r\nNot-Started: 1\r\n\r\n", Outcome.REJECTED),
     (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
     (b"HTTP/1.1 404 Lost\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
     (b"", Outcome.RESET),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", Outcome.RESET),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", Outcome.RESET),
-    (b"HTTP/1.1 200 OK\r\n\r\nuntil the end", Outcome.OK),
+    (b"HTTP/1.1 200 OK\r\n\r\nuntil the end", Outcome.SUCCESS),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", Outcome.RESET),
     (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
@@ -117,7 +117,9 @@
             (await it.host.taken.get()).raw(answer, close=True)
             assert (await it.event(AttemptEnded)).outcome is outcome
             # An unsafe request is refused only where it is sure not to have run.
-            assert (await client.answer())[0] == {Outcome.FULL: 503, Outcome.OK: 200}.get(outcome, 502)
+            assert (await client.answer())[0] == {Outcome.REJECTED: 503, Outcome.SUCCESS: 200}.get(
+                outcome, 502
+            )
 
     run(test())
 
@@ -159,7 +161,7 @@
                 client.send(ask("buy"))
                 (await it.host.taken.get()).raw(GOOD + extra)
                 assert (await client.answer())[2] == b"good"
-                assert (await it.event(AttemptEnded)).outcome is Outcome.OK
+                assert (await it.event(AttemptEnded)).outcome is Outcome.SUCCESS
                 await it.host.left.get()
             assert it.host.connections == 2
 
@@ -247,11 +249,11 @@
             (writer,) = it.host.writers
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(ask("buy", body=bytes(HOLD)))
-            await it.event(RequestArrived, lambda e: e.klass == 2)
+            await it.event(RequestArrived, lambda e: e.request_class == 2)
             assert connection.transport.get_write_buffer_size() > 0
             writer.transport.abort()
             assert (
-                await it.event(AttemptEnded, lambda e: e.request == "2")
+                await it.event(AttemptEnded, lambda e: e.request_id == "2")
             ).outcome is Outcome.CONNECT_FAILED
             assert (await client.answer())[0] == 503
 
@@ -278,7 +280,7 @@
             client.send(ask())
             await it.host.taken.get()
             client.writer.close()
-            await it.event(RequestGone)
+            await it.event(ClientDisconnected)
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
             await it.host.left.get()
             assert not it.proxy.requests and it.proxy.open == 0
@@ -302,7 +304,7 @@
         async with gateway() as it:
 
             def refuse(now_us: int, event: Event) -> list[Action]:
-                return [Refuse(event.request, after_us)] if isinstance(event, RequestArrived) else []
+                return [Reject(event.request_id, after_us)] if isinstance(event, RequestArrived) else []
 
             it.proxy.balancer.handle = refuse  # type: ignore[method-assign]
             status, head, _ = await (await it.client()).ask(ask())
@@ -339,7 +341,7 @@
             def twice(now_us: int, event: Event) -> list[Action]:
                 it.events.append(event)
                 it.changed.set()
-                send = Send(getattr(event, "request", ""), host_id("h0"), 20_000_000)
+                send = Send(getattr(event, "request_id", ""), host_id("h0"), 20_000_000)
                 return [send, send] if isinstance(event, RequestArrived) else []
 
             it.proxy.balancer.handle = twice  # type: ignore[method-assign]
@@ -348,7 +350,7 @@
             for _ in range(attempts):
                 taken = await it.host.taken.get()
             if attempts == 1:
-                assert (await it.event(AttemptEnded)).outcome is Outcome.MOOT
+                assert (await it.event(AttemptEnded)).outcome is Outcome.NEVER_SENT
             taken.answer()
             assert (await client.answer())[0] == 200
             assert it.host.taken.empty()
@@ -381,9 +383,9 @@
             client.send(ask("buy"))
             await it.event(RequestArrived)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
-            await it.event(ServerList, lambda e: e.kind is ListKind.DELTA)
+            await it.event(EndpointList, lambda e: e.kind is EndpointListKind.DELTA)
             free.set()
-            assert (await it.event(AttemptEnded)).outcome is Outcome.MOOT
+            assert (await it.event(AttemptEnded)).outcome is Outcome.NEVER_SENT
             assert (await client.answer())[0] == 503
             assert it.host.taken.empty()
 
@@ -476,7 +478,7 @@
             assert connection.transport is not None
             connection.transport.set_write_buffer_limits(high=0)
             taken.answer(body=bytes(HOLD))
-            assert (await it.event(AttemptEnded)).outcome is Outcome.OK
+            assert (await it.event(AttemptEnded)).outcome is Outcome.SUCCESS
             assert connection.transport.get_write_buffer_size() > 0
             assert not connection.transport.is_reading()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -494,7 +496,7 @@
             client = await it.client()
             await it.served(client, ask(Tenant="zeta", Work_Hint="1200", Client_Retry="1"))
             arrived = await it.event(RequestArrived)
-            assert (arrived.tenant, arrived.work_us, arrived.is_retry) == (1, 1200, True)
+            assert (arrived.tenant, arrived.expected_work_us, arrived.is_retry) == (1, 1200, True)
 
     run(test())
 
@@ -507,7 +509,7 @@
             client = await it.client()
             await it.served(client, ask(Work_Hint="9" * 17, Request_Timeout_Ms="9" * 17))
             arrived = await it.event(RequestArrived)
-            assert arrived.work_us == 60_000_000 and arrived.patience_us <= 60_000_000
+            assert arrived.expected_work_us == 60_000_000 and arrived.client_timeout_us <= 60_000_000
 
     run(test())
 
@@ -526,7 +528,7 @@
             first.send(ask(Request_Id="77"))
             await it.host.taken.get()
             first.writer.close()
-            await it.event(RequestGone)
+            await it.event(ClientDisconnected)
             assert not it.downstream.intake.open_ids
 
     run(test())
@@ -684,7 +686,7 @@
                 client.send(ask())
                 await it.host.taken.get()
             assert (await (await it.client()).ask(ask("buy")))[0] == 503
-            assert (await it.event(AttemptEnded)).outcome is Outcome.MOOT
+            assert (await it.event(AttemptEnded)).outcome is Outcome.NEVER_SENT
             assert it.host.connections == 3
 
     run(test())
@@ -699,7 +701,7 @@
             client = await it.client()
             monkeypatch.setattr(it.proxy.loop, "create_connection", none_left)
             assert (await client.ask(ask("buy")))[0] == 503
-            assert (await it.event(AttemptEnded)).outcome is Outcome.MOOT
+            assert (await it.event(AttemptEnded)).outcome is Outcome.NEVER_SENT
 
     run(test())
 
@@ -714,7 +716,7 @@
             client.send(ask())
             taken = await it.host.taken.get()
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
-            await it.event(ServerList, lambda e: e.kind is ListKind.DELTA)
+            await it.event(EndpointList, lambda e: e.kind is EndpointListKind.DELTA)
             taken.answer()
             assert (await client.answer())[0] == 200
             assert not it.proxy.upstream.connections
@@ -756,7 +758,7 @@
             client.send(ask())
             (await it.host.taken.get()).answer(Server_Load="inflight=7,util=0.61")
             assert "server-load" not in (await client.answer())[1]
-            assert (await it.event(AttemptEnded)).load == (("inflight", 7.0), ("util", 0.61))
+            assert (await it.event(AttemptEnded)).load_report == (("inflight", 7.0), ("util", 0.61))
 
     run(test())
 
@@ -766,13 +768,13 @@
     async def test() -> None:
         probing = {**settings(probes=True), "report": {"how": how, "fields": ["queue"]}}
         async with gateway(settings=probing) as it:
-            it.proxy.carry_out(Probe(host_id("h0")))
+            it.proxy.carry_out(HealthCheck(host_id("h0")))
             taken = await it.host.taken.get()
             assert taken.first == f"GET {path} HTTP/1.1" and "request-id" not in taken.head
             taken.answer(body=b"queue=3")
-            ended = await it.event(ProbeEnded)
-            assert ended.outcome is Outcome.OK
-            assert ended.load == ((("queue", 3.0),) if how == "pull" else ())
+            ended = await it.event(HealthCheckEnded)
+            assert ended.outcome is Outcome.SUCCESS
+            assert ended.load_report == ((("queue", 3.0),) if how == "pull" else ())
 
     run(test())
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -13,34 +13,34 @@
 from badgergap.balancing.interface import (
     AttemptEnded,
     Cancel,
-    CloseIdle,
-    Effect,
+    CloseIdleConnections,
+    Idempotency,
     Fail,
-    ListedServer,
-    FetchList,
+    ListedEndpoint,
+    FetchEndpoints,
     Goal,
     Log,
     Outcome,
     PeerMessage,
     Prices,
-    Probe,
-    ProbeEnded,
-    Refuse,
+    HealthCheck,
+    HealthCheckEnded,
+    Reject,
     ReportMode,
     Reports,
     RequestArrived,
     RequestClass,
-    RequestGone,
-    Scope,
+    ClientDisconnected,
+    DeduplicationScope,
     Send,
-    ServerStatus,
+    EndpointStatus,
     Settings,
     SetTimer,
     StreamStarted,
-    TellPeers,
+    SendPeerMessage,
     Tenant,
     TimerFired,
-    WatchList,
+    WatchEndpoints,
 )
 from badgergap.simulator.codec import (
     OUTCOMES,
@@ -97,11 +97,11 @@
     assert parse(
         "outcome requestId=t/a shot=1 host=9 verdict=502 durationUs=7 pressure=eps:0.1,inflight:3.5"
     ) == AttemptEnded("t/a", 1, 9, Outcome.ERROR, 7, False, (("eps", 0.1), ("inflight", 3.5)))
-    assert parse("dropped requestId=t/a") == RequestGone("t/a")
+    assert parse("dropped requestId=t/a") == ClientDisconnected("t/a")
     assert parse("streaming requestId=t/a durationUs=9 host=5 shot=0") == StreamStarted("t/a", 0)
     assert parse("reminder keyBack=77") == TimerFired(77)
-    assert parse("pong host=9 verdict=200 durationUs=3 pressure=queue:4,util:odd") == ProbeEnded(
-        9, Outcome.OK, 3, (("queue", 4.0),)
+    assert parse("pong host=9 verdict=200 durationUs=3 pressure=queue:4,util:odd") == HealthCheckEnded(
+        9, Outcome.SUCCESS, 3, (("queue", 4.0),)
     )
     assert parse("inbox src=1 bytes=aGkgNw==") == PeerMessage(1, b"hi 7")
     assert parse("inbox src=1 bytes=-") == PeerMessage(1, b"")
@@ -115,32 +115,36 @@
     _, fields = split_line(
         "host campus=1 host=7 heft=1.5 group=3 sinceUs=61 status=Terminating classOfHost=2"
     )
-    assert parse_server(fields) == ListedServer(7, ServerStatus.DRAINING, 1.5, 1, 3, 2, 61)
+    assert parse_server(fields) == ListedEndpoint(7, EndpointStatus.DRAINING, 1.5, 1, 3, 2, 61)
 
 
 def test_actions_are_written() -> None:
     assert format_action(Send("t/a", 7, 90)) == "pass_on requestId=t/a maxWaitUs=90 host=7"
-    assert format_action(Refuse("t/a", 5)) == "bounce requestId=t/a comeBackUs=5"
+    assert format_action(Reject("t/a", 5)) == "bounce requestId=t/a comeBackUs=5"
     assert format_action(Fail("t/a")) == "surrender requestId=t/a"
     assert format_action(Cancel("t/a", 1)) == "retract requestId=t/a shot=1"
     assert format_action(SetTimer(9, 4)) == "notify_me dueAtUs=9 keyBack=4"
-    assert format_action(WatchList()) == "track on=1"
-    assert format_action(WatchList(on=False)) == "track on=0"
-    assert format_action(FetchList()) == "snapshot"
-    assert format_action(Probe(7)) == "ask_load host=7"
-    assert format_action(CloseIdle(7)) == "hang_up host=7"
-    assert format_action(TellPeers(b"hi 7")) == "broadcast_to dest=-1 bytes=aGkgNw=="
-    assert format_action(TellPeers(b"", 3)) == "broadcast_to dest=3 bytes=-"
+    assert format_action(WatchEndpoints()) == "track on=1"
+    assert format_action(WatchEndpoints(on=False)) == "track on=0"
+    assert format_action(FetchEndpoints()) == "snapshot"
+    assert format_action(HealthCheck(7)) == "ask_load host=7"
+    assert format_action(CloseIdleConnections(7)) == "hang_up host=7"
+    assert format_action(SendPeerMessage(b"hi 7")) == "broadcast_to dest=-1 bytes=aGkgNw=="
+    assert format_action(SendPeerMessage(b"", 3)) == "broadcast_to dest=3 bytes=-"
     assert format_action(Log("two words")) == "journal_line line=two words"
 
 
 def test_settings_have_defaults_and_ignore_the_unknown() -> None:
     settings = parse_settings(BOOT)
     assert settings.max_attempts == 4
-    assert settings.proxies == 1
-    assert [c.effect for c in settings.classes] == [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
-    assert settings.classes[1].scope is Scope.GROUP
-    assert settings.classes[1].window_us == 150_000
+    assert settings.proxy_count == 1
+    assert [c.idempotency for c in settings.classes] == [
+        Idempotency.SAFE,
+        Idempotency.KEYED,
+        Idempotency.UNSAFE,
+    ]
+    assert settings.classes[1].deduplication_scope is DeduplicationScope.GROUP
+    assert settings.classes[1].deduplication_window_us == 150_000
 
 
 @pytest.mark.parametrize(
@@ -151,7 +155,7 @@
         ("{", "JSON"),
         ('{"lanes": [{}]}', "giveUpUs"),
         ('{"lanes": [{"giveUpUs": -1}]}', r"lanes\[0\].giveUpUs"),
-        ('{"lanes": [{"giveUpUs": 0}]}', "aim_us"),
+        ('{"lanes": [{"giveUpUs": 0}]}', "objective_us"),
         ('{"lanes": [{"giveUpUs": 1}], "contract": {"warmAfterUs": -5}}', "contract.warmAfterUs"),
         ('{"lanes": [{"giveUpUs": 1}], "caps": {"maxAttempts": "four"}}', "caps.maxAttempts"),
         ('{"lanes": [{"giveUpUs": 1}], "caps": {"probes": "yes"}}', "caps.probes"),
@@ -340,34 +344,34 @@
         "weights": "live",
         "worthBy": "work",
     }
-    lane = RequestClass(5, 9, 4.0, 0.5, Effect.KEYED, Scope.ZONE, 7, True, True, 1.5)
+    lane = RequestClass(5, 9, 4.0, 0.5, Idempotency.KEYED, DeduplicationScope.ZONE, 7, True, True, 1.5)
     assert parse_settings(json.dumps(boot)) == Settings(
         classes=(lane,),
         goal=Goal(whole=0.4, worst_window=0.2, worst_class=0.1, worst_tenant=0.3),
         prices=Prices(0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0, 1.1),
-        worth_by_work=True,
-        proxies=4,
-        proxy=3,
+        weight_by_work=True,
+        proxy_count=4,
+        proxy_index=3,
         zone=1,
         zones=2,
         server_kinds=3,
         tier=1,
         tiers=2,
-        marks_retry=True,
+        clients_mark_retries=True,
         max_attempts=5,
-        second_copies=True,
-        live_weights=True,
-        warm_keys=True,
+        hedging_allowed=True,
+        weights_follow_load=True,
+        sticky_keys=True,
         passes_deadline=True,
-        list_is_pushed=False,
-        must_ask_within_us=14,
+        endpoint_list_is_pushed=False,
+        max_poll_interval_us=14,
         max_retry_after_us=17,
-        start_capacity=0.5,
-        warm_after_us=15,
-        fall_multiple=2.0,
-        fall_us=16,
-        full_may_have_run=True,
-        key_rest_us=11,
+        cold_capacity=0.5,
+        warm_up_us=15,
+        overload_multiple=2.0,
+        overload_window_us=16,
+        rejected_may_have_run=True,
+        ordered_key_quiet_us=11,
         drain_grace_us=12,
         answer_slack_us=13,
         tenants=(Tenant(24.0, 0.25),),
--- a/tests/site/test_file.py
+++ b/tests/site/test_file.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.lifecycle.config import ConfigError
-from badgergap.balancing.interface import Effect, Scope
+from badgergap.balancing.interface import Idempotency, DeduplicationScope
 from badgergap.site import SiteError, combine, parse_site, read_site, to_config
 from badgergap.site.convert import carry_names
 from badgergap.site.locate import line_of, lines_of
@@ -66,11 +66,15 @@
     assert (config.name, config.listen, config.discovery) == ("duluth", ("127.0.0.1", 8080), None)
     assert config.names.classes == ("result-entry", "pay") and config.names.zones == ("lake", "shore")
     entry, pay = config.settings.classes
-    assert (entry.aim_us, entry.give_up_us, entry.worth) == (500_000, 1_200_000, 12)
-    assert entry.effect is Effect.SAFE and entry.window_us == 0
-    assert (pay.effect, pay.scope, pay.window_us) == (Effect.KEYED, Scope.ZONE, 120_000_000)
-    assert config.settings.warm_after_us == 20_000_000 and config.settings.start_capacity == 0.2
-    assert config.settings.list_is_pushed and config.sockets == 512
+    assert (entry.objective_us, entry.client_timeout_us, entry.priority_weight) == (500_000, 1_200_000, 12)
+    assert entry.idempotency is Idempotency.SAFE and entry.deduplication_window_us == 0
+    assert (pay.idempotency, pay.deduplication_scope, pay.deduplication_window_us) == (
+        Idempotency.KEYED,
+        DeduplicationScope.ZONE,
+        120_000_000,
+    )
+    assert config.settings.warm_up_us == 20_000_000 and config.settings.cold_capacity == 0.2
+    assert config.settings.endpoint_list_is_pushed and config.sockets == 512
 
 
 def test_the_shipped_file_is_good_and_shows_the_defaults() -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -12,5 +12,5 @@
     names: dict[str, object] = {}
     exec(code, names)
     send = names["send"]
-    assert isinstance(send, Send) and send.server in (1, 2)
+    assert isinstance(send, Send) and send.endpoint_id in (1, 2)
     assert not names["balancer"].requests  # type: ignore[attr-defined]
--- a/tests/web/test_clients.py
+++ b/tests/web/test_clients.py
@@ -150,7 +150,7 @@
                 assert events.status == 200
             assert [run.path for run in it.apps[1].runs] == ["/events"]  # the pool that left got nothing new
             classes = it.proxy.balancer.settings.classes
-            assert [klass.give_up_us for klass in classes] == [20_000_000] * 2 + [21_000_000] * 2
+            assert [klass.client_timeout_us for klass in classes] == [20_000_000] * 2 + [21_000_000] * 2
             assert (
                 it.proxy.balancer.asked[0] and it.proxy.balancer.asked[2]
             )  # numbers of before, and new ones
--- a/tests/web/test_streams.py
+++ b/tests/web/test_streams.py
@@ -294,7 +294,7 @@
     async def test() -> None:
         routes = ROUTE + 'failing = ["503", "404"]\n'
         async with site(tmp_path, routes=routes) as it:
-            view = it.proxy.balancer.look(0)[0].server
+            view = it.proxy.balancer.look(0)[0].endpoint_id
             breaker = it.proxy.balancer.servers[view].breakers[0]
             for status, failures in ((500, 0), (302, 0), (503, 1), (404, 2)):
                 client = await it.client()
