--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -4,7 +4,7 @@
 
     tests/x/test_y.py::test_z | command and seed | what was seen | issue
 
-Blank lines and lines that begin with `#` are ignored. A test named without parameters stands for all of its cases.
+Blank lines and lines that begin with `#` are ignored. A test without parameters stands for all its cases.
 """
 
 from __future__ import annotations
