--- a/benchmarks/staffed.py
+++ b/benchmarks/staffed.py
@@ -1,6 +1,7 @@
 """What the staffed days' parts cost, each figure beside its baseline of the same run.
 
-    python -m benchmarks.staffed small --against DIR   CPU a small request: here, and of another checkout
+    python -m benchmarks.staffed small --against DIR   CPU a small request and start time: here, and of the
+                                                       checkout DIR (`--package`: its package)
     python -m benchmarks.staffed upgrade               requests turned back: handed over, SO_REUSEPORT
     python -m benchmarks.staffed large                 memory: 200 slow readers of 32 MB, idle connections
 
@@ -35,33 +36,40 @@
 
 @contextmanager
 def gateway(
-    path: Path, checkout: Path = ROOT, environ: Mapping[str, str] | None = None
-) -> Iterator[tuple[int, str]]:
-    """The platform's gateway of a checkout: its process and its address."""
+    path: Path, checkout: Path = ROOT, environ: Mapping[str, str] | None = None, package: str = "badgergap"
+) -> Iterator[tuple[int, str, float]]:
+    """The platform's gateway of a checkout: its process, its address, and the seconds that its start took."""
     where = {"PYTHONSAFEPATH": "1", "PYTHONPATH": str(checkout), "ROUTER_CONFIG": str(path)}
     where |= environ or {}
     told: Any = where
-    with child("-m", "badgergap", ready=" listens on ", **told) as (process, line, _):
-        yield process.pid, line.rpartition(" ")[2]
+    with child("-m", package, ready=" listens on ", **told) as (process, line, took):
+        yield process.pid, line.rpartition(" ")[2], took
 
 
-def small(against: Path, rounds: int, seconds: float) -> None:
+def small(against: Path, package: str, rounds: int, seconds: float) -> None:
     """Alternating rounds; the ratio of each pair, so that a machine that changes its pace changes both."""
-    ratios, figures = [], []
+    costs: list[tuple[float, float]] = []
+    starts: list[tuple[float, float]] = []
     with tempfile.TemporaryDirectory() as folder, fleet(12) as boxes:
         path = platform_file(Path(folder), boxes)
         for _ in range(rounds):
-            costs = []
-            for checkout in (against, ROOT):
-                with gateway(path, checkout) as (pid, address):
-                    closed_load(address, 0.5, CALM)
-                    before = cpu_s(pid)
-                    done = closed_load(address, seconds, CALM)
-                    costs.append((cpu_s(pid) - before) / done["all"] * 1e6)
-            ratios.append(costs[1] / costs[0])
-            figures.append(tuple(round(cost) for cost in costs))
-    ratio = statistics.median(ratios)
-    print(f"us of CPU a small request, {against.name} and here: {figures}; ratio {ratio:.3f}")
+            before = small_round(path, against, package, seconds)
+            after = small_round(path, ROOT, "badgergap", seconds)
+            costs.append((before[0], after[0]))
+            starts.append((before[1], after[1]))
+    for what, pairs in (("us of CPU a small request", costs), ("ms to the start", starts)):
+        ratio = statistics.median(after / before for before, after in pairs)
+        figures = [(round(before), round(after)) for before, after in pairs]
+        print(f"{what}, {against.name} and here: {figures}; median ratio {ratio:.3f}")
+
+
+def small_round(path: Path, checkout: Path, package: str, seconds: float) -> tuple[float, float]:
+    """Microseconds of CPU a request, and milliseconds that the start took."""
+    with gateway(path, checkout, package=package) as (pid, address, took):
+        closed_load(address, 0.5, CALM)
+        before = cpu_s(pid)
+        done = closed_load(address, seconds, CALM)
+        return (cpu_s(pid) - before) / done["all"] * 1e6, took * 1e3
 
 
 CLIENTS = """
@@ -114,7 +122,7 @@
     for place in places:
         place.mkdir(mode=0o700)
     told = {"ROUTER_CONSOLE": "127.0.0.1:0"}
-    with gateway(path, environ=told | {"TMPDIR": str(places[0])}) as (old, _):
+    with gateway(path, environ=told | {"TMPDIR": str(places[0])}) as (old, _, _):
         clients = subprocess.Popen(
             [sys.executable, "-c", CLIENTS, "127.0.0.1", str(port), "50", "50"],
             stdin=subprocess.PIPE,
@@ -183,7 +191,7 @@
         path.write_text(json.dumps(json.loads(path.read_text()) | limits))
         found = []
         for ask in (False, True):
-            with gateway(path) as (pid, address):
+            with gateway(path) as (pid, address, _):
 
                 async def watch(pid: int = pid, address: str = address, ask: bool = ask) -> float:
                     load = asyncio.create_task(readers(address, READERS, seconds, ask))
@@ -202,13 +210,14 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=("small", "upgrade", "large"))
     parser.add_argument("--against", type=Path, help="another checkout, for `small`")
+    parser.add_argument("--package", default="badgergap", help="the package of that checkout")
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=2.0)
     named = parser.parse_args()
     if named.what == "small":
         if named.against is None:
             parser.error("small wants --against DIR")
-        small(named.against.resolve(), named.rounds, named.seconds)
+        small(named.against.resolve(), named.package, named.rounds, named.seconds)
     elif named.what == "upgrade":
         upgrade(named.rounds)
     else:
