--- a/benchmarks/staffed.py
+++ b/benchmarks/staffed.py
@@ -104,16 +104,18 @@
 """
 
 
-def upgrade(rounds: int) -> None:
+def upgrade(rounds: int, against: Path, package: str) -> None:
+    """`against`: the checkout that the process which is taken over from runs."""
     for way in ("SO_REUSEPORT", "handed over"):
         back = []
         for _ in range(rounds):
             with tempfile.TemporaryDirectory() as folder, fleet(4) as boxes:
-                back.append(change(Path(folder), boxes, shared=way == "handed over"))
+                back.append(change(Path(folder), boxes, way == "handed over", against, package))
         print(f"{way}: requests turned back in each of {rounds} changes, 100 clients: {back}")
 
 
-def change(folder: Path, boxes: dict[str, str], shared: bool) -> int:
+def change(folder: Path, boxes: dict[str, str], shared: bool, against: Path, package: str) -> int:
+    """Requests turned back while one process follows another."""
     path = platform_file(folder, boxes)
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
@@ -122,7 +124,7 @@
     for place in places:
         place.mkdir(mode=0o700)
     told = {"ROUTER_CONSOLE": "127.0.0.1:0"}
-    with gateway(path, environ=told | {"TMPDIR": str(places[0])}) as (old, _, _):
+    with gateway(path, against, told | {"TMPDIR": str(places[0])}, package) as (old, _, _):
         clients = subprocess.Popen(
             [sys.executable, "-c", CLIENTS, "127.0.0.1", str(port), "50", "50"],
             stdin=subprocess.PIPE,
@@ -209,7 +211,9 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=("small", "upgrade", "large"))
-    parser.add_argument("--against", type=Path, help="another checkout, for `small`")
+    parser.add_argument(
+        "--against", type=Path, help="another checkout, for `small`; `upgrade` begins with it"
+    )
     parser.add_argument("--package", default="badgergap", help="the package of that checkout")
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=2.0)
@@ -219,7 +223,7 @@
             parser.error("small wants --against DIR")
         small(named.against.resolve(), named.package, named.rounds, named.seconds)
     elif named.what == "upgrade":
-        upgrade(named.rounds)
+        upgrade(named.rounds, (named.against or ROOT).resolve(), named.package)
     else:
         large(named.seconds)
 
--- a/tests/appliance/harness.py
+++ b/tests/appliance/harness.py
@@ -62,10 +62,11 @@
 
 
 class Process:
-    """`badgergap serve` on a file."""
+    """`badgergap serve` on a file. `program`: what stands in place of `badgergap`, of another release say."""
 
-    def __init__(self, path: Path) -> None:
+    def __init__(self, path: Path, program: Sequence[str] = ()) -> None:
         self.path = path
+        self.program = program or (sys.executable, "-m", "badgergap.cli")
         self.child: asyncio.subprocess.Process | None = None
         self.port = 0
         self.log: list[str] = []
@@ -79,7 +80,7 @@
     async def start(self, listens: str = "listens on", **environ: str) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | environ
         self.child = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "badgergap.cli", "serve", str(self.path)),
+            *(*self.program, "serve", str(self.path)),
             stderr=asyncio.subprocess.PIPE,
             env=env,
         )
--- a/tests/consensus/load.py
+++ b/tests/consensus/load.py
@@ -109,9 +109,9 @@
 
 def versioned(it: Rig, number: int) -> dict[str, object]:
     """Settings under which every request says that number to its box."""
-    text = it.settings().replace(
-        'class = "pages"\n[[box]]', f'class = "pages"\nput_before = "/v{number}"\n[[box]]'
-    )
+    route = 'name = "everything"\nclass = "pages"\n'
+    text = it.settings().replace(route, f'{route}put_before = "/v{number}"\n')
+    assert f"/v{number}" in text
     return shared(read_tables(text, "test"))
 
 
--- a/tests/hot_restart/test_http.py
+++ b/tests/hot_restart/test_http.py
@@ -6,7 +6,7 @@
 import signal
 import ssl
 from collections import Counter
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager, suppress
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -46,8 +46,8 @@
         text += '[[certificate]]\ncertificate = "a.pem"\nkey = "a-key.pem"\n'
         self.path.write_text(text + more)
 
-    async def start(self) -> Process:
-        process = Process(self.path)
+    async def start(self, program: Sequence[str] = ()) -> Process:
+        process = Process(self.path, program)
         alive = [p for p in self.started if p.child is not None and p.child.returncode is None]
         known = sum(TAKES in line for line in alive[-1].log) if alive else 0
         self.started.append(process)
