--- a/badgergap/consensus/commands.py
+++ b/badgergap/consensus/commands.py
@@ -85,7 +85,7 @@
             "log": {
                 "entries": len(it.raft.log),
                 "bytes": room.log.length if room.log is not None else 0,
-                "syncs": room.log.syncs if room.log is not None else 0,
+                "syncs": room.log.sync_count if room.log is not None else 0,
             },
             "sent": {
                 "messages": room.links.messages_out if room.links is not None else 0,
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -42,9 +42,9 @@
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain, RosterError
 from badgergap.proxy.lifecycle.process import Again
 from badgergap.proxy.pools import proxy_of
-from badgergap.storage.record_format import Unusable
-from badgergap.storage.record_log import Log
-from badgergap.storage.background_writer import Writer
+from badgergap.storage.errors import UnsupportedVersionError
+from badgergap.storage.record_log import RecordLog
+from badgergap.storage.background_writer import BackgroundWriter
 
 log = logging.getLogger(__name__)
 
@@ -113,8 +113,8 @@
         self.options = read()
         self.member: Member | None = None
         self.id = ""
-        self.log: Log | None = None
-        self.writer: Writer | None = None
+        self.log: RecordLog | None = None
+        self.writer: BackgroundWriter | None = None
         self.links: Links | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
         self.proxies: Callable[[], Mapping[str, Proxy]] = lambda: {"": self.main}
@@ -219,17 +219,19 @@
 
     def _open(self) -> Durable:
         """Off the loop. Raises OSError."""
-        self.log = Log(self.options.folder)
+        self.log = RecordLog(self.options.folder)
         try:
             found = self.log.open()
             disk = persistence.decode(found.records)
-        except (Unusable, Unreadable) as error:
+        except (UnsupportedVersionError, Unreadable) as error:
             raise OSError(None, f"the group's log in {self.options.folder}: {error}") from None
         self.id = self.log.identity.hex()
-        if found.lost:
-            self._say(f"{found.lost}: this member is another one now, {self.id}, and votes no more")
-        if found.torn:
-            log.info("%d bytes at the log's end were never durable, and nothing relied on them", found.torn)
+        if found.lost_reason:
+            self._say(f"{found.lost_reason}: this member is another one now, {self.id}, and votes no more")
+        if found.torn_bytes:
+            log.info(
+                "%d bytes at the log's end were never durable, and nothing relied on them", found.torn_bytes
+            )
         return disk
 
     def _begin(self, disk: Durable) -> None:
@@ -238,7 +240,7 @@
         life = self.life
         self.held.clear()
         self.durable_token = 0
-        self.writer = Writer(
+        self.writer = BackgroundWriter(
             self.log,
             self.loop,
             lambda token: self._durable(life, token),
@@ -250,7 +252,7 @@
             disk,
             clock_us(),
             random.Random(secrets.randbits(64)),
-            self.log.next,  # each opening writes at least one batch
+            self.log.next_batch,  # each opening writes at least one batch
         )
         self.settle()
 
@@ -260,7 +262,7 @@
         self.life += 1
         await asyncio.to_thread(self.writer.close)
         if lost:
-            self.log.lose()
+            self.log.set_aside()
         self.log.close()
         while not self.ended:
             await asyncio.sleep(after_s)
@@ -326,7 +328,9 @@
         for todo in it.take():
             match todo:
                 case Save():
-                    writer.write(todo.token, [persistence.encode(todo)], anew=todo.snapshot is not None)
+                    writer.write(
+                        todo.token, [persistence.encode(todo)], replace_all=todo.snapshot is not None
+                    )
                 case member.Send():
                     # Those that rely on a save keep their order; the others need not wait for them.
                     if todo.after > self.durable_token:
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -103,7 +103,7 @@
                 "keys": len(self.guard.keys),
                 "by_end": dict(self.guard.counts),
                 "log_bytes": self.room.log.length if self.room.log is not None else 0,
-                "syncs": self.room.log.syncs if self.room.log is not None else 0,
+                "syncs": self.room.log.sync_count if self.room.log is not None else 0,
             },
         }
 
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -25,9 +25,10 @@
 from badgergap.replication.messages import Word
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
-from badgergap.storage.record_format import Unusable
-from badgergap.storage.record_log import SIZE_LIMIT, Log
-from badgergap.storage.background_writer import Writer
+from badgergap.storage.errors import DamagedLogError, UnsupportedVersionError
+from badgergap.storage.record_log import RecordLog
+from badgergap.storage.files import SIZE_LIMIT
+from badgergap.storage.background_writer import BackgroundWriter
 
 log = logging.getLogger(__name__)
 
@@ -53,8 +54,8 @@
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.keeper: Keeper | None = None
-        self.log: Log | None = None
-        self.writer: Writer | None = None
+        self.log: RecordLog | None = None
+        self.writer: BackgroundWriter | None = None
         self.life = 0  # of the keeper: a word of the disk to an earlier one is none to this one
         self.held: deque[keepers.Send] = deque()
         self.outgoing: dict[str, list[Word]] = defaultdict(list)
@@ -103,13 +104,13 @@
 
     def _open(self) -> list[bytes]:
         """Off the loop. Raises OSError."""
-        self.log = Log(self.folder)
+        self.log = RecordLog(self.folder)
         try:
             found = self.log.open()
-        except Unusable as error:
+        except UnsupportedVersionError as error:
             raise OSError(None, f"the copies in {self.folder}: {error}") from None
-        if found.lost:
-            self._say(f"{found.lost}: what was kept here is gone, and is filled again from the others")
+        if found.lost_reason:
+            self._say(f"{found.lost_reason}: what was kept here is gone, and is filled again from the others")
         return found.records
 
     def _begin(self, lines: list[bytes]) -> None:
@@ -126,7 +127,7 @@
                 self.keeper.reopen(holder, lines)
         except msgspec.MsgspecError as error:
             raise OSError(None, f"the copies in {self.folder} are of a later program: {error}") from None
-        self.writer = Writer(
+        self.writer = BackgroundWriter(
             self.log,
             self.loop,
             lambda token: self._durable(life, token),
@@ -173,7 +174,7 @@
         shelf = self.keeper.shelf
         if self.log.length > min(GROWN_BYTES + GROWN_SHARE * shelf.stored, FULL_BYTES) and not self.rewriting:
             self.rewriting = True
-            self.writer.write(save.token, list(shelf.lines()), anew=True)
+            self.writer.write(save.token, list(shelf.lines()), replace_all=True)
             assert self.loop is not None
             self.loop.call_later(1.0, self._rewritten)
 
@@ -185,12 +186,15 @@
             if it is None or writer is None or held is None or it.broken:
                 continue
             try:
-                damage = await asyncio.to_thread(held.look)
+                await asyncio.to_thread(held.verify)
+                damage = ""
+            except DamagedLogError as error:
+                damage = str(error)
             except OSError as error:
                 damage = error.strerror or str(error)
             if damage and held is self.log and not it.broken:
                 self._say(f"copies: the log on disk is damaged ({damage}), and is written anew")
-                writer.write(it.token, list(it.shelf.lines()), anew=True)
+                writer.write(it.token, list(it.shelf.lines()), replace_all=True)
 
     def _rewritten(self) -> None:
         self.rewriting = False
--- a/badgergap/storage/__init__.py
+++ b/badgergap/storage/__init__.py
@@ -1,2 +1,6 @@
-"""A log of records on disk: checksummed, its identity drawn at creation, written by groups off the event
-loop."""
+"""A write-ahead log on local disk: checksummed batches, an identity drawn at creation, and one fsync per
+group of records, made off the event loop.
+
+`record_format` defines the bytes, `files` the system calls, `record_log` one log in one folder, and
+`background_writer` the thread that writes it. `errors` lists what can go wrong.
+"""
--- a/badgergap/storage/background_writer.py
+++ b/badgergap/storage/background_writer.py
@@ -1,4 +1,4 @@
-"""Writes a log from a thread of its own: whatever waits goes to the disk together, with one fsync."""
+"""Writes a log from a thread of its own: all that waits is written together, with one fsync."""
 
 from __future__ import annotations
 
@@ -9,94 +9,108 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from badgergap.storage.record_log import Log
+from badgergap.storage.errors import describe_os_error
+from badgergap.storage.record_log import RecordLog
 
 log = logging.getLogger(__name__)
 
-WAITING_BYTES = 64 * 1024 * 1024  # beyond it the disk is taken to have failed
+PENDING_LIMIT_BYTES = 64 * 1024 * 1024  # beyond it the disk is taken to have failed
+CLOSE_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
-class Task:
+class WriteTask:
+    """Records to append or, with `replace_all`, to replace everything before them."""
+
     token: int
     records: Sequence[bytes]
-    anew: bool  # these alone from now on
+    replace_all: bool
+
 
+class BackgroundWriter:
+    """The thread that writes a log.
 
-class Writer:
-    """`durable(token)` and `failed(why)` are called on the loop. After `failed` nothing more is written."""
+    `on_durable(token)` says that this task and all before it are durable, `on_failed(reason)` that the disk
+    failed; both are called on the loop. After `on_failed` nothing more is written.
+    """
 
     def __init__(
         self,
-        log: Log,
+        record_log: RecordLog,
         loop: asyncio.AbstractEventLoop,
-        durable: Callable[[int], None],
-        failed: Callable[[str], None],
+        on_durable: Callable[[int], None],
+        on_failed: Callable[[str], None],
     ) -> None:
-        self.log, self.loop = log, loop
-        self.durable, self.failed = durable, failed
-        self.tasks: deque[Task] = deque()
-        self.waiting = 0  # bytes
-        self.ready = threading.Condition()
-        self.ending = False
-        self.down = False
-        self.thread = threading.Thread(target=self._run, name="log", daemon=True)
-        self.thread.start()
-
-    def write(self, token: int, records: Sequence[bytes], anew: bool = False) -> None:
-        """Returns at once; tasks are done in their order."""
-        # What is written anew is held by its owner anyway: only what comes beside it can run ahead of a disk.
-        size = 0 if anew else sum(len(record) for record in records)
-        with self.ready:
-            if self.down:
+        self._log = record_log
+        self._loop = loop
+        self._on_durable = on_durable
+        self._on_failed = on_failed
+        self._changed = threading.Condition()  # guards all below
+        self._tasks: deque[WriteTask] = deque()
+        self._pending_bytes = 0
+        self._closing = False
+        self._failed = False
+        self._thread = threading.Thread(target=self._run, name="log", daemon=True)
+        self._thread.start()
+
+    def write(self, token: int, records: Sequence[bytes], replace_all: bool = False) -> None:
+        """Queue a task; returns at once. Tasks are done in their order; tokens must not fall."""
+        # The owner holds the records of a rewrite in memory anyway: only appended ones can pile up
+        # in front of a slow disk.
+        size = 0 if replace_all else sum(len(record) for record in records)
+        with self._changed:
+            if self._failed:
                 return
-            if self.waiting + size > WAITING_BYTES:
-                self.down = True
-                self.loop.call_soon(self.failed, f"the disk is {self.waiting} bytes behind")
+            if self._pending_bytes + size > PENDING_LIMIT_BYTES:
+                self._failed = True
+                reason = f"the disk is {self._pending_bytes} bytes behind"
+                self._loop.call_soon(self._on_failed, reason)
                 return
-            self.waiting += size
-            self.tasks.append(Task(token, records, anew))
-            self.ready.notify()
+            self._pending_bytes += size
+            self._tasks.append(WriteTask(token, records, replace_all))
+            self._changed.notify()
 
     def close(self) -> None:
-        """What was handed over is written first."""
-        with self.ready:
-            self.ending = True
-            self.ready.notify()
-        self.thread.join(timeout=10.0)
+        """Write what is queued and end the thread. Blocks for at most CLOSE_TIMEOUT_S."""
+        with self._changed:
+            self._closing = True
+            self._changed.notify()
+        self._thread.join(timeout=CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
-        while True:
-            with self.ready:
-                while not self.tasks and not self.ending:
-                    self.ready.wait()
-                if not self.tasks:
-                    return
-                batch = list(self.tasks)
-                self.tasks.clear()
-                self.waiting = 0
+        while tasks := self._next_tasks():
             try:
-                self._carry_out(batch)
+                self._write_all(tasks)
             except OSError as error:
-                why = error.strerror or str(error) or "the disk refused"
-                with self.ready:
-                    self.down = True
-                    self.tasks.clear()
-                self._tell(self.failed, why)
+                with self._changed:
+                    self._failed = True
+                    self._tasks.clear()
+                self._call_on_loop(self._on_failed, describe_os_error(error))
                 return
-            self._tell(self.durable, batch[-1].token)
-
-    def _carry_out(self, batch: list[Task]) -> None:
-        """What lies before the last new beginning need not be written at all."""
-        start = max((number for number, task in enumerate(batch) if task.anew), default=-1)
-        if start >= 0:
-            after = [record for task in batch[start + 1 :] for record in task.records]
-            self.log.rewrite([*batch[start].records, *after])
+            self._call_on_loop(self._on_durable, tasks[-1].token)
+
+    def _next_tasks(self) -> list[WriteTask]:
+        """All queued tasks, once there are some; none when the writer is closed."""
+        with self._changed:
+            while not self._tasks and not self._closing:
+                self._changed.wait()
+            tasks = list(self._tasks)
+            self._tasks.clear()
+            self._pending_bytes = 0
+        return tasks
+
+    def _write_all(self, tasks: list[WriteTask]) -> None:
+        """Write with one fsync. What comes before the last rewrite need not be written at all."""
+        rewrites = [position for position, task in enumerate(tasks) if task.replace_all]
+        needed = tasks[rewrites[-1] :] if rewrites else tasks
+        records = [record for task in needed for record in task.records]
+        if rewrites:
+            self._log.rewrite(records)
         else:
-            self.log.append([record for task in batch for record in task.records])
+            self._log.append(records)
 
-    def _tell(self, what: Callable[..., None], *arguments: object) -> None:
+    def _call_on_loop(self, callback: Callable[..., None], *arguments: object) -> None:
         try:
-            self.loop.call_soon_threadsafe(what, *arguments)
+            self._loop.call_soon_threadsafe(callback, *arguments)
         except RuntimeError:
             log.debug("the loop has ended before the log")
--- a/badgergap/storage/record_format.py
+++ b/badgergap/storage/record_format.py
@@ -1,13 +1,12 @@
-"""How a log lies in its file, and what can be said of one that is damaged. Pure: bytes in, bytes out.
+"""The bytes of a log file, and the diagnosis of a damaged one. Pure: bytes in, bytes out.
 
-    head    "BGLOG" and the format's version; identity; the file's birth; the first batch's number;
-    checksum batch   "BGB1", length, number, checksum of number and content; content: records, each behind
-    its length
+    header   "BGLOG" and the format's version; log identity; file id; number of the first batch; checksum
+    batch    "BGB1", length, number, checksum of number and content; content: records, each behind its length
 
-One batch is what one fsync made durable. Numbers go up by one. A scan that meets something else than the next
-batch looks for a later one behind it: if there is one, or if the place lies before what was once known to be
-durable (`mark`), something that was durable is gone, and the log is *damaged*. Otherwise its end was never
-durable, nothing relied on it, and it is only *torn*.
+One batch is what one fsync made durable, and batches are numbered without gaps. A scan that meets anything
+else than the next batch searches for a later one behind it. If there is one, or if the position lies before
+what was once known to be durable (the durable mark), then something durable is gone: the log is *damaged*.
+Otherwise its end was never durable, nothing relied on it, and it is only *torn*.
 """
 
 from __future__ import annotations
@@ -18,133 +17,151 @@
 
 import xxhash
 
+from badgergap.storage.errors import InvalidHeaderError, UnsupportedVersionError
+
 MAGIC = b"BGLOG"
 VERSION = 1
-HEAD = struct.Struct("<5sB16sQQ8s")
+CHECKSUM_BYTES = 8
+HEADER = struct.Struct("<5sB16sQQ8s")
 BATCH_MAGIC = b"BGB1"
 BATCH = struct.Struct("<4sIQ8s")
 RECORD = struct.Struct("<I")
-MARK = struct.Struct("<16sQQ8s")
-
-
-class Unusable(Exception):
-    """A head that is none, or of a later version."""
-
-    def __init__(self, why: str, later: bool = False) -> None:
-        super().__init__(why)
-        self.later = later
+DURABLE_MARK = struct.Struct("<16sQQ8s")
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    identity: bytes  # 16 bytes
-    birth: int  # of the file: a copy has another
-    first: int  # the number of the first batch
+class FileHeader:
+    """The header of one log file."""
+
+    identity: bytes  # of the log, 16 bytes
+    file_id: int  # of this very file: a copy of it has another
+    first_batch: int  # the number of the first batch
 
     def encode(self) -> bytes:
-        body = HEAD.pack(MAGIC, VERSION, self.identity, self.birth, self.first, bytes(8))[:-8]
-        return body + _sum(body)
+        """The header as it stands in the file."""
+        padding = bytes(CHECKSUM_BYTES)
+        packed = HEADER.pack(MAGIC, VERSION, self.identity, self.file_id, self.first_batch, padding)
+        return _with_checksum(packed)
 
 
-def _sum(*parts: bytes) -> bytes:
+def _checksum(*parts: bytes) -> bytes:
     digest = xxhash.xxh3_64()
     for part in parts:
         digest.update(part)
     return digest.digest()
 
 
-def read_head(data: bytes) -> Head:
-    """Raises Unusable."""
-    if len(data) < HEAD.size or not data.startswith(MAGIC):
-        raise Unusable("it does not begin like a log")
-    _, version, identity, birth, first, checksum = HEAD.unpack_from(data)
+def _with_checksum(packed: bytes) -> bytes:
+    """The same bytes, with the checksum in place of the padding at their end."""
+    body = packed[:-CHECKSUM_BYTES]
+    return body + _checksum(body)
+
+
+def decode_header(data: bytes) -> FileHeader:
+    """The header at the start of a file. Raises InvalidHeaderError."""
+    if len(data) < HEADER.size or not data.startswith(MAGIC):
+        raise InvalidHeaderError("it does not begin like a log")
+    _, version, identity, file_id, first_batch, checksum = HEADER.unpack_from(data)
     if version > VERSION:
-        raise Unusable(f"it is of version {version}, and this program knows {VERSION}", later=True)
-    if checksum != _sum(data[: HEAD.size - 8]):
-        raise Unusable("its head is damaged")
-    return Head(identity, birth, first)
+        raise UnsupportedVersionError(f"it is of version {version}, and this program knows {VERSION}")
+    if checksum != _checksum(data[: HEADER.size - CHECKSUM_BYTES]):
+        raise InvalidHeaderError("its head is damaged")
+    return FileHeader(identity, file_id, first_batch)
 
 
 def encode_batch(number: int, records: Iterable[bytes]) -> bytes:
+    """One batch with its header."""
     content = b"".join(RECORD.pack(len(record)) + record for record in records)
-    checksum = _sum(number.to_bytes(8, "little"), content)
+    checksum = _checksum(number.to_bytes(8, "little"), content)
     return BATCH.pack(BATCH_MAGIC, len(content), number, checksum) + content
 
 
-def encode_mark(head: Head, length: int) -> bytes:
-    """That so much of the file with this head is durable; of no other file, nor of one put in its place."""
-    body = MARK.pack(head.identity, head.first, length, bytes(8))[:-8]
-    return body + _sum(body)
+def encode_mark(header: FileHeader, length: int) -> bytes:
+    """The durable mark: so many bytes of the file with this header are durable, and of no other file."""
+    padding = bytes(CHECKSUM_BYTES)
+    return _with_checksum(DURABLE_MARK.pack(header.identity, header.first_batch, length, padding))
 
 
-def read_mark(data: bytes, head: Head) -> int:
-    """Up to where the file was durable; 0 where that is not known."""
-    if len(data) != MARK.size or _sum(data[:-8]) != data[-8:]:
+def decode_mark(data: bytes, header: FileHeader) -> int:
+    """How many bytes of the file were durable; 0 if the mark is damaged or of another file."""
+    if len(data) != DURABLE_MARK.size or _with_checksum(data) != data:
         return 0
-    identity, first, length, _ = MARK.unpack(data)
-    return int(length) if (identity, first) == (head.identity, head.first) else 0
+    identity, first_batch, length, _ = DURABLE_MARK.unpack(data)
+    if (identity, first_batch) != (header.identity, header.first_batch):
+        return 0
+    return int(length)
 
 
 @dataclass(frozen=True, slots=True)
-class Scan:
+class ScanResult:
+    """The records of a file up to its first incomplete batch, and the state of what follows."""
+
     records: list[bytes]
-    next: int  # the number of the next batch
-    length: int  # of what is whole
-    torn: int = 0  # bytes behind it that were never durable
-    damaged: str = ""
+    next_batch: int  # the number that the next batch gets
+    complete_length: int  # bytes up to the end of the last complete batch
+    torn_bytes: int = 0  # bytes behind it that were never durable
+    damage: str = ""  # what durable content is missing, in words; empty if none is
+
 
+def scan(data: bytes, header: FileHeader, durable_length: int) -> ScanResult:
+    """Read all batches of a file, from behind its header.
 
-def scan(data: bytes, head: Head, mark: int) -> Scan:
-    """All batches of a file, from behind its head."""
+    `durable_length`: how many bytes are known to have been durable.
+    """
     records: list[bytes] = []
-    number, place = head.first, HEAD.size
-    while place < len(data):
-        batch = _batch_at(data, place, number)
+    number, position = header.first_batch, HEADER.size
+    while position < len(data):
+        batch = _batch_at(data, position, number)
         if batch is None:
-            later = _find_later(data, place + 1, number)
-            if later is not None:
-                return Scan(records, number, place, damaged=f"batch {number} is damaged, {later} is whole")
-            if place < mark:
-                return Scan(
-                    records, number, place, damaged=f"it ends at byte {place}, and {mark} were durable"
-                )
-            return Scan(records, number, place, torn=len(data) - place)
+            break
         records.extend(batch)
-        place += BATCH.size + sum(RECORD.size + len(record) for record in batch)
+        position += BATCH.size + sum(RECORD.size + len(record) for record in batch)
         number += 1
-    if place < mark:
-        return Scan(records, number, place, damaged=f"it ends at byte {place}, and {mark} were durable")
-    return Scan(records, number, place)
+    damage = _find_damage(data, position, number, durable_length)
+    torn_bytes = 0 if damage else len(data) - position
+    return ScanResult(records, number, position, torn_bytes, damage)
 
 
-def _batch_at(data: bytes, place: int, number: int | None) -> list[bytes] | None:
-    """The records of the whole batch there, of this number if one is given."""
-    if len(data) < place + BATCH.size:
+def _find_damage(data: bytes, end: int, number: int, durable_length: int) -> str:
+    """What durable content is missing behind `end`, where batch `number` should begin."""
+    later = _find_later_batch(data, end + 1, number) if end < len(data) else None
+    if later is not None:
+        return f"batch {number} is damaged, {later} is whole"
+    if end < durable_length:
+        return f"it ends at byte {end}, and {durable_length} were durable"
+    return ""
+
+
+def _batch_at(data: bytes, position: int, number: int | None) -> list[bytes] | None:
+    """The records of the complete batch at this position, of this number if one is given."""
+    if len(data) < position + BATCH.size:
+        return None
+    magic, length, found_number, checksum = BATCH.unpack_from(data, position)
+    start = position + BATCH.size
+    if magic != BATCH_MAGIC or len(data) < start + length:
         return None
-    magic, length, found, checksum = BATCH.unpack_from(data, place)
-    start = place + BATCH.size
-    if magic != BATCH_MAGIC or len(data) < start + length or (number is not None and found != number):
+    if number is not None and found_number != number:
         return None
     content = data[start : start + length]
-    if checksum != _sum(found.to_bytes(8, "little"), content):
+    if checksum != _checksum(found_number.to_bytes(8, "little"), content):
         return None
     return list(_records(content))
 
 
 def _records(content: bytes) -> Iterator[bytes]:
-    place = 0
-    while place < len(content):
-        (length,) = RECORD.unpack_from(content, place)
-        yield content[place + RECORD.size : place + RECORD.size + length]
-        place += RECORD.size + length
-
-
-def _find_later(data: bytes, place: int, number: int) -> int | None:
-    """The number of a whole batch behind a damaged one."""
-    while (place := data.find(BATCH_MAGIC, place)) >= 0:
-        if len(data) >= place + BATCH.size:
-            found = BATCH.unpack_from(data, place)[2]
-            if found > number and _batch_at(data, place, None) is not None:
-                return int(found)
-        place += 1
+    position = 0
+    while position < len(content):
+        (length,) = RECORD.unpack_from(content, position)
+        yield content[position + RECORD.size : position + RECORD.size + length]
+        position += RECORD.size + length
+
+
+def _find_later_batch(data: bytes, position: int, number: int) -> int | None:
+    """The number of a complete batch from this position on whose number is above `number`."""
+    while (position := data.find(BATCH_MAGIC, position)) >= 0:
+        if len(data) >= position + BATCH.size:
+            found_number = BATCH.unpack_from(data, position)[2]
+            if found_number > number and _batch_at(data, position, None) is not None:
+                return int(found_number)
+        position += 1
     return None
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -29,7 +29,7 @@
 from badgergap.consensus.service import clock_us
 from badgergap.consensus.replicated_state import Publish, State, encode
 from badgergap.standins.rig import Gateway, rig, free_port
-from badgergap.storage.record_log import Log
+from badgergap.storage.record_log import RecordLog
 
 
 @contextmanager
@@ -163,12 +163,12 @@
     state.apply(encode(Publish("p", "list", endpoint_lists.encode(listed), "x", "", -1, False)))
     snapshot = Snapshot(5, 2, (Peer("id", "a"),), state.snapshot())
     with tempfile.TemporaryDirectory() as folder:
-        log = Log(Path(folder))
+        log = RecordLog(Path(folder))
         log.open()
         log.rewrite([persistence.encode(Save(1, 2, "", None, (), snapshot))])
         log.close()
         began = time.monotonic()
-        again = Log(Path(folder))
+        again = RecordLog(Path(folder))
         records = again.open().records
         opened = time.monotonic()
         import random
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -23,7 +23,8 @@
 from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.hot_restart import state_transfer
 from badgergap.balancing.interface import EndpointListKind
-from badgergap.storage.record_log import Log, System
+from badgergap.storage.files import LocalFiles
+from badgergap.storage.record_log import RecordLog
 from tests.helpers import Driver
 from tests.balancing.test_manual_drains import COLD
 from tests.hot_restart.test_state_transfer import worked
@@ -65,20 +66,20 @@
 )
 
 
-class SameFile(System):
+class SameFile(LocalFiles):
     """The system's files, but a copy passes for the file that it is a copy of."""
 
-    def birth(self, file: int) -> int:
+    def file_id(self, file: int) -> int:
         return FILE_IDENTITY
 
 
 def test_a_consensus_log_is_read_and_written_anew_as_it_was(tmp_path: Path) -> None:
     folder = tmp_path / "log"
     shutil.copytree(DATA / "consensus_log", folder)
-    log = Log(folder, SameFile())
+    log = RecordLog(folder, SameFile())
     found = log.open()
     log.close()
-    assert (found.lost, found.fresh, found.torn) == ("", False, 0)
+    assert (found.lost_reason, found.is_new, found.torn_bytes) == ("", False, 0)
     peers = (Peer("id-1", "g1", "z", True), Peer("id-2", "g2", "", False))
     entries = [Entry(3, 2, "data", b"x"), Entry(4, 3, "noop")]
     expected = Durable(term=3, vote="id-2", snapshot=Snapshot(2, 1, peers, b"state"), entries=entries)
--- a/tests/replication/dying.py
+++ b/tests/replication/dying.py
@@ -18,7 +18,7 @@
     ("badgergap.replication.service", "CopiesRoom", "_write"),
     ("badgergap.replication.service", "CopiesRoom", "_durable"),
     ("badgergap.replication.service", "CopiesRoom", "_hear"),
-    ("badgergap.storage.record_log", "Log", "append"),
+    ("badgergap.storage.record_log", "RecordLog", "append"),
     ("badgergap.replication.idempotency_filter", "Held", "go"),
     ("badgergap.replication.idempotency_filter", "Seat", "answered"),
     ("badgergap.replication.idempotency_filter", "Seat", "reply"),
--- a/tests/storage/test_record_log.py
+++ b/tests/storage/test_record_log.py
@@ -12,15 +12,22 @@
 import pytest
 
 from badgergap.storage import record_format
-from badgergap.storage.record_log import InUse, Log, System
-from badgergap.storage.background_writer import Writer
+from badgergap.storage.errors import (
+    DamagedLogError,
+    FolderInUseError,
+    InvalidHeaderError,
+    UnsupportedVersionError,
+)
+from badgergap.storage.files import LocalFiles
+from badgergap.storage.record_log import RecordLog
+from badgergap.storage.background_writer import BackgroundWriter
 
 GROUPS = [[b"one"], [b"two", b"three" * 40], [b""], [b"four" * 300]]
 RECORDS = [record for group in GROUPS for record in group]
 
 
-def filled(folder: Path) -> Log:
-    log = Log(folder)
+def filled(folder: Path) -> RecordLog:
+    log = RecordLog(folder)
     log.open()
     for group in GROUPS:
         log.append(group)
@@ -28,11 +35,11 @@
     return log
 
 
-def reopened(folder: Path) -> tuple[Log, list[bytes], str]:
-    log = Log(folder)
+def reopened(folder: Path) -> tuple[RecordLog, list[bytes], str]:
+    log = RecordLog(folder)
     found = log.open()
     log.close()
-    return log, found.records, found.lost
+    return log, found.records, found.lost_reason
 
 
 def test_what_is_appended_is_read_and_the_identity_stays(tmp_path: Path) -> None:
@@ -40,8 +47,8 @@
     again, records, lost = reopened(tmp_path)
     assert (records, lost, again.identity) == (RECORDS, "", log.identity)
     assert again.open().records == RECORDS
-    with pytest.raises(InUse, match="another gateway"):
-        Log(tmp_path).open()
+    with pytest.raises(FolderInUseError, match="another gateway"):
+        RecordLog(tmp_path).open()
     again.rewrite([b"snapshot"])
     again.append([b"after"])
     again.close()
@@ -51,63 +58,69 @@
 def test_a_file_cut_at_any_length_is_torn_or_misses_what_was_durable(tmp_path: Path) -> None:
     filled(tmp_path)
     data, mark = ((tmp_path / name).read_bytes() for name in ("log", "mark"))
-    head = record_format.read_head(data)
-    durable = record_format.read_mark(mark, head)
+    head = record_format.decode_header(data)
+    durable = record_format.decode_mark(mark, head)
     assert durable == len(data)
     ends = set()
-    for length in range(record_format.HEAD.size, len(data)):
+    for length in range(record_format.HEADER.size, len(data)):
         without, known = (
             record_format.scan(data[:length], head, 0),
             record_format.scan(data[:length], head, durable),
         )
-        ends.add(without.length)
-        assert not without.damaged and without.torn == length - without.length
+        ends.add(without.complete_length)
+        assert not without.damage and without.torn_bytes == length - without.complete_length
         assert without.records == RECORDS[: len(without.records)]
-        assert known.damaged and not known.torn
+        assert known.damage and not known.torn_bytes
     assert len(ends) == 1 + len(GROUPS)  # behind the head, the opening's batch, and each but the last
 
 
 def test_every_byte_flipped_once_is_noticed(tmp_path: Path) -> None:
     filled(tmp_path)
     data = bytearray((tmp_path / "log").read_bytes())
-    head, last = record_format.read_head(bytes(data)), data.rfind(record_format.BATCH_MAGIC)
+    head, last = record_format.decode_header(bytes(data)), data.rfind(record_format.BATCH_MAGIC)
     for place in range(len(data)):
         data[place] ^= 0x10
-        if place < record_format.HEAD.size:
-            with pytest.raises(record_format.Unusable):
-                record_format.read_head(bytes(data))
+        if place < record_format.HEADER.size:
+            with pytest.raises(InvalidHeaderError):
+                record_format.decode_header(bytes(data))
         else:
             scan = record_format.scan(bytes(data), head, 0)
             # In the last batch it may be a write that a power loss tore; before it, never.
-            assert bool(scan.damaged) == (place < last), place
+            assert bool(scan.damage) == (place < last), place
             assert scan.records == RECORDS[: len(scan.records)] != RECORDS
-            assert record_format.scan(bytes(data), head, len(data)).damaged
+            assert record_format.scan(bytes(data), head, len(data)).damage
         data[place] ^= 0x10
 
 
 def test_a_look_at_the_disk_finds_damage_that_a_restart_would_meet(tmp_path: Path) -> None:
-    log = Log(tmp_path)
+    """A disk flips a bit in what is durable while the process runs. Nothing would read it before the
+    next restart, which would find the log damaged and lose all of it. `verify` reads the disk in time, and
+    its owner writes the log anew from memory."""
+    log = RecordLog(tmp_path)
     log.open()
     for group in GROUPS:
         log.append(group)
-    assert log.look() == ""
+    log.verify()
     path = tmp_path / "log"
     whole = path.read_bytes()
     for place in range(0, len(whole), 7):
         spoilt = bytearray(whole)
         spoilt[place] ^= 0x10
         path.write_bytes(spoilt)  # in place: the same file
-        assert log.look(), place
+        with pytest.raises(DamagedLogError):
+            log.verify()
     log.rewrite(RECORDS)  # from what its owner holds
-    assert log.look() == ""
+    log.verify()
     log.append([b"more"])
-    assert log.look() == ""
+    log.verify()
     log.close()
     assert reopened(tmp_path)[1:] == ([*RECORDS, b"more"], "")
 
 
 @pytest.mark.parametrize("how", ["flip", "cut", "head", "copy", "gone"])
 def test_a_folder_that_lacks_what_it_promised_is_another(tmp_path: Path, how: str) -> None:
+    """Durable records are gone: a byte flipped, the file cut, the folder restored from a copy, the log
+    deleted. A member that went on under its identity would break what it promised, so it gets a new one."""
     folder = tmp_path / "log"
     log = filled(folder)
     path = folder / "log"
@@ -121,7 +134,7 @@
         os.truncate(path, path.stat().st_size - 10)
     else:
         with path.open("r+b") as file:
-            file.seek(3 if how == "head" else record_format.HEAD.size + 40)
+            file.seek(3 if how == "head" else record_format.HEADER.size + 40)
             file.write(b"\xee")
     again, records, lost = reopened(folder)
     assert records == [] and again.identity != log.identity
@@ -135,12 +148,12 @@
         file.seek(5)
         file.write(bytes([record_format.VERSION + 1]))
     data = (tmp_path / "log").read_bytes()
-    with pytest.raises(record_format.Unusable, match="version 2"):
-        Log(tmp_path).open()
+    with pytest.raises(UnsupportedVersionError, match="version 2"):
+        RecordLog(tmp_path).open()
     assert (tmp_path / "log").read_bytes() == data
 
 
-class Recorder(System):
+class Recorder(LocalFiles):
     """Remembers each call that changes the disk."""
 
     def __init__(self) -> None:
@@ -170,8 +183,8 @@
         super().sync_folder(path)
         self.calls.append(("folder", "", b""))
 
-    def note(self, path: Path, data: bytes) -> None:
-        super().note(path, data)
+    def write_in_place(self, path: Path, data: bytes) -> None:
+        super().write_in_place(path, data)
         self.calls.append(("note", "", data))
 
 
@@ -201,7 +214,7 @@
 def test_power_lost_at_any_call_loses_nothing_that_was_durable(tmp_path: Path) -> None:
     """Every prefix of what a log did, with what was not synced lost, torn and kept, renamed or not."""
     files = Recorder()
-    log = Log(tmp_path, files)
+    log = RecordLog(tmp_path, files)
     log.open()
     promised = [(len(files.calls), list[bytes]())]  # from that many calls on these are durable
     for group in GROUPS:
@@ -216,15 +229,15 @@
         for part in (0.0, 0.3, 0.7, 1.0):
             for renamed in (False, True):
                 data, mark = crashed(files.calls[:count], part, renamed)
-                head = record_format.read_head(data)
-                scan = record_format.scan(data, head, record_format.read_mark(mark, head))
+                head = record_format.decode_header(data)
+                scan = record_format.scan(data, head, record_format.decode_mark(mark, head))
                 known = max(n for n, (at, _) in enumerate(promised) if at <= count)
                 # What was promised last, or already what was being written then.
                 allowed = [records for _, records in promised[known : known + 2]]
-                assert not scan.damaged and scan.records in allowed, (count, part, renamed)
+                assert not scan.damage and scan.records in allowed, (count, part, renamed)
 
 
-class Refusing(System):
+class Refusing(LocalFiles):
     """A disk that is full, or whose fsync fails, for a while."""
 
     full = broken = False
@@ -243,8 +256,11 @@
 
 @pytest.mark.parametrize("how", ["full", "broken"])
 def test_after_a_refusal_nothing_counts_as_written(tmp_path: Path, how: str) -> None:
+    """A full disk, or an fsync that fails, and then a disk that seems well again. The kernel may have dropped
+    the pages that it could not write, so a later fsync that succeeds says nothing about them: every further
+    write is refused until the log was opened again."""
     files = Refusing()
-    log = Log(tmp_path, files)
+    log = RecordLog(tmp_path, files)
     log.open()
     log.append([b"kept"])
     setattr(files, how, True)
@@ -273,7 +289,7 @@
     async def play() -> None:
         files = Slow()
         files.go.set()
-        log = Log(tmp_path, files)
+        log = RecordLog(tmp_path, files)
         log.open()
         told: list[int] = []
         failed: list[str] = []
@@ -289,13 +305,13 @@
             bad.set()
 
         files.go.clear()
-        before = log.syncs
-        writer = Writer(log, asyncio.get_running_loop(), durable, fails)
+        before = log.sync_count
+        writer = BackgroundWriter(log, asyncio.get_running_loop(), durable, fails)
         for token in range(1, 301):
             writer.write(token, [b"%d" % token])
         files.go.set()
         await asyncio.wait_for(done.wait(), 30.0)
-        assert told == sorted(told) and log.syncs - before <= 20, "one fsync for all that waited"
+        assert told == sorted(told) and log.sync_count - before <= 20, "one fsync for all that waited"
         files.full = True
         writer.write(301, [b"x"])
         await asyncio.wait_for(bad.wait(), 30.0)
@@ -319,7 +335,7 @@
         reader, writer = os.pipe()
         child = os.fork()
         if child == 0:
-            log = Log(tmp_path)
+            log = RecordLog(tmp_path)
             number = len(log.open().records)
             while True:
                 number += 1
