--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from badgergap.admin import CallRefused
-from badgergap.consensus.service import GroupRoom, Refused
+from badgergap.consensus.errors import Refused
+from badgergap.consensus.service import GroupService
 from badgergap.cli.group import Asked
 from badgergap.cli.setup import Setup
 from badgergap.replication.commands import Calls
@@ -21,7 +22,7 @@
 LEAST_US = 600_000_000  # for which a loss is remembered, whatever the routes say
 
 
-def copies_room(setup: Setup, group: GroupRoom) -> tuple[CopiesRoom, Guard, Calls]:
+def copies_room(setup: Setup, group: GroupService) -> tuple[CopiesRoom, Guard, Calls]:
     """Raises ConfigError."""
 
     def read() -> Options:
--- a/badgergap/cli/group.py
+++ b/badgergap/cli/group.py
@@ -9,10 +9,12 @@
 from typing import Any
 
 from badgergap.admin import CallRefused
-from badgergap.consensus.commands import Calls
-from badgergap.consensus.framing import KEY_LEAST
-from badgergap.consensus.member import Known, Settings
-from badgergap.consensus.service import GroupRoom, Options, Refused
+from badgergap.consensus.commands import GroupCommands
+from badgergap.consensus.errors import ConsensusError, Refused
+from badgergap.consensus.framing import KEY_MIN_BYTES
+from badgergap.consensus.options import Options
+from badgergap.consensus.service import GroupService
+from badgergap.consensus.settings import KnownMember, MemberSettings
 from badgergap.cli.setup import Setup
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import GroupTable
@@ -23,7 +25,7 @@
 )
 
 
-def group_room(setup: Setup) -> tuple[GroupRoom, Asked]:
+def group_room(setup: Setup) -> tuple[GroupService, Asked]:
     """Raises ConfigError."""
 
     def read() -> Options:
@@ -32,14 +34,14 @@
             raise ConfigError("[group] has gone: that needs a restart")
         return to_options(group, setup.path.parent, setup.path.parent / state)
 
-    room = GroupRoom(read, setup)
-    return room, Asked(room, Calls(room))
+    room = GroupService(read, setup)
+    return room, Asked(room, GroupCommands(room))
 
 
 class Asked:
     """The room as the admin socket knows it."""
 
-    def __init__(self, room: GroupRoom, calls: Calls) -> None:
+    def __init__(self, room: GroupService, calls: GroupCommands) -> None:
         self.room, self.calls = room, calls
 
     async def call(self, op: str, given: Mapping[str, Any]) -> Any:
@@ -49,7 +51,11 @@
             raise CallRefused(str(refused)) from None
 
     async def agree_out(self, box: str, by: str, out: bool) -> str:
-        return await self.room.agree_out(box, by, out, AGREE_S)
+        try:
+            await self.room.agree_out(box, by, out, AGREE_S)
+        except ConsensusError as error:
+            return str(error)
+        return ""
 
     def line(self) -> str:
         return self.room.line()
@@ -59,12 +65,12 @@
     """Raises ConfigError."""
     own = next(member for member in group.members if member.name == group.name)
     others = {
-        str(member.name): Known(str(member.name), str(member.zone or ""), member.votes)
+        str(member.name): KnownMember(str(member.name), str(member.zone or ""), member.votes)
         for member in group.members
         if member.name != group.name
     }
     return Options(
-        Settings(
+        MemberSettings(
             str(group.name),
             str(own.zone or ""),
             own.votes,
@@ -90,6 +96,8 @@
         raise ConfigError(f"group.key: {path} cannot be read: {error.strerror}") from None
     if mode & 0o077:
         raise ConfigError(f"group.key: others may read {path}: chmod 600 it")
-    if not KEY_LEAST <= len(key) <= KEY_LIMIT:
-        raise ConfigError(f"group.key: {path} holds {len(key)} bytes; allowed: {KEY_LEAST} to {KEY_LIMIT}")
+    if not KEY_MIN_BYTES <= len(key) <= KEY_LIMIT:
+        raise ConfigError(
+            f"group.key: {path} holds {len(key)} bytes; allowed: {KEY_MIN_BYTES} to {KEY_LIMIT}"
+        )
     return key
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -22,7 +22,7 @@
 from badgergap.site.web import never
 
 if TYPE_CHECKING:
-    from badgergap.consensus.service import GroupRoom
+    from badgergap.consensus.service import GroupService
     from badgergap.ordinary.turn import Guard
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
     observer: Observer = figures
     if setup.site.etcd is not None:
         rooms.insert(1, etcd_room(setup.site.etcd, path.parent, environ))
-    group: GroupRoom | None = None
+    group: GroupService | None = None
     if setup.site.group is not None:
         group = join_group(setup, admin)
         rooms.append(group)
@@ -92,7 +92,7 @@
     return succeed
 
 
-def join_group(setup: Setup, admin: AdminRoom) -> GroupRoom:
+def join_group(setup: Setup, admin: AdminRoom) -> GroupService:
     """Raises ConfigError."""
     try:
         from badgergap.cli.group import group_room
@@ -105,7 +105,7 @@
     return room
 
 
-def keep_copies(setup: Setup, group: GroupRoom | None, admin: AdminRoom, rooms: list[Room]) -> Guard:
+def keep_copies(setup: Setup, group: GroupService | None, admin: AdminRoom, rooms: list[Room]) -> Guard:
     """Raises ConfigError."""
     assert group is not None  # the file was checked
     try:
@@ -126,7 +126,7 @@
     return guard
 
 
-def take_part(group: GroupRoom | None, admin: AdminRoom, rooms: list[Room], figures: Figures) -> Observer:
+def take_part(group: GroupService | None, admin: AdminRoom, rooms: list[Room], figures: Figures) -> Observer:
     """In changes that go through the group by stages. What counts for their judge. Raises ConfigError."""
     from badgergap.cli.staged import WithChanges, changes_room
 
--- a/badgergap/cli/staged.py
+++ b/badgergap/cli/staged.py
@@ -7,7 +7,8 @@
 from typing import Any, Protocol
 
 from badgergap.admin import CallRefused, Figures
-from badgergap.consensus.service import GroupRoom, Refused
+from badgergap.consensus.errors import Refused
+from badgergap.consensus.service import GroupService
 from badgergap.rollout.commands import Calls
 from badgergap.rollout.metrics import Meter
 from badgergap.rollout.service import StagedRoom
@@ -23,7 +24,7 @@
     def line(self) -> str: ...
 
 
-def changes_room(group: GroupRoom, figures: Figures) -> tuple[StagedRoom, Meter, Calls]:
+def changes_room(group: GroupService, figures: Figures) -> tuple[StagedRoom, Meter, Calls]:
     meter = Meter(figures, time.time_ns() // 1_000_000)
     room = StagedRoom(group, meter, lambda: figures.classes)
     return room, meter, Calls(room)
--- a/badgergap/consensus/commands.py
+++ b/badgergap/consensus/commands.py
@@ -1,4 +1,7 @@
-"""What operators ask of a group, at any member's admin socket: words in, plain data out."""
+"""What operators ask of a group, at any member's admin socket: JSON in, JSON out.
+
+The names of commands, arguments and results are those of the command line and of scripts: they stay.
+"""
 
 from __future__ import annotations
 
@@ -7,28 +10,43 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
-import msgspec
-
-from badgergap.consensus import compatibility
-from badgergap.consensus.member import Line, Steer, read_tables
-from badgergap.consensus.service import PUBLISH_S, STATUS_S, GroupRoom, Refused, clock_us, encode_tables
-from badgergap.consensus.replicated_state import Publish, Version
-
-WAIT_MOST_S = 120.0
-CHANGE_S = 15.0
-CHANGE_AGAIN_S = 3.0
+from badgergap.consensus.clock import clock_us
+from badgergap.consensus.errors import (
+    ConsensusError,
+    MembershipChangeError,
+    NotInForceError,
+    Refused,
+)
+from badgergap.consensus.member import Member
+from badgergap.consensus.member_messages import ChangeMembers, MemberStatus
+from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S
+from badgergap.consensus.replicated_state import GroupState
+from badgergap.consensus.service import STATUS_TIMEOUT_S, GroupService
+from badgergap.consensus.settings_diff import changes, contradictions_between
+from badgergap.consensus.settings_text import decode_tables, encode_tables
+from badgergap.consensus.versions import ProposeVersion, VersionHeader
+
+WAIT_MAX_S = 120.0
+WAIT_DEFAULT_S = 30.0
+IN_FORCE_WAIT_S = 10.0
+CHANGE_TIMEOUT_S = 15.0
+CHANGE_REPEAT_S = 3.0
+CHANGE_POLL_S = 0.1
 ALIVE_MS = 2000  # a member that was heard within this is there
-HISTORY = 50
+HISTORY_DEFAULT = 50
+ALERTS_SHOWN = 10
+CHANGES_SHOWN = 20
 
-Arguments = Mapping[str, Any]
+Arguments = Mapping[str, Any]  # foreign JSON
+Reply = Mapping[str, Any]  # becomes JSON
 
 
-class Calls:
-    """Raises Refused, in words, for what cannot be done."""
+class GroupCommands:
+    """Raises Refused for what cannot be done."""
 
-    def __init__(self, room: GroupRoom) -> None:
-        self.room = room
-        self.known: dict[str, Callable[[Arguments], Awaitable[Any]]] = {
+    def __init__(self, service: GroupService) -> None:
+        self.service = service
+        self.handlers: dict[str, Callable[[Arguments], Awaitable[Reply]]] = {
             "status": self.status,
             "who": self.who,
             "publish": self.publish,
@@ -38,248 +56,308 @@
             "diff": self.diff,
             "wait": self.wait,
             "out": self.out,
-            "back": self.out_no_more,
+            "back": self.back,
             "change": self.change,
             "force": self.force,
         }
 
-    async def call(self, op: str, arguments: Arguments) -> Any:
-        if op not in self.known:
+    async def call(self, op: str, arguments: Arguments) -> Reply:
+        """Carry out one command."""
+        if op not in self.handlers:
             raise Refused(f"no call of a group is named {op!r}")
         try:
-            return await self.known[op](arguments)
+            return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError) as error:
             raise Refused(f"the call {op} lacks something: {error}") from None
 
-    async def status(self, arguments: Arguments) -> Any:
-        room, it = self.room, self.room.member
-        lines = await room.lines()
-        if it is None:
-            return {"ok": False, "why": room.problems(), "members": []}
-        now = clock_us()
-        why = room.problems()
-        newest = it.state.newest.number
-        if not lines:
-            why.append("no leader is heard: nothing can be published")
-        for line in lines:
-            if line.acts < newest and line.role != "leader":
-                why.append(f"{line.name} acts on version {line.acts}, the newest is {newest}")
-            if line.lease_ms == 0:
-                why.append(f"{line.name} holds no lease")
+    # What is known
+
+    async def status(self, arguments: Arguments) -> Reply:
+        """All members, and what is wrong."""
+        member = self.service.member
+        statuses = await self.service.statuses()
+        problems = self.service.problems()
+        if member is None:
+            return {"ok": False, "why": problems, "members": []}
+        problems += _problems_of(member, statuses)
+        return {
+            "ok": not problems,
+            "why": problems,
+            "group": member.state.group,
+            "me": member.settings.name,
+            "id": member.id,
+            "leader": member.leader_name,
+            "term": member.raft.term,
+            **self._versions(member),
+            "log": self._log(member),
+            "sent": self._sent(),
+            "members": [_status_reply(status) for status in statuses],
+            "said": [text for _, text in self.service.alerts][-ALERTS_SHOWN:],
+        }
+
+    def _versions(self, member: Member) -> Reply:
+        state = member.state
         return {
-            "ok": not why,
-            "why": why,
-            "group": it.state.group,
-            "me": it.settings.name,
-            "id": room.id,
-            "leader": it.leader_name,
-            "term": it.raft.term,
-            "newest": newest,
-            "acting": room.acting_on.number,
-            "waiting": it.state.waiting,
-            "settings": it.state.newest.settings_at,
-            "digest": it.state.newest.digest(),
-            "lease_ms": it.lease_left_us(now) // 1000,
-            "out": sorted(it.state.newest.out),
-            "barred": list(it.state.barred),
-            "log": {
-                "entries": len(it.raft.log),
-                "bytes": room.log.length if room.log is not None else 0,
-                "syncs": room.log.sync_count if room.log is not None else 0,
-            },
-            "sent": {
-                "messages": room.links.messages_out if room.links is not None else 0,
-                "bytes": room.links.bytes_out if room.links is not None else 0,
-            },
-            "members": [_line(line) for line in lines],
-            "said": [text for _, text in room.said][-10:],
+            "newest": state.newest.number,
+            "acting": self.service.versions.acting_on.number,
+            "waiting": state.waiting,
+            "settings": state.newest.settings_at,
+            "digest": state.newest.digest(),
+            "lease_ms": member.lease_left_us(clock_us()) // 1000,
+            "out": sorted(state.newest.out),
+            "barred": list(state.banned),
         }
 
-    async def who(self, arguments: Arguments) -> Any:
+    def _log(self, member: Member) -> Reply:
+        size, syncs = self.service.log_usage()
+        return {"entries": len(member.raft.log.entries), "bytes": size, "syncs": syncs}
+
+    def _sent(self) -> Reply:
+        messages, size = self.service.sent_usage()
+        return {"messages": messages, "bytes": size}
+
+    async def who(self, arguments: Arguments) -> Reply:
         """What this member knows by itself, at once."""
-        it = self.room.member
-        if it is None:
+        member = self.service.member
+        if member is None:
             return {"leader": "", "term": 0, "leads": False, "acting": 0, "lease_ms": 0}
         return {
-            "leader": it.leader_name,
-            "term": it.raft.term,
-            "leads": it.raft.settled,
-            "acting": self.room.acting_on.number,
-            "lease_ms": it.lease_left_us(clock_us()) // 1000,
+            "leader": member.leader_name,
+            "term": member.raft.term,
+            "leads": member.raft.is_established_leader,
+            "acting": self.service.versions.acting_on.number,
+            "lease_ms": member.lease_left_us(clock_us()) // 1000,
         }
 
-    async def publish(self, arguments: Arguments) -> Any:
+    async def show(self, arguments: Arguments) -> Reply:
+        """The settings of a version, or of the newest."""
+        number = int(arguments.get("version") or self._state().newest.settings_at)
+        return {"version": number, "tables": decode_tables(self._body(number))}
+
+    async def history(self, arguments: Arguments) -> Reply:
+        """The newest versions."""
+        headers = list(self._state().headers)
+        count = int(arguments.get("last", HISTORY_DEFAULT))
+        return {
+            "acting": self.service.versions.acting_on.number,
+            "versions": [_header_reply(header) for header in headers[-count:]],
+        }
+
+    async def diff(self, arguments: Arguments) -> Reply:
+        """What differs between two versions' settings."""
+        older, newer = (self._body(int(arguments[key])) for key in ("a", "b"))
+        return {
+            "contradictions": contradictions_between(older, newer),
+            "changes": changes(older, newer),
+        }
+
+    # Versions
+
+    async def publish(self, arguments: Arguments) -> Reply:
+        """Propose settings."""
         tables = arguments["tables"]
         if not isinstance(tables, dict):
             raise Refused("settings are tables")
-        return await self._publish(
-            encode_tables(tables), str(arguments["by"]), str(arguments["reason"]), arguments
-        )
+        author, reason = str(arguments["by"]), str(arguments["reason"])
+        return await self._publish(encode_tables(tables), author, reason, arguments)
 
-    async def rollback(self, arguments: Arguments) -> Any:
+    async def rollback(self, arguments: Arguments) -> Reply:
+        """Propose the settings of an earlier version."""
         number = int(arguments["version"])
         reason = str(arguments.get("reason") or f"back to version {number}")
         return await self._publish(self._body(number), str(arguments["by"]), reason, arguments)
 
-    async def _publish(self, body: str, by: str, reason: str, arguments: Arguments) -> Any:
+    async def _publish(self, body: str, author: str, reason: str, arguments: Arguments) -> Reply:
         state = self._state()
         if body == state.newest.settings:
             raise Refused(f"version {state.newest.settings_at} says the same already")
         parent = int(arguments.get("parent", state.newest.settings_at))
-        publish = Publish(
-            str(arguments.get("id") or uuid.uuid4().hex), "settings", body, by, reason, parent, True
-        )
-        outcome = await self.room.publish(publish, PUBLISH_S)
+        id = str(arguments.get("id") or uuid.uuid4().hex)
+        proposal = ProposeVersion(id, "settings", body, author, reason, parent, True)
+        outcome = await self.service.propose(proposal, PROPOSAL_TIMEOUT_S)
         if outcome is None:
             raise Refused("no word from the group in time: it may still come into force (settings history)")
         if not outcome.version:
-            why = outcome.why
-            if why.startswith("conflict"):
-                changes = relation_of(self._body_or_nothing(parent), state.newest.settings)
-                why += "; between them: " + ("; ".join(changes[:20]) or "nothing that contradicts")
-            raise Refused(why)
-        head = self._state().head(outcome.version)
-        waited = await self.room.wait(outcome.version, _seconds(arguments, 10.0))
+            raise Refused(outcome.why + _conflicting_changes(state, parent, outcome.why))
+        header = self._state().header(outcome.version)
+        reason_not = await self._wait_in_force(outcome.version, _seconds(arguments, IN_FORCE_WAIT_S))
         return {
             "version": outcome.version,
-            "contradicts": head.contradicts if head is not None else True,
-            "in_force": not waited,
-            "not": waited,
+            "contradicts": header.contradicts if header is not None else True,
+            "in_force": not reason_not,
+            "not": reason_not,
         }
 
-    async def out(self, arguments: Arguments) -> Any:
-        """A host by hand, for scripts; `badgergap drain` also looks whether another box is left."""
-        return await self._by_hand(arguments, True)
-
-    async def out_no_more(self, arguments: Arguments) -> Any:
-        return await self._by_hand(arguments, False)
-
-    async def _by_hand(self, arguments: Arguments, out: bool) -> Any:
-        host, by = str(arguments["host"]), str(arguments["by"])
-        why = await self.room.agree_out(host, by, out, _seconds(arguments, 10.0))
-        if why:
-            raise Refused(why)
-        return {"host": host, "out": out}
-
-    async def wait(self, arguments: Arguments) -> Any:
+    async def wait(self, arguments: Arguments) -> Reply:
+        """Wait until a version is in force."""
         number = int(arguments["version"])
         if number > self._state().newest.number:
             raise Refused(f"there is no version {number} here")
-        waited = await self.room.wait(number, _seconds(arguments, 30.0))
-        return {"version": number, "in_force": not waited, "not": waited}
+        reason_not = await self._wait_in_force(number, _seconds(arguments, WAIT_DEFAULT_S))
+        return {"version": number, "in_force": not reason_not, "not": reason_not}
 
-    async def show(self, arguments: Arguments) -> Any:
-        state = self._state()
-        number = int(arguments.get("version") or state.newest.settings_at)
-        return {"version": number, "tables": read_tables(self._body(number))}
+    async def _wait_in_force(self, number: int, within_s: float) -> str:
+        """Where the version is not in force in time; empty if it is everywhere."""
+        try:
+            await self.service.wait_in_force(number, within_s)
+        except NotInForceError as error:
+            return str(error)
+        return ""
 
-    async def history(self, arguments: Arguments) -> Any:
-        state = self._state()
-        return {
-            "acting": self.room.acting_on.number,
-            "versions": [_head(head) for head in list(state.heads)[-int(arguments.get("last", HISTORY)) :]],
-        }
+    async def out(self, arguments: Arguments) -> Reply:
+        """Drain an endpoint by hand, for scripts; `badgergap drain` also checks that one is left."""
+        return await self._drain_or_reinstate(arguments, True)
 
-    async def diff(self, arguments: Arguments) -> Any:
-        older, newer = (self._body(int(arguments[key])) for key in ("a", "b"))
-        return {"contradictions": relation_of(older, newer), "changes": changes(older, newer)}
-
-    async def change(self, arguments: Arguments) -> Any:
-        """Carried out by the leader, whichever member is asked; returns once it is done."""
-        wish = Steer(uuid.uuid4().hex, str(arguments["name"]), str(arguments["do"]))
-        if wish.do == "remove":
-            alive = any(0 <= line.heard_ms < ALIVE_MS for line in await self._named(wish.name))
-            against = [guest.against(wish.name) for guest in self.room.guests.values()] if alive else []
-            if any(against):
-                raise Refused("; ".join(why for why in against if why))
-        outcome = await self.room.steer(wish, PUBLISH_S)
+    async def back(self, arguments: Arguments) -> Reply:
+        """Reinstate an endpoint that was drained by hand."""
+        return await self._drain_or_reinstate(arguments, False)
+
+    async def _drain_or_reinstate(self, arguments: Arguments, out: bool) -> Reply:
+        host, author = str(arguments["host"]), str(arguments["by"])
+        try:
+            await self.service.agree_out(host, author, out, _seconds(arguments, IN_FORCE_WAIT_S))
+        except ConsensusError as error:
+            raise Refused(str(error)) from None
+        return {"host": host, "out": out}
+
+    # Members
+
+    async def change(self, arguments: Arguments) -> Reply:
+        """Add, remove or replace a member. The leader carries it out, whichever member is asked.
+
+        Returns once it is done.
+        """
+        name, action = str(arguments["name"]), str(arguments["do"])
+        if action == "remove":
+            await self._check_removal(name)
+        outcome = await self._request_change(name, action, PROPOSAL_TIMEOUT_S)
         if outcome is None:
             raise Refused("no leader has taken it up: see `group status`")
-        if not outcome.version:
-            raise Refused(outcome.why)
+        if outcome:
+            raise Refused(outcome)
+        return await self._await_change(name, action)
+
+    async def _request_change(self, name: str, action: str, within_s: float) -> str | None:
+        """Why the change was not begun, empty if it was, and None if no leader has said so in time."""
+        request = ChangeMembers(uuid.uuid4().hex, name, action)
+        outcome = await self.service.change_members(request, within_s)
+        if outcome is None:
+            return None
+        return "" if outcome.version else outcome.why
+
+    async def _check_removal(self, name: str) -> None:
+        statuses = [status for status in await self.service.statuses() if status.name == name]
+        if not any(0 <= status.heard_ms < ALIVE_MS for status in statuses):
+            return
+        components = self.service.components.values()
+        objections = [component.removal_objection(name) for component in components]
+        if any(objections):
+            raise Refused("; ".join(objection for objection in objections if objection))
+
+    async def _await_change(self, name: str, action: str) -> Reply:
+        """Wait until the change is done.
+
+        It is requested again now and then: a leader that comes after knows of no change that was begun, and
+        one that is requested twice is done once.
+        """
         loop = asyncio.get_running_loop()
-        deadline, again = loop.time() + CHANGE_S, loop.time() + CHANGE_AGAIN_S
+        deadline = loop.time() + CHANGE_TIMEOUT_S
+        repeat_at = loop.time() + CHANGE_REPEAT_S
         while loop.time() < deadline:
-            if loop.time() >= again:
-                # A leader that comes after knows of no change that was begun; said twice it is done once.
-                again = loop.time() + CHANGE_AGAIN_S
-                await self.room.steer(Steer(uuid.uuid4().hex, wish.name, wish.do), STATUS_S)
-            lines = await self.room.lines()
-            there = [line for line in lines if line.name == wish.name]
-            done = {
-                "remove": not there,
-                "replace": len(there) == 1 and there[0].votes,
-                "add": wish.name not in self._state().barred and all(line.votes for line in there),
-            }
-            if lines and done.get(wish.do, True):
-                return {"done": True, "members": [line.name for line in lines]}
-            await asyncio.sleep(0.1)
+            if loop.time() >= repeat_at:
+                repeat_at = loop.time() + CHANGE_REPEAT_S
+                await self._request_change(name, action, STATUS_TIMEOUT_S)
+            statuses = await self.service.statuses()
+            is_done = _is_done(name, action, statuses, self._state())
+            if statuses and is_done:
+                return {"done": True, "members": [status.name for status in statuses]}
+            await asyncio.sleep(CHANGE_POLL_S)
         raise Refused("it is under way and not done: see `group status`, and say it again")
 
-    async def _named(self, name: str) -> list[Line]:
-        return [line for line in await self.room.lines() if line.name == name]
-
-    async def force(self, arguments: Arguments) -> Any:
-        it = self.room.member
-        why = "this gateway is no member at the moment" if it is None else it.force(clock_us())
-        self.room.settle()
-        if why:
-            raise Refused(why)
+    async def force(self, arguments: Arguments) -> Reply:
+        """Make this member the whole group, without the others."""
+        member = self.service.member
+        if member is None:
+            raise Refused("this gateway is no member at the moment")
+        try:
+            member.force_single_member(clock_us())
+        except MembershipChangeError as error:
+            raise Refused(str(error)) from None
+        finally:
+            self.service.settle()
         return {"done": True}
 
-    def _state(self) -> Any:
-        if self.room.member is None:
+    def _state(self) -> GroupState:
+        if self.service.member is None:
             raise Refused("this gateway is no member of its group at the moment")
-        return self.room.member.state
-
-    def _body_or_nothing(self, number: int) -> str:
-        return str(self._state().bodies.get(number, ""))
+        return self.service.member.state
 
     def _body(self, number: int) -> str:
         bodies = self._state().bodies
         if number not in bodies:
-            known = ", ".join(map(str, bodies)) or "none"
-            raise Refused(f"the settings of version {number} are not kept here; there are: {known}")
-        return str(bodies[number])
-
+            kept = ", ".join(map(str, bodies)) or "none"
+            raise Refused(f"the settings of version {number} are not kept here; there are: {kept}")
+        return bodies[number]
+
+
+def _problems_of(member: Member, statuses: tuple[MemberStatus, ...]) -> list[str]:
+    newest = member.state.newest.number
+    problems = [] if statuses else ["no leader is heard: nothing can be published"]
+    for status in statuses:
+        if status.acting_version < newest and status.role != "leader":
+            problems.append(f"{status.name} acts on version {status.acting_version}, the newest is {newest}")
+        if status.lease_ms == 0:
+            problems.append(f"{status.name} holds no lease")
+    return problems
+
+
+def _is_done(name: str, action: str, statuses: tuple[MemberStatus, ...], state: GroupState) -> bool:
+    of_name = [status for status in statuses if status.name == name]
+    match action:
+        case "remove":
+            return not of_name
+        case "replace":
+            return len(of_name) == 1 and of_name[0].votes
+        case "add":
+            return name not in state.banned and all(status.votes for status in of_name)
+    return True
+
+
+def _conflicting_changes(state: GroupState, parent: int, why: str) -> str:
+    """What has come in between, where a proposal was refused for that."""
+    if not why.startswith("conflict"):
+        return ""
+    found = contradictions_between(str(state.bodies.get(parent, "")), state.newest.settings)
+    return "; between them: " + ("; ".join(found[:CHANGES_SHOWN]) or "nothing that contradicts")
 
-def relation_of(older: str, newer: str) -> list[str]:
-    return compatibility.contradictions(read_tables(older), read_tables(newer))
 
-
-def changes(older: str, newer: str) -> list[str]:
-    """Every key that differs, contradiction or not."""
-    return sorted(_changes("", read_tables(older), read_tables(newer)))
-
-
-def _changes(at: str, older: Any, newer: Any) -> list[str]:
-    if isinstance(older, list) and isinstance(newer, list):
-        older, newer = _by_name(older), _by_name(newer)
-    if not (isinstance(older, dict) and isinstance(newer, dict)):
-        return [f"{at}: {_shown(older)} -> {_shown(newer)}"] if older != newer else []
-    found = []
-    for key in older.keys() | newer.keys():
-        found += _changes(f"{at}.{key}" if at else str(key), older.get(key), newer.get(key))
-    return found
+def _seconds(arguments: Arguments, default: float) -> float:
+    return min(WAIT_MAX_S, max(0.0, float(arguments.get("within_s", default))))
 
 
-def _by_name(tables: list[Any]) -> dict[str, Any]:
+def _status_reply(status: MemberStatus) -> Reply:
     return {
-        str(table.get("name")) if isinstance(table, dict) else str(n): table for n, table in enumerate(tables)
+        "name": status.name,
+        "id": status.id,
+        "zone": status.zone,
+        "votes": status.votes,
+        "role": status.role,
+        "has": status.newest_version,
+        "acts": status.acting_version,
+        "lease_ms": status.lease_ms,
+        "heard_ms": status.heard_ms,
+        "log_bytes": status.log_bytes,
     }
 
 
-def _shown(value: Any) -> str:
-    return "nothing" if value is None else msgspec.json.encode(value).decode()
-
-
-def _seconds(arguments: Arguments, default: float) -> float:
-    return min(WAIT_MOST_S, max(0.0, float(arguments.get("within_s", default))))
-
-
-def _line(line: Line) -> dict[str, Any]:
-    return msgspec.structs.asdict(line)
-
-
-def _head(head: Version) -> dict[str, Any]:
-    return msgspec.structs.asdict(head)
+def _header_reply(header: VersionHeader) -> Reply:
+    return {
+        "number": header.number,
+        "kind": header.kind,
+        "digest": header.digest,
+        "author": header.author,
+        "reason": header.reason,
+        "parent": header.parent,
+        "contradicts": header.contradicts,
+        "what": header.endpoint,
+    }
--- a/badgergap/consensus/endpoint_lists.py
+++ b/badgergap/consensus/endpoint_lists.py
@@ -1,16 +1,16 @@
-"""One list of boxes for a group: what its leader's source says, agreed like any version. Pure.
+"""One endpoint list for a group: what its leader's source says, agreed like any version. Pure.
 
 The rules, stated once:
 
 1. The leader follows the source and proposes its list whenever that is not what was agreed last. Others do
    not follow, but for those that have heard of no leader for `ORPHAN_US`: they follow by themselves, and
    their own list counts (only `alone = "serve"` acts in that state at all).
-2. A list that leaves fewer than half of the hosts that were to serve, in one step and out of at least
-   `SHRINK_LEAST`, is held and shouted: a broken source is likelier than half a fleet that goes at once. It
-   is believed once the source has said it for `HOLD_US` without a word in between that is not so short.
-   Hosts that it calls draining count as there: a planned end is announced so.
-3. A host that a version calls draining, or leaves out, gets nothing new as soon as the version is known,
-   in force or not: that does less than was allowed. A host that it brings is used once it is in force.
+2. A list that leaves fewer than half of the endpoints that were to serve, in one step and out of at least
+   `SHRINK_MIN`, is held back, with an alert: a broken source is likelier than half a fleet that goes at
+   once. It is believed once the source has said it for `HOLD_US` without an update in between that is not
+   so short. Endpoints that it calls draining count as present: a planned end is announced so.
+3. An endpoint that a version calls draining, or leaves out, gets nothing new as soon as the version is
+   known, in force or not: that does less than was allowed. One that it adds is used once it is in force.
 """
 
 from __future__ import annotations
@@ -21,13 +21,17 @@
 import msgspec
 
 ORPHAN_US = 5_000_000
-SHRINK_LEAST = 4
+SHRINK_MIN = 4
 HOLD_US = 30_000_000
-LIMIT = 10_000  # hosts of a list; a longer one is not proposed
+ENDPOINTS_LIMIT = 10_000  # of a list; a longer one is not proposed
+NOT_HELD_US = -1
 
 
-class Listed(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One host. Zones and kinds by name: their numbers are each gateway's own."""
+class AgreedEndpoint(msgspec.Struct, frozen=True, omit_defaults=True):
+    """One endpoint. Zones and kinds are by name: their numbers are each gateway's own.
+
+    In the log it is a JSON object by the names of its fields.
+    """
 
     name: str
     address: str
@@ -37,83 +41,107 @@
     weight: float = 1.0
     group: int = 0
     started_us: int = 0  # Unix time
-    out: bool = False  # it drains
+    draining: bool = msgspec.field(default=False, name="out")
 
 
-Hosts = dict[str, Listed]
+Endpoints = dict[str, AgreedEndpoint]  # by name
 
-_decoder: msgspec.json.Decoder[list[Listed]] = msgspec.json.Decoder(list[Listed])
+_decoder: msgspec.json.Decoder[list[AgreedEndpoint]] = msgspec.json.Decoder(list[AgreedEndpoint])
 
 
-def encode(hosts: Hosts) -> str:
-    return msgspec.json.encode([hosts[name] for name in sorted(hosts)]).decode()
+def encode(endpoints: Endpoints) -> str:
+    """The list as it stands in the log."""
+    return msgspec.json.encode([endpoints[name] for name in sorted(endpoints)]).decode()
 
 
-def decode(text: str) -> Hosts:
-    """Raises MsgspecError."""
-    return {host.name: host for host in _decoder.decode(text or "[]")}
+def decode(text: str) -> Endpoints:
+    """A list from the log. Raises msgspec.MsgspecError."""
+    return {endpoint.name: endpoint for endpoint in _decoder.decode(text or "[]")}
 
 
-def serving(hosts: Hosts) -> int:
-    return sum(not host.out for host in hosts.values())
+def count_serving(endpoints: Endpoints) -> int:
+    """How many are not draining."""
+    return sum(not endpoint.draining for endpoint in endpoints.values())
 
 
-def shrinks(before: Hosts, after: Hosts) -> bool:
-    """Whether so many are gone at once that it is held."""
-    had = {name for name, host in before.items() if not host.out}
-    return len(had) >= SHRINK_LEAST and 2 * len(had & after.keys()) < len(had)
+def shrinks_suddenly(before: Endpoints, after: Endpoints) -> bool:
+    """Whether so many are gone at once that the list is held back."""
+    served = {name for name, endpoint in before.items() if not endpoint.draining}
+    return len(served) >= SHRINK_MIN and 2 * len(served & after.keys()) < len(served)
 
 
-def effective(acting: Hosts, newest: Hosts) -> Hosts:
+def effective(acting: Endpoints, newest: Endpoints) -> Endpoints:
     """What to send to while a newer version waits to come into force."""
     return {
-        name: host if name in newest and not newest[name].out else _draining(host)
-        for name, host in acting.items()
+        name: endpoint if _still_serves(name, newest) else _as_draining(endpoint)
+        for name, endpoint in acting.items()
     }
 
 
-def _draining(host: Listed) -> Listed:
-    return msgspec.structs.replace(host, out=True)
+def _still_serves(name: str, newest: Endpoints) -> bool:
+    return name in newest and not newest[name].draining
+
+
+def _as_draining(endpoint: AgreedEndpoint) -> AgreedEndpoint:
+    return msgspec.structs.replace(endpoint, draining=True)
+
+
+@dataclass(frozen=True, slots=True)
+class ListProposal:
+    """The list to propose, and what to tell people; both may be empty."""
+
+    body: str = ""
+    alert: str = ""
 
 
 @dataclass(slots=True)
-class Source:
+class SourceList:
     """What this gateway's own source says, and what of it is to be proposed."""
 
-    hosts: Hosts = field(default_factory=dict)
-    heard: bool = False  # at least one whole list, or a change
-    held_since_us: int = -1  # a short list is held since then; -1: none is
-    shouted: bool = False
-
-    def whole(self, hosts: Iterable[Listed]) -> None:
-        self.hosts = {host.name: host for host in hosts}
-        self.heard = True
-
-    def change(self, hosts: Iterable[Listed], gone: Iterable[str]) -> None:
-        for host in hosts:
-            self.hosts[host.name] = host
-        for name in gone:
-            self.hosts.pop(name, None)
-        self.heard = True
-
-    def propose(self, now_us: int, agreed: Hosts) -> tuple[str, str]:
-        """The list to propose, or empty; and what to shout, or nothing."""
-        if not self.heard or self.hosts == agreed or len(self.hosts) > LIMIT:
-            self.held_since_us, self.shouted = -1, False
-            return "", ""
-        if not shrinks(agreed, self.hosts):
-            self.held_since_us, self.shouted = -1, False
-            return encode(self.hosts), ""
+    endpoints: Endpoints = field(default_factory=dict)
+    has_spoken: bool = False  # at least one complete list, or a change
+    held_since_us: int = NOT_HELD_US  # a short list is held back since then
+    alerted: bool = False
+
+    def replace(self, endpoints: Iterable[AgreedEndpoint]) -> None:
+        """The source has sent a complete list."""
+        self.endpoints = {endpoint.name: endpoint for endpoint in endpoints}
+        self.has_spoken = True
+
+    def update(self, changed: Iterable[AgreedEndpoint], removed: Iterable[str]) -> None:
+        """The source has sent a change."""
+        for endpoint in changed:
+            self.endpoints[endpoint.name] = endpoint
+        for name in removed:
+            self.endpoints.pop(name, None)
+        self.has_spoken = True
+
+    def propose(self, now_us: int, agreed: Endpoints) -> ListProposal:
+        """What to propose in place of the agreed list."""
+        is_new = self.has_spoken and self.endpoints != agreed
+        if not is_new or len(self.endpoints) > ENDPOINTS_LIMIT:
+            self._release()
+            return ListProposal()
+        if not shrinks_suddenly(agreed, self.endpoints):
+            self._release()
+            return ListProposal(encode(self.endpoints))
+        return self._hold_back(now_us, agreed)
+
+    def _hold_back(self, now_us: int, agreed: Endpoints) -> ListProposal:
         if self.held_since_us < 0:
             self.held_since_us = now_us
-        left, had = serving(self.hosts), serving(agreed)
+        left, before = count_serving(self.endpoints), count_serving(agreed)
         if now_us - self.held_since_us >= HOLD_US:
-            self.held_since_us, self.shouted = -1, False
-            return encode(self.hosts), f"the source still names {left} of {had} hosts: it is believed now"
-        if self.shouted:
-            return "", ""
-        self.shouted = True
-        return (
-            "",
-            f"the source names only {left} of {had} hosts: the list is HELD for {HOLD_US // 1_000_000} s",
-        )
+            self._release()
+            alert = f"the source still names {left} of {before} hosts: it is believed now"
+            return ListProposal(encode(self.endpoints), alert)
+        if self.alerted:
+            return ListProposal()
+        self.alerted = True
+        hold_s = HOLD_US // 1_000_000
+        alert = f"the source names only {left} of {before} hosts: the list is HELD for {hold_s} s"
+        return ListProposal(alert=alert)
+
+    def _release(self) -> None:
+        self.held_since_us = NOT_HELD_US
+        self.alerted = False
--- a/badgergap/consensus/lease.py
+++ b/badgergap/consensus/lease.py
@@ -1,15 +1,17 @@
-"""Who may act, and until when: the two sides of a lease. Pure; microseconds of each member's own clock.
-
-A member asks its leader with the time of its own clock, `stamp`. The leader answers once it knows that it
-still was the leader after the question came (`Raft.confirmed_us`) and holds all that was agreed before
-(`settled`). The lease lasts `length` from the stamp, so whatever the way took has been counted. The leader
-reckons from when the question came, with both clocks' drift on top: it may hold a member for able to act
-longer than it is, never shorter. A new leader knows of no lease that was given before; it takes every
-member to hold one for a whole length from its election on, for no leader before it can have confirmed
-itself after that.
+"""Leases: who may act, and until when, at the member and at the leader. Pure; microseconds of each member's
+own
+clock.
+
+A member sends its leader a request that carries the time of its own clock, `sent_at_us`. The leader answers
+once it knows that it still was the leader after the request arrived (`Raft.confirmed_us`) and holds all
+that was committed before (`is_established_leader`). The lease lasts `duration_us` from `sent_at_us`, so the
+time on the way is counted. The leader counts from when the request arrived, with both clocks' drift on top:
+it may hold a member for able to act longer than it is, never shorter. A new leader knows of no lease that
+was granted before; it takes every member to hold one for a whole duration from its election on, for no
+leader before it can have confirmed itself after that.
 
 A version that contradicts comes into force once each member has it, or its lease is over. So a member that is
-cut off acts on the version before for at most one length after the others went on: the bound.
+cut off acts on the version before for at most one duration after the others went on: the bound.
 """
 
 from __future__ import annotations
@@ -18,117 +20,153 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-DRIFT = 0.01  # two clocks' rates differ by no more than this share, each from true time
-SHARE = 0.8  # of the stated time that a lease lasts; the rest is for drift, stalls and the way to a box
-ASKS = 8  # questions in a lease
+CLOCK_DRIFT = 0.01  # two clocks' rates differ by no more than this fraction, each from true time
+DURATION_FRACTION = 0.8  # of the stated time; the rest is for drift, stalls and the way to an endpoint
+REQUESTS_PER_LEASE = 8
+NEVER_US = -(1 << 60)
+NO_REQUEST_US = -1
 
 
-def length_of(contradiction_us: int) -> int:
-    return int(contradiction_us * SHARE)
+def lease_duration_us(contradiction_us: int) -> int:
+    """How long a lease lasts in a group with this bound."""
+    return int(contradiction_us * DURATION_FRACTION)
 
 
 @dataclass(slots=True)
 class Lease:
-    """A member's own. Its process never takes a word that was given to an earlier one."""
+    """A member's own lease. A process never takes a grant that was given to an earlier one."""
 
-    length_us: int
-    end_us: int = -(1 << 60)
-    floor: int = 0  # the version that it must have in force to act under this lease
+    duration_us: int
+    end_us: int = NEVER_US
+    minimum_version: int = 0  # that must be in force here to act under this lease
 
-    def take(self, now_us: int, stamp_us: int, floor: int) -> None:
-        self.end_us = max(self.end_us, min(stamp_us, now_us) + self.length_us)
-        self.floor = max(self.floor, floor)
+    def extend(self, now_us: int, sent_at_us: int, minimum_version: int) -> None:
+        """Take a grant that answers a request of `sent_at_us`."""
+        self.end_us = max(self.end_us, min(sent_at_us, now_us) + self.duration_us)
+        self.minimum_version = max(self.minimum_version, minimum_version)
 
     def left_us(self, now_us: int) -> int:
+        """How long it still lasts."""
         return max(0, self.end_us - now_us)
 
     def drop(self) -> None:
-        self.end_us = -(1 << 60)
+        """End it now."""
+        self.end_us = NEVER_US
 
 
-class Question(Protocol):
-    """What a member says as it asks: of which process it is, its clock, and what it holds and acts on."""
+class Request(Protocol):
+    """What the leader reads of a lease request."""
 
     @property
-    def life(self) -> int: ...
+    def incarnation(self) -> int:
+        """Of the process that asks."""
+
     @property
-    def stamp_us(self) -> int: ...
+    def sent_at_us(self) -> int:
+        """That process's clock."""
+
     @property
-    def has(self) -> int: ...
+    def newest_version(self) -> int:
+        """The newest version that it holds."""
+
     @property
-    def acts(self) -> int: ...
+    def acting_version(self) -> int:
+        """The version that it acts on."""
+
     @property
-    def log_bytes(self) -> int: ...
+    def log_bytes(self) -> int:
+        """The size of its log."""
 
 
 @dataclass(slots=True)
-class Account:
+class MemberRecord:
     """What a leader knows of one member."""
 
-    stamp_us: int = 0  # of the question to be answered
-    came_us: int = -1  # when it came; -1: none is open
-    life: int = 0  # of its process: those that came before have less, and their late words count no more
-    newest_us: int = -(1 << 60)  # the stamp of the newest question
-    heard_us: int = -(1 << 60)
-    until_us: int = 0  # it may act until then; microseconds of the leader's clock
-    has: int = 0  # the newest version that it holds
-    acts: int = 0
+    sent_at_us: int = 0  # of the request to be answered
+    arrived_us: int = NO_REQUEST_US  # when it arrived; NO_REQUEST_US: none is to be answered
+    incarnation: int = 0  # of its process: earlier ones have less, and their late requests count no more
+    newest_sent_us: int = NEVER_US  # of the newest request
+    heard_us: int = NEVER_US
+    lease_end_us: int = 0  # it may act until then, by the leader's clock
+    newest_version: int = 0  # that it holds
+    acting_version: int = 0
     log_bytes: int = 0
 
+    @property
+    def has_request(self) -> bool:
+        """Whether a request of it is to be answered."""
+        return self.arrived_us >= 0
+
+    def clear_request(self) -> None:
+        """Nothing is to be answered."""
+        self.arrived_us = NO_REQUEST_US
+
 
 @dataclass(slots=True)
-class Grants:
-    """A leader's side, from its election on."""
+class LeaseGrantor:
+    """The leader's side, from its election on."""
 
-    length_us: int
+    duration_us: int
     elected_us: int
-    accounts: dict[str, Account] = field(default_factory=dict)
-    leaving: set[str] = field(default_factory=set)  # get none any more: they are being taken out
+    records: dict[str, MemberRecord] = field(default_factory=dict)  # by identity
+    leaving: set[str] = field(default_factory=set)  # are being removed, and get no lease any more
 
     @property
     def hold_us(self) -> int:
-        return int(self.length_us * (1 + 2 * DRIFT)) + 1
-
-    def account(self, id: str) -> Account:
-        known = self.accounts.get(id)
-        if known is None:
-            known = self.accounts[id] = Account(until_us=self.elected_us + self.hold_us)
-        return known
-
-    def ask(self, now_us: int, id: str, question: Question) -> None:
-        account = self.account(id)
-        if question.life < account.life:
+        """How long a lease may last by the leader's clock, drift included."""
+        return int(self.duration_us * (1 + 2 * CLOCK_DRIFT)) + 1
+
+    def record(self, id: str) -> MemberRecord:
+        """The record of a member. A new one may hold a lease of an earlier leader.
+
+        Else a member that was cut off could act on its old version, under the earlier leader's lease, while
+        this leader takes it for stopped and lets the next version come into force.
+        """
+        record = self.records.get(id)
+        if record is None:
+            record = self.records[id] = MemberRecord(lease_end_us=self.elected_us + self.hold_us)
+        return record
+
+    def on_request(self, now_us: int, id: str, request: Request) -> None:
+        """Note a request; `due` says when it can be answered."""
+        record = self.record(id)
+        if request.incarnation < record.incarnation:
             return
-        account.heard_us = now_us
-        if question.life > account.life:  # started anew, with another clock
-            account.life, account.newest_us, account.came_us = question.life, question.stamp_us, -1
-        if question.stamp_us < account.newest_us:
+        record.heard_us = now_us
+        if request.incarnation > record.incarnation:  # restarted, with another clock
+            record.incarnation = request.incarnation
+            record.newest_sent_us = request.sent_at_us
+            record.clear_request()
+        if request.sent_at_us < record.newest_sent_us:
             return  # overtaken by a newer one
-        account.newest_us, account.acts = question.stamp_us, question.acts
-        account.log_bytes = question.log_bytes
-        account.has = (
-            question.has
-        )  # less than before from one that started anew, until it has learnt it again
-        if account.came_us < 0:
-            account.stamp_us, account.came_us = question.stamp_us, now_us
+        record.newest_sent_us = request.sent_at_us
+        record.acting_version = request.acting_version
+        record.log_bytes = request.log_bytes
+        # After a restart it may hold less than before, until it has received it again.
+        record.newest_version = request.newest_version
+        if not record.has_request:
+            record.sent_at_us = request.sent_at_us
+            record.arrived_us = now_us
 
     def due(self, confirmed_us: int, members: Iterable[str]) -> list[tuple[str, int]]:
-        """Whose question can be answered now, with its stamp. From here on they count as able to act."""
+        """Whose request can be answered now, with its `sent_at_us`; they count as able to act from now."""
         granted = []
         for id in members:
-            account = self.accounts.get(id)
-            if account is None or account.came_us < 0 or id in self.leaving:
+            record = self.records.get(id)
+            if record is None or not record.has_request or id in self.leaving:
                 continue
-            if account.came_us <= confirmed_us:
-                account.until_us = max(account.until_us, account.came_us + self.hold_us)
-                granted.append((id, account.stamp_us))
-                account.came_us = -1
+            if record.arrived_us <= confirmed_us:
+                record.lease_end_us = max(record.lease_end_us, record.arrived_us + self.hold_us)
+                granted.append((id, record.sent_at_us))
+                record.clear_request()
         return granted
 
     def is_over(self, now_us: int, id: str) -> bool:
-        """Whether it can no longer act, whatever became of it."""
-        return now_us >= self.account(id).until_us
+        """Whether a member can no longer act, whatever became of it."""
+        return now_us >= self.record(id).lease_end_us
 
-    def behind(self, now_us: int, version: int, members: Iterable[str]) -> list[str]:
+    def members_behind(self, now_us: int, version: int, members: Iterable[str]) -> list[str]:
         """Who still keeps a version from coming into force."""
-        return [id for id in members if self.account(id).has < version and not self.is_over(now_us, id)]
+        return [
+            id for id in members if self.record(id).newest_version < version and not self.is_over(now_us, id)
+        ]
--- /dev/null
+++ b/badgergap/consensus/proposals.py
@@ -0,0 +1,146 @@
+"""Proposals at the leader: checked, validated by the members, and then added to the log. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import msgspec
+
+from badgergap.consensus import compatibility
+from badgergap.consensus.errors import ProposalError
+from badgergap.consensus.lease import LeaseGrantor
+from badgergap.consensus.log import majority
+from badgergap.consensus.member_actions import ValidateLocally
+from badgergap.consensus.member_core import MemberCore
+from badgergap.consensus.member_messages import ValidateSettings, ValidationResult
+from badgergap.consensus.replicated_state import GroupState
+from badgergap.consensus.settings_text import decode_endpoint_list, decode_tables
+from badgergap.consensus.versions import Outcome, ProposeVersion
+
+VALIDATION_TIMEOUT_US = 2_000_000  # for the members to say whether they can load a version
+RECENTLY_HEARD_US = 1_000_000  # who was heard within it is asked
+OPEN_LIMIT = 64  # proposals that wait for the members' answers
+
+
+@dataclass(slots=True)
+class OpenProposal:
+    """A proposal that waits for the members' answers."""
+
+    proposal: ProposeVersion
+    origin: str  # the identity of the member that it came from
+    since_us: int
+    unanswered: set[str]  # identities
+    contradicts: bool
+    accepted: int = 0
+
+
+class OpenProposals:
+    """The proposals that one leader has received and not yet added to the log."""
+
+    def __init__(self, member: MemberCore, grantor: LeaseGrantor) -> None:
+        self.member = member
+        self.grantor = grantor
+        self.open: dict[str, OpenProposal] = {}  # by the id of the proposal
+
+    def receive(self, now_us: int, origin: str, proposal: ProposeVersion) -> None:
+        """A proposal of the member with the identity `origin`. One that is known already is ignored."""
+        member = self.member
+        is_known = proposal.id in member.state.outcomes or proposal.id in self.open
+        if not member.raft.is_established_leader or is_known:
+            return
+        try:
+            contradicts = self._check(proposal)
+        except ProposalError as error:
+            self._refuse(proposal.id, origin, str(error))
+            return
+        validators = self._validators(now_us) if proposal.kind == "settings" else set()
+        opened = OpenProposal(proposal, origin, now_us, validators, contradicts)
+        self.open[proposal.id] = opened
+        if not validators:
+            self._close(proposal.id, opened, now_us)
+            return
+        for id in sorted(validators - {member.id}):
+            member.send(id, ValidateSettings(proposal.id, proposal.body))
+        member.validating[proposal.id] = member.id
+        member.actions.append(ValidateLocally(proposal.id, proposal.body))
+
+    def _check(self, proposal: ProposeVersion) -> bool:
+        """Whether it contradicts the newest version. Raises ProposalError."""
+        self.member.state.check_proposal(proposal)
+        if len(self.open) >= OPEN_LIMIT:
+            raise ProposalError(f"{OPEN_LIMIT} publishes wait already")
+        if proposal.kind == "back":
+            return False
+        if proposal.kind == "out":
+            return True
+        try:
+            return bool(contradictions(self.member.state, proposal))
+        except msgspec.MsgspecError as error:
+            raise ProposalError(f"it cannot be read: {error}") from None
+
+    def _validators(self, now_us: int) -> set[str]:
+        """Who says whether it can load the settings: this member, and all that were heard just now."""
+        heard = {
+            id for id, record in self.grantor.records.items() if now_us - record.heard_us < RECENTLY_HEARD_US
+        }
+        members = {peer.id for peer in self.member.raft.log.configuration}
+        return (heard & members) | {self.member.id}
+
+    def on_validated(self, now_us: int, sender: str, result: ValidationResult) -> None:
+        """A member's answer."""
+        opened = self.open.get(result.id)
+        if opened is None or sender not in opened.unanswered:
+            return
+        opened.unanswered.discard(sender)
+        if result.why:
+            del self.open[result.id]
+            name = self.member.name_of(sender) or sender
+            self._refuse(result.id, opened.origin, f"{name} cannot load it: {result.why}")
+            return
+        opened.accepted += 1
+        if not opened.unanswered:
+            self._close(result.id, opened, now_us)
+
+    def close_overdue(self, now_us: int) -> None:
+        """Decide on proposals whose time for answers is over."""
+        for id, opened in list(self.open.items()):
+            if now_us - opened.since_us > VALIDATION_TIMEOUT_US:
+                self._close(id, opened, now_us)
+
+    def forget(self, id: str) -> None:
+        """The outcome of a proposal is known."""
+        self.open.pop(id, None)
+
+    def _close(self, id: str, opened: OpenProposal, now_us: int) -> None:
+        """All have said that they can load it, or their time is over: add it if a majority accepts it."""
+        member = self.member
+        needed = majority(len(member.raft.log.voters))
+        if opened.unanswered and opened.accepted < needed:
+            del self.open[id]
+            names = ", ".join(sorted(member.name_of(silent) for silent in opened.unanswered))
+            why = f"no word in time on whether it can be loaded, from {names}"
+            self._refuse(id, opened.origin, why)
+            return
+        opened.unanswered.clear()
+        contradicts = self._contradicts_now(opened)
+        member.propose_command(now_us, msgspec.structs.replace(opened.proposal, contradicts=contradicts))
+        del self.open[id]
+
+    def _contradicts_now(self, opened: OpenProposal) -> bool:
+        """Another version may have come in between: then it is compared with that one."""
+        if opened.proposal.kind not in ("settings", "list"):
+            return opened.contradicts
+        return bool(contradictions(self.member.state, opened.proposal))
+
+    def _refuse(self, id: str, origin: str, why: str) -> None:
+        self.member.report_outcome(origin, Outcome(id, 0, why, self.member.state.newest.number))
+
+
+def contradictions(state: GroupState, proposal: ProposeVersion) -> list[str]:
+    """Where a proposal contradicts the newest version, in words. Raises msgspec.MsgspecError."""
+    newest = state.newest
+    if proposal.kind == "list":
+        older, newer = decode_endpoint_list(newest.endpoint_list), decode_endpoint_list(proposal.body)
+        return compatibility.contradictions(older, newer)
+    older, newer = decode_tables(newest.settings), decode_tables(proposal.body)
+    return compatibility.contradictions(older, newer) if newest.settings_at else []
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -10,8 +10,9 @@
 
 import msgspec
 
-from badgergap.consensus.service import PUBLISH_S, Refused
-from badgergap.consensus.replicated_state import Publish
+from badgergap.consensus.errors import Refused
+from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S
+from badgergap.consensus.versions import ProposeVersion
 from badgergap.replication import idempotency_record as records
 from badgergap.replication import snapshot
 from badgergap.replication import messages
@@ -215,7 +216,7 @@
             raise Refused("no leader is heard, or seats are moving: try again")
         held = {name: report.records for name, report in looked.lines.items() if report.records}
         member = group.member
-        if held or member is None or len(member.state.heads) > 1:
+        if held or member is None or len(member.state.headers) > 1:
             raise Refused(
                 "this group is alive: it has keys or versions of its own. Restore into a new one, whose "
                 "folders are empty"
@@ -252,8 +253,8 @@
         return len(batch)
 
     async def _publish(self, kind: Any, body: str, author: str) -> str:
-        wish = Publish(secrets.token_hex(16), kind, body, author, "restored from a snapshot", -1, True)
-        outcome = await self.room.group.publish(wish, PUBLISH_S)
+        wish = ProposeVersion(secrets.token_hex(16), kind, body, author, "restored from a snapshot", -1, True)
+        outcome = await self.room.group.propose(wish, PROPOSAL_TIMEOUT_S)
         if outcome is None:
             return f"{kind} {body[:40]}: no word in time"
         return f"{kind}: {outcome.why}" if outcome.why else ""
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from badgergap.consensus.service import clock_us
+from badgergap.consensus.clock import clock_us
 from badgergap.replication import idempotency_record as records
 from badgergap.replication.idempotent_request import End, Once, Request
 from badgergap.replication.idempotency_record import Record, Repeats
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from badgergap.consensus.service import GroupRoom, clock_us
+from badgergap.consensus.clock import clock_us
+from badgergap.consensus.service import GroupService
 from badgergap.replication import learned_state
 from badgergap.replication.learned_state import BadLesson, Have, Keep, Kept, Lesson, Want
 from badgergap.replication.placement import Seat
@@ -31,7 +32,7 @@
 
 class LessonsRoom:
     def __init__(
-        self, group: GroupRoom, copies: CopiesRoom, proxies: Callable[[], Mapping[str, Proxy]]
+        self, group: GroupService, copies: CopiesRoom, proxies: Callable[[], Mapping[str, Proxy]]
     ) -> None:
         """`proxies`: of all pools, once they have started; the main one among them."""
         self.group, self.copies, self.proxies = group, copies, proxies
@@ -45,7 +46,7 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
-        self.group.guests[ROOM] = self
+        self.group.components[ROOM] = self
 
     async def start(self) -> None:
         self.task = asyncio.get_running_loop().create_task(self._work())
@@ -64,7 +65,7 @@
 
     # A guest of the group
 
-    def heard(self, name: str, data: bytes) -> None:
+    def on_message(self, name: str, data: bytes) -> None:
         try:
             word = learned_state.decode(data)
         except msgspec.MsgspecError as error:
@@ -82,14 +83,14 @@
                 if self.best is None or word.age_us < self.best[1].age_us:
                     self.best = (name, word)
 
-    def agreed(self) -> None:
+    def on_group_changed(self) -> None:
         """Nothing of it is in the group's log."""
 
-    def against(self, name: str) -> str:
+    def removal_objection(self, name: str) -> str:
         return ""
 
     def _say(self, name: str, word: learned_state.Word) -> None:
-        self.group.pass_on(name, ROOM, learned_state.encode(word))
+        self.group.send_to_component(name, ROOM, learned_state.encode(word))
 
     # Its own lesson
 
@@ -135,7 +136,7 @@
             if self.best is not None and self.take_back(*self.best):
                 return
             member = self.group.member
-            for peer in member.raft.config if member is not None else ():
+            for peer in member.raft.log.configuration if member is not None else ():
                 if peer.name != self.copies.options.name:
                     self._say(peer.name, Want())
             await asyncio.sleep(ASK_S)
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -17,7 +17,8 @@
 
 import msgspec
 
-from badgergap.consensus.service import GroupRoom, clock_us
+from badgergap.consensus.clock import clock_us
+from badgergap.consensus.service import GroupService
 from badgergap.replication import replica as keepers
 from badgergap.replication import messages
 from badgergap.replication.replica import Keeper, Options, Shout, Wish
@@ -48,7 +49,7 @@
 class CopiesRoom:
     """Raises OSError at the start where its folder cannot be used."""
 
-    def __init__(self, group: GroupRoom, read: Callable[[], Options], folder: Path) -> None:
+    def __init__(self, group: GroupService, read: Callable[[], Options], folder: Path) -> None:
         """`read` gives what the operator file says now; raises ConfigError."""
         self.group, self.read, self.folder = group, read, folder
         self.options = read()
@@ -69,7 +70,7 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
-        self.group.guests[ROOM] = self
+        self.group.components[ROOM] = self
 
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -133,7 +134,7 @@
             lambda token: self._durable(life, token),
             lambda why: self._failed(life, why),
         )
-        self.agreed()
+        self.on_group_changed()
 
     def _durable(self, life: int, token: int) -> None:
         if life != self.life or self.keeper is None:
@@ -201,7 +202,7 @@
 
     # The keeper
 
-    def heard(self, name: str, data: bytes) -> None:
+    def on_message(self, name: str, data: bytes) -> None:
         if self.keeper is None:
             return
         try:
@@ -222,18 +223,18 @@
         except Exception:
             log.exception("failed on a word on copies from %s", name)
 
-    def agreed(self) -> None:
+    def on_group_changed(self) -> None:
         it = self.keeper
         if it is None:
             return
-        number, data = self.group.word(TIME)
+        number, data = self.group.component_state(TIME)
         if number > it.clock.number:
             it.ticked(clock_us(), number, data)
-        number, data = self.group.word(ROOM)
+        number, data = self.group.component_state(ROOM)
         if number > it.number:
             it.agreed(clock_us(), number, data)
 
-    def against(self, name: str) -> str:
+    def removal_objection(self, name: str) -> str:
         it = self.keeper
         if it is None or it.placement.before is None:
             return ""
@@ -248,8 +249,8 @@
                 now = clock_us()
                 try:
                     if member is not None:
-                        names = {peer.name for peer in member.raft.config}
-                        it.led_by(now, member.leader_name, member.raft.settled, names)
+                        names = {peer.name for peer in member.raft.log.configuration}
+                        it.led_by(now, member.leader_name, member.raft.is_established_leader, names)
                     it.tick(now)
                     self.settle()
                 except Exception:
@@ -273,7 +274,9 @@
                     else:
                         self._send(todo)
                 case Wish():
-                    self.group.keep(TIME if todo.kind == "time" else ROOM, todo.number, todo.data)
+                    self.group.store_component_state(
+                        TIME if todo.kind == "time" else ROOM, todo.number, todo.data
+                    )
                 case Shout():
                     self._say(todo.text)
 
@@ -307,7 +310,7 @@
             self._frames(name, said[:half])
             self._frames(name, said[half:])
         else:
-            self.group.pass_on(name, ROOM, data)
+            self.group.send_to_component(name, ROOM, data)
 
     def _say(self, text: str) -> None:
         log.warning("%s", text)
--- a/badgergap/rollout/commands.py
+++ b/badgergap/rollout/commands.py
@@ -9,9 +9,10 @@
 
 import msgspec
 
-from badgergap.consensus.member import read_tables
 from badgergap.consensus.compatibility import contradictions
-from badgergap.consensus.service import GroupRoom, Refused, encode_tables
+from badgergap.consensus.errors import Refused
+from badgergap.consensus.service import GroupService
+from badgergap.consensus.settings_text import decode_tables, encode_tables
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.rollout import compatibility
 from badgergap.rollout.controller import Run
@@ -36,7 +37,7 @@
         }
 
     @property
-    def group(self) -> GroupRoom:
+    def group(self) -> GroupService:
         return self.room.group
 
     async def call(self, op: str, arguments: Arguments) -> Any:
@@ -54,7 +55,7 @@
         tables = arguments["tables"]
         if not isinstance(tables, dict):
             raise Refused("settings are tables")
-        return plan, encode_tables(tables), read_tables(member.state.newest.settings), tables
+        return plan, encode_tables(tables), decode_tables(member.state.newest.settings), tables
 
     async def check(self, arguments: Arguments) -> Any:
         plan, body, older, newer = self._read(arguments)
--- a/badgergap/rollout/service.py
+++ b/badgergap/rollout/service.py
@@ -16,9 +16,12 @@
 
 import msgspec
 
-from badgergap.consensus.service import PUBLISH_S, GroupRoom, Refused, clock_us
-from badgergap.consensus.member import read_tables
-from badgergap.consensus.replicated_state import Publish
+from badgergap.consensus.clock import clock_us
+from badgergap.consensus.errors import Refused
+from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S
+from badgergap.consensus.service import GroupService
+from badgergap.consensus.settings_text import decode_tables
+from badgergap.consensus.versions import ProposeVersion
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Proxy
 from badgergap.site.schema import parse_duration
@@ -43,7 +46,7 @@
 
 class StagedRoom:
     def __init__(
-        self, group: GroupRoom, meter: Meter, classes: Callable[[], tuple[tuple[str, int], ...]]
+        self, group: GroupService, meter: Meter, classes: Callable[[], tuple[tuple[str, int], ...]]
     ) -> None:
         """`classes`: name and wanted time of the classes there are now, in the balancer's order."""
         self.group, self.meter, self.classes = group, meter, classes
@@ -78,9 +81,9 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
-        self.group.guests[ROOM] = self
-        self.group.overlay = self.body_for
-        self.group.overlay_failed = self.cannot
+        self.group.components[ROOM] = self
+        self.group.versions.overlay = self.body_for
+        self.group.versions.overlay_failed = self.cannot
         self._follow()
 
     async def start(self) -> None:
@@ -98,7 +101,7 @@
         """Requests are judged by the aims of the settings that the group has agreed on."""
         aims: dict[str, int] = {}
         try:
-            for table in read_tables(self.group.acting_on.settings).get("class") or []:
+            for table in decode_tables(self.group.versions.acting_on.settings).get("class") or []:
                 aims[str(table["name"])] = int(parse_duration(table["wanted_within"]))
         except (KeyError, ValueError, TypeError, msgspec.MsgspecError):
             aims = {}
@@ -137,16 +140,23 @@
         run = self.run
         if run is None:
             return Stand(self.number, "", False)
-        treated = self.body[0] == run.id and self.group.body == self.body[1] != self.group.acting_on.settings
+        treated = (
+            self.body[0] == run.id
+            and self.group.versions.body == self.body[1] != self.group.versions.acting_on.settings
+        )
         failed = self.failed[1] if self.failed[0] == run.id else self.unknown
-        wanted = self.body_for(self.group.acting_on.settings)
+        wanted = self.body_for(self.group.versions.acting_on.settings)
         return Stand(
-            self.number, run.id, treated, failed, self.group.loading is not None or wanted != self.group.body
+            self.number,
+            run.id,
+            treated,
+            failed,
+            self.group.versions.loading is not None or wanted != self.group.versions.body,
         )
 
     # A guest of the group
 
-    def heard(self, name: str, data: bytes) -> None:
+    def on_message(self, name: str, data: bytes) -> None:
         try:
             word = messages.decode(data)
         except msgspec.MsgspecError as error:
@@ -184,14 +194,14 @@
                 if wish is not None and not wish.done():
                     wish.set_result(word.why)
 
-    def agreed(self) -> None:
+    def on_group_changed(self) -> None:
         """The words in the log may be others."""
-        number, data = self.group.word(BODY)
+        number, data = self.group.component_state(BODY)
         if number > self.body_number:
             self.body_number = number
             id, _, body = data.decode().partition("\n")
             self.body = (id, body)
-        number, data = self.group.word(ROOM)
+        number, data = self.group.component_state(ROOM)
         if number > self.number:
             self.number, self.since_us = number, clock_us()
             try:
@@ -217,14 +227,14 @@
             log.info("change %s: %s", run.plan.name, event.text)
             self.tell(f"Change {run.plan.name}: {event.text}")
 
-    def against(self, name: str) -> str:
+    def removal_objection(self, name: str) -> str:
         return ""
 
     def _say(self, name: str, word: Word) -> None:
         if name == self.name:
             self._hear(name, word)
         else:
-            self.group.pass_on(name, ROOM, messages.encode(word))
+            self.group.send_to_component(name, ROOM, messages.encode(word))
 
     def leader(self) -> str:
         member = self.group.member
@@ -232,7 +242,11 @@
 
     def seats(self) -> list[Seat]:
         member = self.group.member
-        return [Seat(peer.name, peer.zone) for peer in member.raft.config] if member is not None else []
+        return (
+            [Seat(peer.name, peer.zone) for peer in member.raft.log.configuration]
+            if member is not None
+            else []
+        )
 
     # By the clock
 
@@ -254,7 +268,7 @@
             elif self.leader():
                 self._say(self.leader(), Did(block))
         member = self.group.member
-        leads = member is not None and member.raft.settled
+        leads = member is not None and member.raft.is_established_leader
         if leads and not self.led:
             self.since_us = now_us
             self.stands.clear()
@@ -262,7 +276,7 @@
         self.led = leads
         if leads:
             self._lead(now_us)
-        self.group.reconsider()
+        self.group.versions.reconsider()
 
     # As the leader
 
@@ -328,14 +342,14 @@
         if number == self.number + 1 and now_us - at < AGAIN_US:
             return
         self.proposed = (self.number + 1, now_us)
-        self.group.keep(ROOM, self.number + 1, msgspec.msgpack.encode(kept))
+        self.group.store_component_state(ROOM, self.number + 1, msgspec.msgpack.encode(kept))
 
     async def _publish(self, run: Run) -> None:
         try:
-            publish = Publish(
+            publish = ProposeVersion(
                 run.id, "settings", self.body[1], run.by, run.reason or run.plan.name, run.base, True
             )
-            outcome = await self.group.publish(publish, PUBLISH_S)
+            outcome = await self.group.propose(publish, PROPOSAL_TIMEOUT_S)
             if outcome is not None and not outcome.version:
                 self.refused = (run.id, outcome.why)
         finally:
@@ -375,7 +389,9 @@
         if self.body[0] != word.id:
             if now_us - self.proposed[1] > AGAIN_US or self.proposed[0] != 0:
                 self.proposed = (0, now_us)
-                self.group.keep(BODY, self.body_number + 1, f"{word.id}\n{word.body}".encode())
+                self.group.store_component_state(
+                    BODY, self.body_number + 1, f"{word.id}\n{word.body}".encode()
+                )
             return
         try:
             begun = controller.begin(
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -24,10 +24,13 @@
 from benchmarks.common import child, closed_load, cpu_s, fleet, quantile, site_file
 from badgergap.consensus import endpoint_lists
 from badgergap.consensus import persistence
-from badgergap.consensus.member import Member, Settings
-from badgergap.consensus.raft import Peer, Save, Snapshot
-from badgergap.consensus.service import clock_us
-from badgergap.consensus.replicated_state import Publish, State, encode
+from badgergap.consensus.clock import clock_us
+from badgergap.consensus.log import Peer, Snapshot
+from badgergap.consensus.member import Member
+from badgergap.consensus.persistent_state import Persist
+from badgergap.consensus.replicated_state import GroupState
+from badgergap.consensus.settings import MemberSettings
+from badgergap.consensus.versions import ProposeVersion, encode_command
 from badgergap.standins.rig import Gateway, rig, free_port
 from badgergap.storage.record_log import RecordLog
 
@@ -156,16 +159,20 @@
 
 async def recover(boxes: int) -> None:
     listed = {
-        f"box-{n}": endpoint_lists.Listed(f"box-{n}", f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:80", zone="a")
+        f"box-{n}": endpoint_lists.AgreedEndpoint(
+            f"box-{n}", f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:80", zone="a"
+        )
         for n in range(boxes)
     }
-    state = State("g")
-    state.apply(encode(Publish("p", "list", endpoint_lists.encode(listed), "x", "", -1, False)))
+    state = GroupState("g")
+    state.apply(
+        encode_command(ProposeVersion("p", "list", endpoint_lists.encode(listed), "x", "", -1, False))
+    )
     snapshot = Snapshot(5, 2, (Peer("id", "a"),), state.snapshot())
     with tempfile.TemporaryDirectory() as folder:
         log = RecordLog(Path(folder))
         log.open()
-        log.rewrite([persistence.encode(Save(1, 2, "", None, (), snapshot))])
+        log.rewrite([persistence.encode(Persist(1, 2, "", None, (), snapshot))])
         log.close()
         began = time.monotonic()
         again = RecordLog(Path(folder))
@@ -173,7 +180,7 @@
         opened = time.monotonic()
         import random
 
-        Member(Settings("a"), "id", persistence.decode(records), clock_us(), random.Random(1))
+        Member(MemberSettings("a"), "id", persistence.decode(records), clock_us(), random.Random(1))
         print(
             f"{boxes} boxes, a snapshot of {len(snapshot.state) / 1e3:.0f} kB: log opened and written anew "
             f"in {1000 * (opened - began):.0f} ms, state in {1000 * (time.monotonic() - opened):.0f} ms"
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -20,8 +20,9 @@
 from pathlib import Path
 
 from benchmarks.common import quantile
-from badgergap.consensus.framing import Talker
-from badgergap.consensus.member import Member, Send
+from badgergap.consensus.framing import FrameWriter
+from badgergap.consensus.member import Member
+from badgergap.consensus.member_actions import Send
 from tests.consensus.simulation import (
     BOUND_US,
     MS,
@@ -106,17 +107,17 @@
 
     def __init__(self, *arguments: object, **named: object) -> None:
         self.loads = {}
-        self.talker = Talker(b"key")
+        self.writer = FrameWriter(b"key")
         super().__init__(*arguments, **named)  # type: ignore[arg-type]
 
     def do(self, node: Node, what: Callable[[Member], None]) -> None:
         began = time.perf_counter()
         super().do(node, what)
-        if node.member is not None and node.member.raft.leads:
+        if node.member is not None and node.member.raft.is_leader:
             self.leader_s += time.perf_counter() - began
 
     def send(self, node: Node, send: Send) -> None:
-        self.bytes += len(self.talker.frame(send.id, send.message))
+        self.bytes += len(self.writer.encode(send.id, send.message))
         super().send(node, send)
 
     def load(self, node: Node, life: int, number: int) -> None:
@@ -135,7 +136,7 @@
     print(f"{followers} members at rest: {messages:.0f} messages/s, {size / 1000:.0f} kB/s in all")
     print(f"the leader's core and its side of the simulation: {100 * busy:.1f} % of a processor")
     listed = ",".join(f'{{"name":"box-{n}","address":"10.0.0.{n % 250}:{n}"}}' for n in range(boxes))
-    leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.leads)
+    leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.is_leader)
     for slow in (False, True):
         took, wire = [], world.bytes
         for number in range(20):
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -17,7 +17,8 @@
 from badgergap.consensus import endpoint_lists
 from badgergap.consensus import replicated_state
 from badgergap.consensus.persistence import decode
-from badgergap.consensus.raft import Durable, Entry, Peer, Snapshot
+from badgergap.consensus.log import LogEntry, Peer, Snapshot
+from badgergap.consensus.persistent_state import PersistentState
 from badgergap.replication import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import HandDrain
@@ -81,8 +82,10 @@
     log.close()
     assert (found.lost_reason, found.is_new, found.torn_bytes) == ("", False, 0)
     peers = (Peer("id-1", "g1", "z", True), Peer("id-2", "g2", "", False))
-    entries = [Entry(3, 2, "data", b"x"), Entry(4, 3, "noop")]
-    expected = Durable(term=3, vote="id-2", snapshot=Snapshot(2, 1, peers, b"state"), entries=entries)
+    entries = [LogEntry(3, 2, "data", b"x"), LogEntry(4, 3, "noop")]
+    expected = PersistentState(
+        term=3, voted_for="id-2", snapshot=Snapshot(2, 1, peers, b"state"), entries=entries
+    )
     assert decode(found.records) == expected
     for name in ("log", "mark"):
         assert (folder / name).read_bytes() == (DATA / "consensus_log_reopened" / name).read_bytes()
@@ -90,7 +93,7 @@
 
 def test_a_group_state_in_a_snapshot_is_read_and_written_anew_as_it_was() -> None:
     written = (DATA / "group_state.bin").read_bytes()
-    group = replicated_state.State()
+    group = replicated_state.GroupState()
     group.restore(written)
     assert group.newest.number == 3 and group.newest.out == {"box-1": "anna"}
     assert group.snapshot() == written
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -6,18 +6,10 @@
 import random
 from collections.abc import Callable
 
-from badgergap.consensus.raft import (
-    Apply,
-    Config,
-    Durable,
-    Peer,
-    Raft,
-    Restore,
-    Save,
-    Send,
-    Snapshot,
-    encode_config,
-)
+from badgergap.consensus.log import Configuration, Peer, Snapshot, encode_configuration
+from badgergap.consensus.persistent_state import Persist, PersistentState
+from badgergap.consensus.raft import Raft
+from badgergap.consensus.raft_actions import ApplyEntry, RestoreSnapshot, SendToPeer
 
 NOW = 10_000_000
 
@@ -31,13 +23,13 @@
 
     def __init__(self, count: int, kind: type[Raft] = Raft) -> None:
         self.kind = kind
-        config: Config = tuple(Peer(f"{n}", f"n{n}") for n in range(1, count + 1))
+        config: Configuration = tuple(Peer(f"{n}", f"n{n}") for n in range(1, count + 1))
         start = Snapshot(1, 1, config, b"")
         self.now = NOW
-        self.disks = {peer.id: Durable(1, "", start) for peer in config}
-        self.unsaved: dict[str, list[Save]] = {id: [] for id in self.disks}
-        self.held: dict[str, list[Send]] = {id: [] for id in self.disks}
-        self.wire: list[tuple[str, Send]] = []
+        self.disks = {peer.id: PersistentState(1, "", start) for peer in config}
+        self.unsaved: dict[str, list[Persist]] = {id: [] for id in self.disks}
+        self.held: dict[str, list[SendToPeer]] = {id: [] for id in self.disks}
+        self.wire: list[tuple[str, SendToPeer]] = []
         self.nodes: dict[str, Raft] = {}
         self.agreed: dict[int, tuple[int, bytes]] = {}
         self.leaders: dict[int, str] = {}
@@ -51,22 +43,22 @@
     def settle(self, id: str) -> None:
         """Sort what a core wants done, and check what it claims."""
         node = self.nodes[id]
-        for todo in node.todo:
-            match todo:
-                case Save():
-                    self.unsaved[id].append(todo)
-                case Send():
-                    (self.held[id] if todo.after > node.saved_token else self.wire).append(
-                        todo if todo.after > node.saved_token else (id, todo)  # type: ignore[arg-type]
+        for action in node.actions:
+            match action:
+                case Persist():
+                    self.unsaved[id].append(action)
+                case SendToPeer():
+                    (self.held[id] if action.after_token > node.writes.durable_token else self.wire).append(
+                        action if action.after_token > node.writes.durable_token else (id, action)  # type: ignore[arg-type]
                     )
-                case Apply():
-                    found = (todo.entry.term, todo.entry.data)
-                    if self.agreed.setdefault(todo.entry.index, found) != found:
-                        raise Disagreement(f"entry {todo.entry.index} at {id}")
-                case Restore():
+                case ApplyEntry():
+                    found = (action.entry.term, action.entry.data)
+                    if self.agreed.setdefault(action.entry.index, found) != found:
+                        raise Disagreement(f"entry {action.entry.index} at {id}")
+                case RestoreSnapshot():
                     pass
-        node.todo = []
-        if node.leads and self.leaders.setdefault(node.term, id) != id:
+        node.actions = []
+        if node.is_leader and self.leaders.setdefault(node.term, id) != id:
             raise Disagreement(f"two leaders of term {node.term}")
 
     def flush(self, id: str) -> None:
@@ -74,11 +66,11 @@
         if not saves:
             return
         for save in saves:
-            self.disks[id].keep(save)
+            self.disks[id].apply(save)
         token = saves[-1].token
-        self.wire += [(id, send) for send in self.held[id] if send.after <= token]
-        self.held[id] = [send for send in self.held[id] if send.after > token]
-        self.nodes[id].saved(self.now, token)
+        self.wire += [(id, send) for send in self.held[id] if send.after_token <= token]
+        self.held[id] = [send for send in self.held[id] if send.after_token > token]
+        self.nodes[id].on_persisted(self.now, token)
         self.settle(id)
 
     def crash(self, id: str) -> None:
@@ -87,13 +79,13 @@
 
     def deliver(self, place: int) -> None:
         sender, send = self.wire.pop(place)
-        self.nodes[send.to].receive(self.now, sender, send.message)
-        self.settle(send.to)
+        self.nodes[send.peer_id].receive(self.now, sender, send.message)
+        self.settle(send.peer_id)
 
     def time_out(self, id: str) -> None:
         """Its patience ends, and that of the others with their leader."""
         self.now += 1_100_000
-        self.nodes[id].election_at = self.now
+        self.nodes[id].election_due_us = self.now
         self.nodes[id].tick(self.now)
         self.settle(id)
 
@@ -103,7 +95,7 @@
 
     def configure(self, id: str, members: str) -> None:
         peers = tuple(Peer(n, f"n{n}") for n in members)
-        self.nodes[id].propose(self.now, "config", encode_config(peers))
+        self.nodes[id].propose(self.now, "config", encode_configuration(peers))
         self.settle(id)
 
     def run(self, among: str, until: Callable[[], bool] = lambda: False, most: int = 300) -> None:
@@ -113,7 +105,7 @@
                 return
             for id in among:
                 self.flush(id)
-            self.wire = [(s, send) for s, send in self.wire if s in among and send.to in among]
+            self.wire = [(s, send) for s, send in self.wire if s in among and send.peer_id in among]
             if self.wire:
                 self.deliver(0)
             elif not any(self.unsaved[id] for id in among):
--- a/tests/consensus/guards.py
+++ b/tests/consensus/guards.py
@@ -1,7 +1,7 @@
 """Each guard of the group, taken out: what a schedule must then find, and the seed that finds it.
 
 A guard is taken out by overriding the one place that holds it, or by a world that does not keep a promise
-of the driver (`room.py`) or of the store.
+of the driver (`service.py`) or of the store.
 """
 
 from __future__ import annotations
@@ -10,9 +10,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from badgergap.consensus.lease import Account, Grants, Lease
-from badgergap.consensus.member import Send
-from badgergap.consensus.raft import Config, Durable, Raft, Vote, Voted
+from badgergap.consensus.lease import Lease, LeaseGrantor, MemberRecord
+from badgergap.consensus.log import Configuration
+from badgergap.consensus.member_actions import Send
+from badgergap.consensus.persistent_state import PersistentState
+from badgergap.consensus.raft import Raft
+from badgergap.consensus.raft_messages import RequestVote, RequestVoteResponse
 from tests.consensus.simulation import (
     Node,
     Recorded,
@@ -27,11 +30,13 @@
 
 
 class VotesTwice(Raft):
-    def _on_vote(self, now_us: int, sender: str, ask: Vote) -> None:
-        granted = ask.term == self.term and self._log_is_current(ask.last_term, ask.last_index)
+    def _on_vote_request(self, now_us: int, sender: str, request: RequestVote) -> None:
+        granted = request.term == self.term and self._log_is_current(
+            request.last_log_term, request.last_log_index
+        )
         if granted:
-            self._wait_for_election(now_us)
-        self._send(sender, Voted(self.term, granted), relies=True)
+            self._schedule_election(now_us)
+        self._send_when_durable(sender, RequestVoteResponse(self.term, granted))
 
 
 class VotesForAnyLog(Raft):
@@ -40,12 +45,12 @@
 
 
 class CountsEarlierTerms(Raft):
-    def _counts(self, index: int) -> bool:
+    def _may_commit(self, index: int) -> bool:
         return True
 
 
 class ManyChangesAtOnce(Raft):
-    def _may_change(self, new: Config) -> bool:
+    def _may_change_members(self, new: Configuration) -> bool:
         return True
 
 
@@ -58,31 +63,31 @@
 
 class SettledAtOnce(Raft):
     @property
-    def settled(self) -> bool:
-        return self.leads
+    def is_established_leader(self) -> bool:
+        return self.is_leader
 
 
 class FromArrival(Lease):
-    def take(self, now_us: int, stamp_us: int, floor: int) -> None:
-        super().take(now_us, now_us, floor)
+    def extend(self, now_us: int, sent_at_us: int, minimum_version: int) -> None:
+        super().extend(now_us, now_us, minimum_version)
 
 
 class NoFloor(Recorded):
-    def lease_floor(self) -> int:
+    def minimum_version(self) -> int:
         return 0
 
 
-class NewLeaderWaitsForNobody(Grants):
-    def account(self, id: str) -> Account:
-        known = id in self.accounts
-        account = super().account(id)
-        if not known:
-            account.until_us = self.elected_us
-        return account
+class NewLeaderWaitsForNobody(LeaseGrantor):
+    def record(self, id: str) -> MemberRecord:
+        is_known = id in self.records
+        record = super().record(id)
+        if not is_known:
+            record.lease_end_us = self.elected_us
+        return record
 
 
-class WaitsForNobody(Grants):
-    def behind(self, now_us: int, version: int, members: Iterable[str]) -> list[str]:
+class WaitsForNobody(LeaseGrantor):
+    def members_behind(self, now_us: int, version: int, members: Iterable[str]) -> list[str]:
         return []
 
 
@@ -102,16 +107,16 @@
 class WordsBeforeDisk(World):
     def settle(self, node: Node) -> None:
         assert node.member is not None
-        for number, todo in enumerate(node.member.out):
-            if isinstance(todo, Send):
-                node.member.out[number] = Send(todo.name, todo.id, todo.message)
+        for number, action in enumerate(node.member.actions):
+            if isinstance(action, Send):
+                node.member.actions[number] = Send(action.name, action.id, action.message)
         super().settle(node)
 
 
 class ForgetsItsVote(Raft):
-    def __init__(self, id: str, disk: Durable, now_us: int, random: Random) -> None:
-        disk.vote = ""
-        super().__init__(id, disk, now_us, random)
+    def __init__(self, id: str, persistent: PersistentState, now_us: int, random: Random) -> None:
+        persistent.voted_for = ""
+        super().__init__(id, persistent, now_us, random)
 
 
 class EmptyAndTheSame(World):
@@ -132,9 +137,12 @@
 
 
 def _kind(
-    consensus: type[Raft] = Raft, leases: type[Lease] = Lease, grants_of: type[Grants] = Grants
+    raft_class: type[Raft] = Raft,
+    lease_class: type[Lease] = Lease,
+    grantor_class: type[LeaseGrantor] = LeaseGrantor,
 ) -> type[Recorded]:
-    return type("Unguarded", (Recorded,), {"consensus": consensus, "leases": leases, "grants_of": grants_of})
+    classes = {"raft_class": raft_class, "lease_class": lease_class, "grantor_class": grantor_class}
+    return type("Unguarded", (Recorded,), classes)
 
 
 @dataclass(frozen=True)
@@ -170,15 +178,20 @@
         3,
         AHEAD,
         play_cuts,
-        _kind(grants_of=NewLeaderWaitsForNobody),
+        _kind(grantor_class=NewLeaderWaitsForNobody),
     ),
     Guard("an emptied member is another", 0, 3, LOST, play_losses, world=EmptyAndTheSame),
     Guard("a copy put back is another", 0, 3, LOST, play_losses, world=CopiesUnseen),
     Guard("a leader is confirmed by a majority", 0, 5, AHEAD, play_cuts, _kind(BelievesItself)),
-    Guard("a lease runs from its question", 39, 3, AHEAD, play_cuts, _kind(leases=FromArrival)),
+    Guard("a lease runs from its question", 39, 3, AHEAD, play_cuts, _kind(lease_class=FromArrival)),
     Guard("a lease has a floor", 1, 5, AHEAD, play_cuts, NoFloor),
     Guard(
-        "all who act have it before it is in force", 0, 3, AHEAD, play_cuts, _kind(grants_of=WaitsForNobody)
+        "all who act have it before it is in force",
+        0,
+        3,
+        AHEAD,
+        play_cuts,
+        _kind(grantor_class=WaitsForNobody),
     ),
     Guard("the lease is looked at before each act", 5, 3, AHEAD, play_cuts, LooksAtTicks),
 )
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import copy
 import heapq
 import itertools
@@ -15,10 +16,22 @@
 from functools import partial
 from typing import Protocol
 
-from badgergap.consensus import raft
-from badgergap.consensus.member import Examine, First, Known, Load, Member, Reborn, Send, Settings, Settled
-from badgergap.consensus.raft import Durable, Save
-from badgergap.consensus.replicated_state import Publish
+from badgergap.consensus.errors import MembershipChangeError
+from badgergap.consensus.log import LogEntry
+from badgergap.consensus.member import Member
+from badgergap.consensus.member_actions import (
+    LoadVersion,
+    OutcomeKnown,
+    ProposeFirstVersion,
+    Reincarnate,
+    Send,
+    ValidateLocally,
+)
+from badgergap.consensus.membership_changes import MembershipChange
+from badgergap.consensus.persistent_state import Persist, PersistentState
+from badgergap.consensus.raft import Raft
+from badgergap.consensus.settings import KnownMember, MemberSettings
+from badgergap.consensus.versions import ProposeVersion, VersionKind
 
 MS, S = 1_000, 1_000_000
 TICK_US = 50 * MS
@@ -34,9 +47,9 @@
 class Recorded(Member):
     """Shows the checks what it applies."""
 
-    applied: Callable[[raft.Entry], None] = staticmethod(lambda entry: None)
+    applied: Callable[[LogEntry], None] = staticmethod(lambda entry: None)
 
-    def _apply(self, entry: raft.Entry) -> None:
+    def _apply(self, entry: LogEntry) -> None:
         self.applied(entry)
         super()._apply(entry)
 
@@ -46,19 +59,19 @@
     but for as many of the first of them as chance leaves."""
 
     def __init__(self) -> None:
-        self.durable = Durable()
-        self.waiting: list[Save] = []
+        self.durable = PersistentState()
+        self.waiting: list[Persist] = []
 
     def crash(self, random: random.Random) -> None:
         for save in self.waiting[: random.randrange(len(self.waiting) + 1)]:
-            self.durable.keep(save)
+            self.durable.apply(save)
         self.waiting.clear()
 
 
 @dataclass(eq=False)
 class Node:
     name: str
-    settings: Settings
+    settings: MemberSettings
     rate: float
     offset_us: int
     id: str
@@ -66,7 +79,7 @@
     member: Recorded | None = None
     stopped_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)  # what comes while it is stopped
-    copy: tuple[str, Durable] | None = None  # of its folder, from before
+    copy: tuple[str, PersistentState] | None = None  # of its folder, from before
     slow_disk: bool = False
     life: int = 0  # of its process: what was under way for an earlier one is lost
     held: list[Send] = field(default_factory=list)  # rely on saves that are not done
@@ -76,7 +89,7 @@
 class Client:
     """Publishes one thing, asking again until it knows what became of it."""
 
-    command: Publish
+    command: ProposeVersion
     node: Node
     until: int
 
@@ -95,7 +108,7 @@
     def fail(self, now: int, text: str) -> None:
         raise Violation(f"seed {self.seed}, at {now / S:.2f} s: {text}")
 
-    def applied(self, now: int, node: Node, entry: raft.Entry) -> None:
+    def applied(self, now: int, node: Node, entry: LogEntry) -> None:
         found = (entry.term, entry.kind, entry.data)
         if self.entries.setdefault(entry.index, found) != found:
             self.fail(now, f"entry {entry.index} is {found} at {node.name}, and was another elsewhere")
@@ -104,7 +117,7 @@
         member = node.member
         if member is None:
             return
-        if member.raft.leads and self.leaders.setdefault(member.raft.term, member.id) != member.id:
+        if member.raft.is_leader and self.leaders.setdefault(member.raft.term, member.id) != member.id:
             self.fail(now, f"two leaders of term {member.raft.term}")
         newest = member.state.newest
         if newest.number and self.digests.setdefault(newest.number, newest.digest()) != newest.digest():
@@ -118,7 +131,7 @@
                 ahead = max((acting[a][1], member), key=lambda m: m.state.newest.number)
                 low, high = sorted((one, other))
                 barrier = next(
-                    (h.number for h in ahead.state.heads if h.contradicts and low < h.number <= high), 0
+                    (h.number for h in ahead.state.headers if h.contradicts and low < h.number <= high), 0
                 )
                 if barrier:
                     found.add((a, b))
@@ -175,11 +188,11 @@
         self.clients: dict[str, Client] = {}
         self.ids, self.messages, self.bytes = 0, 0, 0
         names = [f"v{n}" for n in range(voters)] + [f"z{n:03}" for n in range(learners)]
-        known = {name: Known(name, "", name[0] == "v") for name in names}
+        known = {name: KnownMember(name, "", name[0] == "v") for name in names}
         self.nodes = {
             name: Node(
                 name,
-                Settings(
+                MemberSettings(
                     name,
                     "",
                     name[0] == "v",
@@ -244,37 +257,37 @@
         member = node.member
         assert member is not None
         life = node.life
-        for todo in member.take():
-            match todo:
-                case Save():
+        for action in member.take_actions():
+            match action:
+                case Persist():
                     if not node.disk.waiting:
                         most = 400 * MS if node.slow_disk else 15 * MS
                         self.after(self.random.randrange(MS, most), lambda: self.flush(node, life))
-                    node.disk.waiting.append(todo)
+                    node.disk.waiting.append(action)
                 case Send():
-                    if todo.after > member.raft.saved_token:
-                        node.held.append(todo)
+                    if action.after_token > member.raft.writes.durable_token:
+                        node.held.append(action)
                     else:
-                        self.send(node, todo)
-                case Load():
-                    number = todo.whole.number
+                        self.send(node, action)
+                case LoadVersion():
+                    number = action.content.number
                     self.after(
                         self.random.randrange(MS, 60 * MS),
                         partial(self.load, node, life, number),
                     )
-                case Examine():
-                    id, why = todo.id, "it is bad" if "bad" in todo.body else ""
+                case ValidateLocally():
+                    id, why = action.id, "it is bad" if "bad" in action.settings else ""
                     self.after(
                         self.random.randrange(MS, 30 * MS),
                         partial(self.examined, node, life, id, why),
                     )
-                case First():
+                case ProposeFirstVersion():
                     self.publish(node, "settings", '{"limits":{"open_requests":500}}', parent=0)
-                case Settled():
-                    client = self.clients.pop(todo.outcome.id, None)
-                    if client is not None and todo.outcome.version:
-                        self.checks.acknowledged[todo.outcome.id] = todo.outcome.version
-                case Reborn():
+                case OutcomeKnown():
+                    client = self.clients.pop(action.outcome.id, None)
+                    if client is not None and action.outcome.version:
+                        self.checks.acknowledged[action.outcome.id] = action.outcome.version
+                case Reincarnate():
                     self.wipe(node)
                     self.boot(node)
                     return
@@ -283,13 +296,13 @@
     def load(self, node: Node, life: int, number: int) -> None:
         def loaded(member: Member) -> None:
             if node.life == life:
-                member.loaded(max(number, member.loaded_version))
+                member.on_loaded(max(number, member.loaded_version))
 
         self.do(node, loaded)
 
     def examined(self, node: Node, life: int, id: str, why: str) -> None:
         if node.life == life:
-            self.do(node, lambda member: member.examined(self.local(node), id, why))
+            self.do(node, lambda member: member.on_validated(self.local(node), id, why))
 
     def flush(self, node: Node, life: int) -> None:
         if node.member is None or node.life != life or not node.disk.waiting:
@@ -299,13 +312,13 @@
             return
         saves, node.disk.waiting = node.disk.waiting, []
         for save in saves:
-            node.disk.durable.keep(save)
+            node.disk.durable.apply(save)
         token = saves[-1].token
-        ready = [send for send in node.held if send.after <= token]
-        node.held = [send for send in node.held if send.after > token]
+        ready = [send for send in node.held if send.after_token <= token]
+        node.held = [send for send in node.held if send.after_token > token]
         for send in ready:
             self.send(node, send)
-        self.do(node, lambda member: member.saved(self.local(node), token))
+        self.do(node, lambda member: member.on_persisted(self.local(node), token))
 
     def send(self, node: Node, send: Send) -> None:
         to = self.nodes.get(send.name)
@@ -363,9 +376,9 @@
         for what in inbox:
             what()
 
-    def publish(self, node: Node, kind: str, body: str, parent: int = -1) -> None:
+    def publish(self, node: Node, kind: VersionKind, body: str, parent: int = -1) -> None:
         self.ids += 1
-        command = Publish(f"p{self.ids}", kind, body, "sim", "", parent, True)  # type: ignore[arg-type]
+        command = ProposeVersion(f"p{self.ids}", kind, body, "sim", "", parent, True)
         self.clients[command.id] = Client(command, node, self.now + 12 * S)
         self.ask(command.id)
 
@@ -374,7 +387,7 @@
         if client is None or self.now > client.until:
             self.clients.pop(id, None)
             return
-        self.do(client.node, lambda member: member.publish(self.local(client.node), client.command))
+        self.do(client.node, lambda member: member.propose(self.local(client.node), client.command))
         self.after(400 * MS, lambda: self.ask(id))
 
     # What is seen
@@ -389,7 +402,7 @@
         for node in self.nodes.values():
             if node.member is None or node.stopped_until > self.now:
                 continue
-            led = led or node.member.raft.leads
+            led = led or node.member.raft.is_leader
             if node.member.may_act(self.local(node)):
                 acting[node.name] = (node.member.loaded_version, node.member)
         self.checks.leaderless_us += 0 if led else SAMPLE_US
@@ -442,7 +455,7 @@
                 if do != "remove" or self.removed_few(other):
                     self.do(node, lambda member: self.change(member, node, other.name, do))
             case _:
-                kind = chance.choice(("settings", "settings", "out", "back"))
+                kind: VersionKind = chance.choice(("settings", "settings", "out", "back"))
                 body = f"box{chance.randrange(4)}"
                 if kind == "settings":
                     bad = ',"bad":1' * (chance.random() < 0.05)
@@ -450,23 +463,24 @@
                 self.publish(node, kind, body)
 
     def change(self, member: Member, node: Node, name: str, do: str) -> None:
-        member.change(self.local(node), name, do)
+        with contextlib.suppress(MembershipChangeError):
+            member.change_members(self.local(node), name, do)
 
     def removed_few(self, node: Node) -> bool:
         """Whether taking it out leaves more than half of the names that vote."""
         if node.name[0] != "v":
             return True
-        barred: set[str] = set().union(*(n.member.state.barred for n in self.nodes.values() if n.member))
+        banned: set[str] = set().union(*(n.member.state.banned for n in self.nodes.values() if n.member))
         voters = [name for name in self.nodes if name[0] == "v"]
-        return len((barred | {node.name}) & set(voters)) <= len(voters) // 2 and self.wiped_few(node)
+        return len((banned | {node.name}) & set(voters)) <= len(voters) // 2 and self.wiped_few(node)
 
     def wiped_few(self, node: Node) -> bool:
         """Whether a majority of the voters would still have all that it has promised."""
-        configs = {n.member.raft.config for n in self.nodes.values() if n.member is not None}
+        configs = {n.member.raft.log.configuration for n in self.nodes.values() if n.member is not None}
         for n in self.nodes.values():
-            configs.add(raft.Raft(n.id, n.disk.durable, 0, self.random).config)
-            for change in n.member.changes if n.member is not None else ():  # it may be agreed any moment
-                if change.do in ("remove", "replace"):
+            configs.add(Raft(n.id, n.disk.durable, 0, self.random).log.configuration)
+            for change in pending_changes(n.member):  # it may be agreed any moment
+                if change.action in ("remove", "replace"):
                     configs |= {tuple(p for p in c if p.name != change.name) for c in tuple(configs)}
         there = {n.id for n in self.nodes.values() if n is not node}
         votings = [{peer.id for peer in config if peer.votes} for config in configs if config]
@@ -508,8 +522,14 @@
         return world
 
 
+def pending_changes(member: Member | None) -> list[MembershipChange]:
+    if member is None or member.leadership is None:
+        return []
+    return member.leadership.changes.pending
+
+
 def leader_of(world: World) -> Node | None:
-    return next((n for n in world.nodes.values() if n.member is not None and n.member.raft.leads), None)
+    return next((n for n in world.nodes.values() if n.member is not None and n.member.raft.is_leader), None)
 
 
 def anything(world: World) -> None:
@@ -611,7 +631,7 @@
 def finish(world: World) -> None:
     """All is well again: everybody acts on the one newest version, and nothing acknowledged is lost."""
     members = [node.member for node in world.nodes.values() if node.member is not None]
-    leaders = [member for member in members if member.raft.leads]
+    leaders = [member for member in members if member.raft.is_leader]
     if len(leaders) != 1:
         world.checks.fail(world.now, f"{len(leaders)} leaders after the calm")
     state = leaders[0].state
@@ -621,8 +641,8 @@
             world.checks.fail(world.now, f"{id} was acknowledged as version {version} and is lost")
     for node in world.nodes.values():
         member = node.member
-        if node.name in state.barred or (
-            member is not None and member.id not in {p.id for p in leaders[0].raft.config}
+        if node.name in state.banned or (
+            member is not None and member.id not in {p.id for p in leaders[0].raft.log.configuration}
         ):
             continue  # taken out
         if (
--- a/tests/consensus/test_framing.py
+++ b/tests/consensus/test_framing.py
@@ -11,28 +11,40 @@
 from badgergap.consensus import persistence
 from badgergap.consensus import framing
 from badgergap.consensus import replicated_state
-from badgergap.consensus.framing import BadFrame, Envelope, Listener, Opening, Talker, open_link, session_key
-from badgergap.consensus.member import Hello, Message, Shout
-from badgergap.consensus.raft import Append, Durable, Entry, Peer, Save, Snapshot
-from badgergap.consensus.replicated_state import Publish, State, Unreadable
+from badgergap.consensus.errors import InvalidFrameError, UnreadableRecordError
+from badgergap.consensus.framing import (
+    Envelope,
+    FrameWriter,
+    LinkOpening,
+    ListenerSession,
+    derive_session_key,
+    encode_opening,
+)
+from badgergap.consensus.log import LogEntry, Peer, Snapshot
+from badgergap.consensus.member_actions import Alert
+from badgergap.consensus.member_messages import Hello, Message
+from badgergap.consensus.persistent_state import Persist, PersistentState
+from badgergap.consensus.raft_messages import AppendEntries
+from badgergap.consensus.replicated_state import GroupState
+from badgergap.consensus.versions import ProposeVersion, StoreComponentState, encode_command
 from tests.consensus.simulation import S, World
 
 KEY, CHALLENGE = b"k" * 32, b"c" * 16
-OPENING = Opening(framing.VERSION, b"n" * 16, "group", "id-a", "a", "b")
+OPENING = LinkOpening(framing.VERSION, b"n" * 16, "group", "id-a", "a", "b")
 MESSAGES: list[Message] = [
     Hello("north", True, ""),
-    Append(3, 1, 1, (Entry(2, 3, "data", b"x" * 300),), 1, 77),
+    AppendEntries(3, 1, 1, (LogEntry(2, 3, "data", b"x" * 300),), 1, 77),
 ]
 
 
 def said() -> bytes:
-    talker = Talker(session_key(KEY, CHALLENGE, OPENING.nonce, b"there"))
-    return open_link(KEY, CHALLENGE, OPENING) + b"".join(talker.frame("id-b", m) for m in MESSAGES)
+    writer = FrameWriter(derive_session_key(KEY, CHALLENGE, OPENING.nonce, b"there"))
+    return encode_opening(KEY, CHALLENGE, OPENING) + b"".join(writer.encode("id-b", m) for m in MESSAGES)
 
 
 def test_frames_come_whole_in_pieces_of_any_size() -> None:
     for size in (1, 7, 100, 10_000):
-        listener, found = Listener(KEY, CHALLENGE), list[Envelope]()
+        listener, found = ListenerSession(KEY, CHALLENGE), list[Envelope]()
         for start in range(0, len(said()), size):
             found += listener.feed(said()[start : start + size])
         assert listener.opening == OPENING
@@ -44,11 +56,11 @@
     for place in range(len(data)):
         changed = bytearray(data)
         changed[place] ^= 0x41
-        listener, found = Listener(KEY, CHALLENGE), list[Envelope]()
+        listener, found = ListenerSession(KEY, CHALLENGE), list[Envelope]()
         try:
             for envelope in listener.feed(bytes(changed)):
                 found.append(envelope)
-        except BadFrame:
+        except InvalidFrameError:
             pass
         assert len(found) < len(MESSAGES) and [e.message for e in found] == MESSAGES[: len(found)]
 
@@ -57,66 +69,66 @@
     ("key", "challenge"), [(b"other" * 5, CHALLENGE), (KEY, b"d" * 16)], ids=["another key", "said elsewhere"]
 )
 def test_an_opening_for_another_link_is_refused(key: bytes, challenge: bytes) -> None:
-    with pytest.raises(BadFrame, match="another key"):
-        list(Listener(key, challenge).feed(said()))
+    with pytest.raises(InvalidFrameError, match="another key"):
+        list(ListenerSession(key, challenge).feed(said()))
 
 
 def test_a_frame_said_again_or_out_of_turn_is_refused() -> None:
-    talker = Talker(session_key(KEY, CHALLENGE, OPENING.nonce, b"there"))
-    first, second = (talker.frame("id-b", message) for message in MESSAGES)
+    writer = FrameWriter(derive_session_key(KEY, CHALLENGE, OPENING.nonce, b"there"))
+    first, second = (writer.encode("id-b", message) for message in MESSAGES)
     for wrong in (first + first, second + first):
-        listener = Listener(KEY, CHALLENGE)
-        list(listener.feed(open_link(KEY, CHALLENGE, OPENING)))
-        with pytest.raises(BadFrame, match="out of turn"):
+        listener = ListenerSession(KEY, CHALLENGE)
+        list(listener.feed(encode_opening(KEY, CHALLENGE, OPENING)))
+        with pytest.raises(InvalidFrameError, match="out of turn"):
             list(listener.feed(wrong))
 
 
 def test_garbage_never_does_more_than_end_a_link() -> None:
     chance = random.Random(1)
     for _ in range(500):
-        listener = Listener(KEY, CHALLENGE)
-        with contextlib.suppress(BadFrame):
+        listener = ListenerSession(KEY, CHALLENGE)
+        with contextlib.suppress(InvalidFrameError):
             assert not list(listener.feed(chance.randbytes(chance.randrange(200))))
         assert len(listener.buffer) <= framing.OPENING_LIMIT + 64
 
 
 def test_saves_come_back_as_they_were_and_later_formats_are_not_guessed() -> None:
     saves = [
-        Save(1, 1, "", None, (), Snapshot(1, 1, (Peer("x", "a"),), b"state")),
-        Save(2, 2, "x", None, (Entry(2, 2, "noop"), Entry(3, 2, "data", b"d"))),
-        Save(3, 3, "", 3, (Entry(3, 3, "data", b"e"),)),
+        Persist(1, 1, "", None, (), Snapshot(1, 1, (Peer("x", "a"),), b"state")),
+        Persist(2, 2, "x", None, (LogEntry(2, 2, "noop"), LogEntry(3, 2, "data", b"d"))),
+        Persist(3, 3, "", 3, (LogEntry(3, 3, "data", b"e"),)),
     ]
-    expected = Durable()
+    expected = PersistentState()
     for save in saves:
-        expected.keep(save)
+        expected.apply(save)
     records = [persistence.encode(save) for save in saves]
     assert persistence.decode(records) == expected
     assert [entry.data for entry in expected.entries] == [b"", b"e"]
     for bad in (msgspec.msgpack.encode([persistence.FORMAT + 1]), b"\xc1", records[0][:-3]):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableRecordError):
             persistence.decode([*records, bad])
 
 
 def test_a_snapshot_brings_the_same_state_and_a_later_one_is_refused() -> None:
-    it = State("g")
+    it = GroupState("g")
     for number in range(5):
         it.apply(
-            replicated_state.encode(
-                Publish(f"p{number}", "out", f"box{number}", "me", "", -1, bool(number % 2))
+            encode_command(
+                ProposeVersion(f"p{number}", "out", f"box{number}", "me", "", -1, bool(number % 2))
             )
         )
-    it.apply(replicated_state.encode(replicated_state.Keep("copies", 1, b"first")))
-    it.apply(replicated_state.encode(replicated_state.Keep("copies", 3, b"not the next one")))
-    other = State()
+    it.apply(encode_command(StoreComponentState("copies", 1, b"first")))
+    it.apply(encode_command(StoreComponentState("copies", 3, b"not the next one")))
+    other = GroupState()
     other.restore(it.snapshot())
-    assert other.rooms == {"copies": (1, b"first")}
+    assert other.components == {"copies": (1, b"first")}
     assert other.snapshot() == it.snapshot() and other.acting.number == it.acting.number == 1
-    again = replicated_state.encode(Publish("p4", "out", "box4", "me", "", -1, False))
+    again = encode_command(ProposeVersion("p4", "out", "box4", "me", "", -1, False))
     outcome = other.apply(again)  # said twice, done once
     assert outcome is not None and outcome.version == 5 and other.newest.number == 5
     kept = msgspec.msgpack.decode(it.snapshot())
-    kept[replicated_state.Kept.__struct_fields__.index("format")] = replicated_state.FORMAT + 1
-    with pytest.raises(Unreadable, match="format 2"):
+    kept[replicated_state.StoredState.__struct_fields__.index("format")] = replicated_state.FORMAT + 1
+    with pytest.raises(UnreadableRecordError, match="format 2"):
         other.restore(msgspec.msgpack.encode(kept))
 
 
@@ -124,13 +136,13 @@
     """An entry of a later program: the members say so and act no more; none skips it."""
     world = World(1, 3)
     world.run(5 * S)
-    leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.leads)
+    leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.is_leader)
     assert leader.member is not None
     shouts: list[str] = []
     for node in world.nodes.values():
         assert node.member is not None and node.member.may_act(world.local(node))
-        out = node.member.out
-        assert not any(isinstance(todo, Shout) for todo in out)
+        actions = node.member.actions
+        assert not any(isinstance(action, Alert) for action in actions)
     leader.member.raft.propose(world.local(leader), "data", msgspec.msgpack.encode(["later", 1]))
     world.settle(leader)
     world.run(world.now + 2 * S)
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from badgergap.consensus.member import Settled, Steer
+from badgergap.consensus.member_actions import OutcomeKnown
+from badgergap.consensus.member_messages import ChangeMembers
 from tests.consensus.guards import GUARDS, Guard
-from tests.consensus.simulation import BOUND_US, S, Node, World, leader_of, play, play_cuts
+from tests.consensus.simulation import BOUND_US, S, Node, World, leader_of, pending_changes, play, play_cuts
 
 
 @pytest.mark.parametrize(
@@ -36,7 +37,7 @@
     for seed in range(12):
         world = World(seed, 3)
         world.run(5 * S)
-        leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.leads)
+        leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.is_leader)
         world.checks.leaderless_us = 0
         world.crash(leader)
         world.run(world.now + 4 * S)
@@ -54,7 +55,7 @@
     assert last.member is not None and last.member.may_act(world.local(last))
     world.run(world.now + 4 * S)
     assert not last.member.may_act(world.local(last))
-    assert last.member.force(world.local(last)) == ""
+    last.member.force_single_member(world.local(last))
     world.settle(last)
     world.run(world.now + 5 * S)
     assert last.member.may_act(world.local(last))
@@ -89,11 +90,11 @@
 
 def steered(world: World, leader: Node, id: str, do: str, name: str) -> tuple[int, str]:
     assert leader.member is not None
-    leader.member.steer(world.local(leader), Steer(id, name, do))
-    (told,) = [todo.outcome for todo in leader.member.out if isinstance(todo, Settled)]
+    leader.member.request_change(world.local(leader), ChangeMembers(id, name, do))
+    (outcome,) = [action.outcome for action in leader.member.actions if isinstance(action, OutcomeKnown)]
     world.settle(leader)
-    assert told.id == id
-    return told.version, told.why
+    assert outcome.id == id
+    return outcome.version, outcome.why
 
 
 def test_a_change_that_is_said_again_is_done_once_and_never_an_error() -> None:
@@ -105,23 +106,23 @@
     it, name = leader.member, next(n for n in world.nodes if n != leader.name)
 
     def voters() -> list[str]:
-        return sorted(peer.name for peer in it.raft.config if peer.votes)
+        return sorted(peer.name for peer in it.raft.log.configuration if peer.votes)
 
     assert steered(world, leader, "out", "remove", name) == (1, "")
     world.run(world.now + 8 * S)
-    assert name not in voters() and name in it.state.barred
+    assert name not in voters() and name in it.state.banned
     assert steered(world, leader, "out", "remove", name) == (1, ""), "it is out already"
     assert steered(world, leader, "out 2", "remove", name) == (0, f"no member is called {name}")
     world.crash(world.nodes[name])
     assert steered(world, leader, "in", "add", name) == (1, "")
     world.run(world.now + S)
-    assert name not in it.state.barred
+    assert name not in it.state.banned
     assert steered(world, leader, "in", "add", name) == (1, ""), "it is let in and not there yet"
     world.boot(world.nodes[name])
     world.run(world.now + 3 * S)
-    assert name not in voters() and name in [peer.name for peer in it.raft.config]
-    assert steered(world, leader, "in", "add", name) == (1, "") and not it.changes, "begun once"
+    assert name not in voters() and name in [peer.name for peer in it.raft.log.configuration]
+    assert steered(world, leader, "in", "add", name) == (1, "") and not pending_changes(it), "begun once"
     for id in ("vote", "vote", "vote again"):
         assert steered(world, leader, id, "add", name) == (1, "")
         world.run(world.now + 3 * S)
-        assert voters() == sorted(world.nodes) and not it.changes
+        assert voters() == sorted(world.nodes) and not pending_changes(it)
