--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -17,7 +17,8 @@
 
 import msgspec
 
-from badgergap.consensus.service import GroupRoom, clock_us
+from badgergap.consensus.clock import clock_us
+from badgergap.consensus.service import GroupService
 from badgergap.replication import replica as keepers
 from badgergap.replication import messages
 from badgergap.replication.replica import Keeper, Options, Shout, Wish
@@ -25,9 +26,10 @@
 from badgergap.replication.messages import Word
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
-from badgergap.storage.record_format import Unusable
-from badgergap.storage.record_log import SIZE_LIMIT, Log
-from badgergap.storage.background_writer import Writer
+from badgergap.storage.errors import DamagedLogError, UnsupportedVersionError
+from badgergap.storage.record_log import RecordLog
+from badgergap.storage.files import SIZE_LIMIT
+from badgergap.storage.background_writer import BackgroundWriter
 
 log = logging.getLogger(__name__)
 
@@ -47,14 +49,14 @@
 class CopiesRoom:
     """Raises OSError at the start where its folder cannot be used."""
 
-    def __init__(self, group: GroupRoom, read: Callable[[], Options], folder: Path) -> None:
+    def __init__(self, group: GroupService, read: Callable[[], Options], folder: Path) -> None:
         """`read` gives what the operator file says now; raises ConfigError."""
         self.group, self.read, self.folder = group, read, folder
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.keeper: Keeper | None = None
-        self.log: Log | None = None
-        self.writer: Writer | None = None
+        self.log: RecordLog | None = None
+        self.writer: BackgroundWriter | None = None
         self.life = 0  # of the keeper: a word of the disk to an earlier one is none to this one
         self.held: deque[keepers.Send] = deque()
         self.outgoing: dict[str, list[Word]] = defaultdict(list)
@@ -68,7 +70,7 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
-        self.group.guests[ROOM] = self
+        self.group.components[ROOM] = self
 
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -103,13 +105,13 @@
 
     def _open(self) -> list[bytes]:
         """Off the loop. Raises OSError."""
-        self.log = Log(self.folder)
+        self.log = RecordLog(self.folder)
         try:
             found = self.log.open()
-        except Unusable as error:
+        except UnsupportedVersionError as error:
             raise OSError(None, f"the copies in {self.folder}: {error}") from None
-        if found.lost:
-            self._say(f"{found.lost}: what was kept here is gone, and is filled again from the others")
+        if found.lost_reason:
+            self._say(f"{found.lost_reason}: what was kept here is gone, and is filled again from the others")
         return found.records
 
     def _begin(self, lines: list[bytes]) -> None:
@@ -126,13 +128,13 @@
                 self.keeper.reopen(holder, lines)
         except msgspec.MsgspecError as error:
             raise OSError(None, f"the copies in {self.folder} are of a later program: {error}") from None
-        self.writer = Writer(
+        self.writer = BackgroundWriter(
             self.log,
             self.loop,
             lambda token: self._durable(life, token),
             lambda why: self._failed(life, why),
         )
-        self.agreed()
+        self.on_group_changed()
 
     def _durable(self, life: int, token: int) -> None:
         if life != self.life or self.keeper is None:
@@ -173,7 +175,7 @@
         shelf = self.keeper.shelf
         if self.log.length > min(GROWN_BYTES + GROWN_SHARE * shelf.stored, FULL_BYTES) and not self.rewriting:
             self.rewriting = True
-            self.writer.write(save.token, list(shelf.lines()), anew=True)
+            self.writer.write(save.token, list(shelf.lines()), replace_all=True)
             assert self.loop is not None
             self.loop.call_later(1.0, self._rewritten)
 
@@ -185,19 +187,22 @@
             if it is None or writer is None or held is None or it.broken:
                 continue
             try:
-                damage = await asyncio.to_thread(held.look)
+                await asyncio.to_thread(held.verify)
+                damage = ""
+            except DamagedLogError as error:
+                damage = str(error)
             except OSError as error:
                 damage = error.strerror or str(error)
             if damage and held is self.log and not it.broken:
                 self._say(f"copies: the log on disk is damaged ({damage}), and is written anew")
-                writer.write(it.token, list(it.shelf.lines()), anew=True)
+                writer.write(it.token, list(it.shelf.lines()), replace_all=True)
 
     def _rewritten(self) -> None:
         self.rewriting = False
 
     # The keeper
 
-    def heard(self, name: str, data: bytes) -> None:
+    def on_message(self, name: str, data: bytes) -> None:
         if self.keeper is None:
             return
         try:
@@ -218,18 +223,18 @@
         except Exception:
             log.exception("failed on a word on copies from %s", name)
 
-    def agreed(self) -> None:
+    def on_group_changed(self) -> None:
         it = self.keeper
         if it is None:
             return
-        number, data = self.group.word(TIME)
+        number, data = self.group.component_state(TIME)
         if number > it.clock.number:
             it.ticked(clock_us(), number, data)
-        number, data = self.group.word(ROOM)
+        number, data = self.group.component_state(ROOM)
         if number > it.number:
             it.agreed(clock_us(), number, data)
 
-    def against(self, name: str) -> str:
+    def removal_objection(self, name: str) -> str:
         it = self.keeper
         if it is None or it.placement.before is None:
             return ""
@@ -244,8 +249,8 @@
                 now = clock_us()
                 try:
                     if member is not None:
-                        names = {peer.name for peer in member.raft.config}
-                        it.led_by(now, member.leader_name, member.raft.settled, names)
+                        names = {peer.name for peer in member.raft.log.configuration}
+                        it.led_by(now, member.leader_name, member.raft.is_established_leader, names)
                     it.tick(now)
                     self.settle()
                 except Exception:
@@ -269,7 +274,9 @@
                     else:
                         self._send(todo)
                 case Wish():
-                    self.group.keep(TIME if todo.kind == "time" else ROOM, todo.number, todo.data)
+                    self.group.store_component_state(
+                        TIME if todo.kind == "time" else ROOM, todo.number, todo.data
+                    )
                 case Shout():
                     self._say(todo.text)
 
@@ -303,7 +310,7 @@
             self._frames(name, said[:half])
             self._frames(name, said[half:])
         else:
-            self.group.pass_on(name, ROOM, data)
+            self.group.send_to_component(name, ROOM, data)
 
     def _say(self, text: str) -> None:
         log.warning("%s", text)
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -17,13 +17,15 @@
 from badgergap.consensus import endpoint_lists
 from badgergap.consensus import replicated_state
 from badgergap.consensus.persistence import decode
-from badgergap.consensus.raft import Durable, Entry, Peer, Snapshot
+from badgergap.consensus.log import LogEntry, Peer, Snapshot
+from badgergap.consensus.persistent_state import PersistentState
 from badgergap.replication import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.hot_restart import state_transfer
 from badgergap.balancing.interface import EndpointListKind
-from badgergap.storage.record_log import Log, System
+from badgergap.storage.files import LocalFiles
+from badgergap.storage.record_log import RecordLog
 from tests.helpers import Driver
 from tests.balancing.test_manual_drains import COLD
 from tests.hot_restart.test_state_transfer import worked
@@ -65,23 +67,25 @@
 )
 
 
-class SameFile(System):
+class SameFile(LocalFiles):
     """The system's files, but a copy passes for the file that it is a copy of."""
 
-    def birth(self, file: int) -> int:
+    def file_id(self, file: int) -> int:
         return FILE_IDENTITY
 
 
 def test_a_consensus_log_is_read_and_written_anew_as_it_was(tmp_path: Path) -> None:
     folder = tmp_path / "log"
     shutil.copytree(DATA / "consensus_log", folder)
-    log = Log(folder, SameFile())
+    log = RecordLog(folder, SameFile())
     found = log.open()
     log.close()
-    assert (found.lost, found.fresh, found.torn) == ("", False, 0)
+    assert (found.lost_reason, found.is_new, found.torn_bytes) == ("", False, 0)
     peers = (Peer("id-1", "g1", "z", True), Peer("id-2", "g2", "", False))
-    entries = [Entry(3, 2, "data", b"x"), Entry(4, 3, "noop")]
-    expected = Durable(term=3, vote="id-2", snapshot=Snapshot(2, 1, peers, b"state"), entries=entries)
+    entries = [LogEntry(3, 2, "data", b"x"), LogEntry(4, 3, "noop")]
+    expected = PersistentState(
+        term=3, voted_for="id-2", snapshot=Snapshot(2, 1, peers, b"state"), entries=entries
+    )
     assert decode(found.records) == expected
     for name in ("log", "mark"):
         assert (folder / name).read_bytes() == (DATA / "consensus_log_reopened" / name).read_bytes()
@@ -89,7 +93,7 @@
 
 def test_a_group_state_in_a_snapshot_is_read_and_written_anew_as_it_was() -> None:
     written = (DATA / "group_state.bin").read_bytes()
-    group = replicated_state.State()
+    group = replicated_state.GroupState()
     group.restore(written)
     assert group.newest.number == 3 and group.newest.out == {"box-1": "anna"}
     assert group.snapshot() == written
