--- a/badgergap/admin/figures.py
+++ b/badgergap/admin/figures.py
@@ -85,7 +85,7 @@
         self.seconds += [Seconds(SPAN_S + 1, KINDS) for _ in range(more)]
         self.usual_us += [0.0] * more
 
-    def answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int = 0) -> None:
+    def on_answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int = 0) -> None:
         if status < 500 and status != 429:
             kind = IN_TIME if took_us <= self.classes[klass][1] else LATE
             usual_us = self.usual_us[klass]
@@ -94,7 +94,7 @@
             kind = REFUSED if status in (429, 503) else FAILED
         self._count(now_us, klass, tenant, kind)
 
-    def left(self, now_us: int, klass: int, tenant: int = 0) -> None:
+    def on_client_left(self, now_us: int, klass: int, tenant: int = 0) -> None:
         self._count(now_us, klass, tenant, LEFT)
 
     def _count(self, now_us: int, klass: int, tenant: int, kind: int) -> None:
@@ -105,7 +105,7 @@
                 seconds = self.by_tenant[tenant] = Seconds(SPAN_S + 1, KINDS)
             seconds.add(now_us // 1_000_000, kind)
 
-    def attempted(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
+    def on_attempt_ended(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
         if outcome in (Outcome.NEVER_SENT, Outcome.CANCELLED):
             return  # says nothing of the box
         box = self.boxes.get(server)
--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -249,7 +249,7 @@
             numbers = [host.entry.listed.endpoint_id for host in seen]
             hosts += seen
             servers += proxy.balancer.look(now_us, numbers)
-            connecting |= proxy.upstream.connecting()
+            connecting |= proxy.upstream.connecting_counts()
             if proxy is not self.proxy:
                 pools |= dict.fromkeys(numbers, pool)
         return self.boxes.views(now_us, hosts, servers, connecting, self.figures, pools)
--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -37,14 +37,14 @@
     StreamReset,
 )
 
-from badgergap.proxy.proxy import Books
+from badgergap.proxy.proxy import AttemptListener
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
-from badgergap.proxy.upstream.connection_pool import Answer, Host, Upstream
+from badgergap.proxy.upstream.connection_pool import Answer, Endpoint, Upstream
 from badgergap.h3.driver import Driver, Sender
 from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
 from badgergap.balancing.interface import Outcome
 from badgergap.proxy.header_fields import BadHead, ForBox, answer_headers, trailers
-from badgergap.proxy.upstream.stream_attempt import NO_BODY, Tried, Wanted, outcome_of
+from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
 
 LINKS = 4
 TRIES = 1000
@@ -53,14 +53,27 @@
 SWEEP_S = 0.5
 
 
-class BoxTry(Tried):
+class BoxTry(StreamAttempt):
     """One try of a request, over HTTP/3."""
 
-    __slots__ = ("answer", "chunks", "got", "held", "host", "interim", "link", "outcome", "size", "stream")
-
-    def __init__(self, wanted: Wanted, books: Books, loop: asyncio.AbstractEventLoop, host: Host) -> None:
-        super().__init__(wanted, books, loop)
-        self.host = host
+    __slots__ = (
+        "answer",
+        "chunks",
+        "endpoint",
+        "got",
+        "held",
+        "interim",
+        "link",
+        "outcome",
+        "size",
+        "stream",
+    )
+
+    def __init__(
+        self, spec: ExchangeSpec, listener: AttemptListener, loop: asyncio.AbstractEventLoop, host: Endpoint
+    ) -> None:
+        super().__init__(spec, listener, loop)
+        self.endpoint = host
         self.link: BoxLink | None = None
         self.stream = -1  # until its connection is there
         self.interim = self.size = self.got = 0
@@ -84,7 +97,7 @@
     # The request
 
     def begin_request(self, link: BoxLink) -> None:
-        wanted, head = self.wanted, self.wanted.head
+        spec, head = self.spec, self.spec.head
         assert isinstance(head, ForBox)  # this room carries ordinary requests only
         fields = [
             (b":method", head.method),
@@ -95,52 +108,52 @@
         ]
         if head.says_length and head.length is not None:
             fields.append((b"content-length", b"%d" % head.length))
-        held = wanted.upload.attach(self, self.committed)
-        if wanted.expects and not wanted.upload.size and not wanted.upload.complete:
+        held = spec.upload.attach(self, self.commit)
+        if spec.expects_continue and not spec.upload.size and not spec.upload.complete:
             fields.append((b"expect", b"100-continue"))
-            self.expect()
-        whole = wanted.upload.complete
-        self.began_at = self.last_at = self.loop.time()
+            self.await_continue()
+        whole = spec.upload.complete
+        self.sent_at = self.progress_at = self.loop.time()
         link.http.send_headers(self.stream, fields, end_stream=whole and not held)
         if held:
             link.http.send_data(self.stream, held, whole)
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         if self.link is not None and data:
-            self.last_at = self.loop.time()
+            self.progress_at = self.loop.time()
             self.link.http.send_data(self.stream, data, False)
             self.link.soon()
-            if self.link.quic.unsent(self.stream) > BUFFER and not self.stuck:
-                self.stuck = True
-                self.wanted.upload.pace(False)
+            if self.link.quic.unsent(self.stream) > BUFFER and not self.write_blocked:
+                self.write_blocked = True
+                self.spec.upload.pace(False)
 
-    def no_more(self, fields: Headers) -> None:
+    def end_body(self, fields: Headers) -> None:
         if self.link is not None:
             if fields:
                 self.link.http.send_headers(self.stream, fields, True)
             else:
                 self.link.http.send_data(self.stream, b"", True)
             self.link.soon()
-        self.began_at = self.last_at = self.loop.time()
+        self.sent_at = self.progress_at = self.loop.time()
 
     def check_room(self) -> None:
-        if self.link is not None and self.stuck and self.link.quic.unsent(self.stream) <= BUFFER // 2:
-            self.stuck = False
-            self.last_at = self.loop.time()
-            self.wanted.upload.pace(True)
+        if self.link is not None and self.write_blocked and self.link.quic.unsent(self.stream) <= BUFFER // 2:
+            self.write_blocked = False
+            self.progress_at = self.loop.time()
+            self.spec.upload.pace(True)
 
     # The answer
 
     def flow(self, on: bool) -> None:
-        self.paused = not on
-        self.last_at = self.loop.time()
+        self.client_paused = not on
+        self.progress_at = self.loop.time()
         if self.link is not None:
             (self.link.held.discard if on else self.link.held.add)(self.stream)
             self.link.soon()
 
     def on_headers(self, headers: Headers, ended: bool) -> None:
         """Raises BadHead."""
-        self.last_at = self.loop.time()
+        self.progress_at = self.loop.time()
         if self.held is not None:
             self.whole_answer(trailers(headers))
             return
@@ -151,38 +164,38 @@
             if self.interim > INTERIM_LIMIT or status == 101:
                 raise BadHead("too many interim answers, or one that HTTP/3 does not have")
             if status == 100:
-                self.go_on()
+                self.on_continue()
             else:
-                self.wanted.download.interim(status, answer_headers(rest))
+                self.spec.download.interim(status, answer_headers(rest))
             return
         lengths = {value for name, value in rest if name == b"content-length"}
         if len(lengths) > 1 or not all(value.isdigit() and len(value) < 19 for value in lengths):
             raise BadHead("an answer of ambiguous length")
-        has_body = not (self.wanted.is_head or status in NO_BODY)
+        has_body = not (self.spec.is_head or status in NO_BODY)
         length = int(lengths.pop()) if lengths else (0 if ended and has_body else None)
         self.held = head = AnswerHead(status, answer_headers(rest), length, has_body)
-        self.outcome = outcome_of(status, rest, self.wanted.failing)
+        self.outcome = outcome_of(status, rest, self.spec.is_failure)
         if self.outcome is Outcome.SUCCESS:
-            self.begin(head)
+            self.start_response(head)
         else:
             self.answer = Answer(status, head.headers)
         if ended:
             self.whole_answer([])
 
     def on_data(self, data: bytes, ended: bool) -> None:
-        self.last_at = self.loop.time()
+        self.progress_at = self.loop.time()
         if self.held is None or self.done:
             return
         self.got += len(data)
-        if self.begun:
-            self.wanted.download.data(data)
+        if self.response_started:
+            self.spec.download.data(data)
         elif data:
             self.size += len(data)
             self.chunks.append(data)
             if self.size > HOLD:
-                self.begin(self.held)
+                self.start_response(self.held)
                 for chunk in self.chunks:
-                    self.wanted.download.data(chunk)
+                    self.spec.download.data(chunk)
                 self.chunks = []
         if ended and not self.done:
             self.whole_answer([])
@@ -191,9 +204,9 @@
         head = self.held
         if head is not None and head.has_body and head.length is not None and head.length != self.got:
             raise BadHead("an answer of another length than it says")
-        self.whole = True
-        if self.begun:
-            self.wanted.download.end(fields)
+        self.response_complete = True
+        if self.response_started:
+            self.spec.download.end(fields)
             self.end(self.outcome)
         else:
             if self.answer is not None:
@@ -209,9 +222,9 @@
 class BoxLink(Driver):
     """One connection to a box."""
 
-    def __init__(self, boxes: Boxes, host: Host) -> None:
+    def __init__(self, boxes: Boxes, host: Endpoint) -> None:
         upstream = boxes.upstream
-        self.boxes, self.host = boxes, host
+        self.boxes, self.endpoint = boxes, host
         self.name: bytes = (upstream.tls_name or host.address[0]).encode()
         assert upstream.authority is not None
         self.quic: ClientConnection = ClientConnection(
@@ -249,7 +262,7 @@
         """Begin what may begin: the handshake is over, the box has room, and the host may be sent to."""
         while self.shaken and not self.gone and self.waiting and self.quic.streams_left > 0:
             each = self.waiting.pop(0)
-            if each.unwanted or not self.boxes.upstream.may_send(self.host):
+            if each.unwanted or not self.boxes.upstream.may_send(self.endpoint):
                 each.link = None
                 # Guards against a drain, or the end of its request, that came while it waited.
                 each.never_sent()
@@ -313,7 +326,7 @@
         each = self.tries.get(stream)
         if each is None or (only_request and code == ErrorCode.H3_NO_ERROR):
             return  # it wants no more of the request, and its answer comes all the same
-        if code == ErrorCode.H3_REQUEST_REJECTED and not each.begun:
+        if code == ErrorCode.H3_REQUEST_REJECTED and not each.response_started:
             each.never_ran()
         else:
             each.lost()
@@ -321,7 +334,7 @@
     def on_goaway(self, first: int) -> None:
         self.closed = True
         for each in [*self.waiting, *(t for t in self.tries.values() if t.stream >= first)]:
-            if not each.begun:
+            if not each.response_started:
                 each.never_ran()
 
     # Ends
@@ -331,11 +344,11 @@
             self.waiting.remove(each)
         if self.tries.pop(each.stream, None) is not None:
             self.held.discard(each.stream)
-            if timed_out and self.heard_at <= each.began_at:
+            if timed_out and self.heard_at <= each.sent_at:
                 self.closed = True
-            if not each.whole:
+            if not each.response_complete:
                 self.http.reset(each.stream, ErrorCode.H3_REQUEST_CANCELLED)
-            elif not each.wanted.upload.complete:
+            elif not each.spec.upload.complete:
                 self.quic.reset_stream(each.stream, ErrorCode.H3_NO_ERROR)
         elif timed_out and not self.shaken:
             self.closed = True
@@ -373,15 +386,17 @@
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
-        self.links: dict[Host, list[BoxLink]] = {}
+        self.links: dict[Endpoint, list[BoxLink]] = {}
         self.by_id: dict[bytes, BoxLink] = {}
         self.sockets: dict[bool, asyncio.DatagramTransport] = {}  # by whether it is IPv6
         self.opening: set[asyncio.Task[None]] = set()
         self.sweeping: asyncio.TimerHandle | None = None
 
-    def carry(self, host: Host, timeout_s: float, wanted: Wanted, books: Books) -> BoxTry:
+    def carry(
+        self, host: Endpoint, timeout_s: float, spec: ExchangeSpec, listener: AttemptListener
+    ) -> BoxTry:
         loop = self.upstream.loop
-        each = BoxTry(wanted, books, loop, host)
+        each = BoxTry(spec, listener, loop, host)
         if not self.upstream.may_send(host) or self.upstream.authority is None:
             loop.call_soon(each.never_sent)
             return each
@@ -414,10 +429,10 @@
         """On a connection that has room, else on a new one, else on the one that has least to do."""
         if each.done:
             return
-        links = self.links.setdefault(each.host, [])
+        links = self.links.setdefault(each.endpoint, [])
         link = next((link for link in links if link.room), None)
         if link is None and len(links) < LINKS:
-            link = BoxLink(self, each.host)
+            link = BoxLink(self, each.endpoint)
             links.append(link)
         if link is None:
             able = [link for link in links if not link.closed and len(link.waiting) < TRIES]
@@ -443,11 +458,11 @@
                 each.lost()
 
     def forget(self, link: BoxLink) -> None:
-        links = self.links.get(link.host, [])
+        links = self.links.get(link.endpoint, [])
         if link in links:
             links.remove(link)
         if not links:
-            self.links.pop(link.host, None)
+            self.links.pop(link.endpoint, None)
         for each in [each for each, owner in self.by_id.items() if owner is link]:
             del self.by_id[each]
 
@@ -457,9 +472,9 @@
         for link in [link for links in self.links.values() for link in links]:
             if not link.shaken and now - link.born > upstream.connect_timeout_s:
                 link.lost()
-            elif not link.tries and not link.waiting and (link.closed or link.host.stop_at is not None):
+            elif not link.tries and not link.waiting and (link.closed or link.endpoint.stop_at is not None):
                 link.close()
-            elif not upstream.may_send(link.host):
+            elif not upstream.may_send(link.endpoint):
                 for each in [t for t in [*link.waiting, *link.tries.values()] if not t.written]:
                     each.never_sent()  # nothing of it has left yet: nor shall it
         self.sweeping = upstream.loop.call_later(SWEEP_S, self.sweep)
@@ -476,21 +491,21 @@
 class Carrier3:
     """HTTP/3 for the boxes that speak it, whatever carries the others."""
 
-    def __init__(self, other: Callable[..., Tried]) -> None:
+    def __init__(self, other: Callable[..., StreamAttempt]) -> None:
         self.other = other
         self.boxes: dict[Upstream, Boxes] = {}
 
     def __call__(
-        self, upstream: Upstream, server: int, timeout_s: float, wanted: Wanted, books: Books
-    ) -> Tried:
-        host = upstream.hosts.get(server)
+        self, upstream: Upstream, server: int, timeout_s: float, spec: ExchangeSpec, listener: AttemptListener
+    ) -> StreamAttempt:
+        host = upstream.endpoints.get(server)
         if host is None or host.protocol != "h3":
-            return self.other(upstream, server, timeout_s, wanted, books)
+            return self.other(upstream, server, timeout_s, spec, listener)
         boxes = self.boxes.get(upstream)
         if boxes is None:
             boxes = self.boxes[upstream] = Boxes(upstream)
             upstream.on_close.append(partial(self.closed, upstream))
-        return boxes.carry(host, timeout_s, wanted, books)
+        return boxes.carry(host, timeout_s, spec, listener)
 
     def closed(self, upstream: Upstream) -> None:
         """A pool has ended."""
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -207,7 +207,7 @@
             return [
                 name
                 for name, hosts in had.items()
-                if hosts and name in there and not there[name].upstream.hosts
+                if hosts and name in there and not there[name].upstream.endpoints
             ]
 
         while lacking() and self.loop.time() < until:
@@ -249,7 +249,7 @@
         self.told_holds = holds
         clients, hosts = holds
         self.downstream.elsewhere = clients + (OTHERS_OWN if self.before is not None else 0)
-        self.proxy.upstream.elsewhere = hosts
+        self.proxy.upstream.connections_elsewhere = hosts
 
     # As the old one
 
@@ -321,7 +321,7 @@
             learnt=proxy.balancer.snapshot(),
             pools={name: p.balancer.snapshot() for name, p in self.proxies().items() if name != MAIN},
             classes=proxy.filed.names.classes,
-            hosts={name: len(p.upstream.hosts) for name, p in self.proxies().items()},
+            hosts={name: len(p.upstream.endpoints) for name, p in self.proxies().items()},
         )
 
     def give_way(self, link: Link) -> None:
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -67,7 +67,7 @@
     def flow(self, on: bool) -> None:
         self.shared.run(self.shared.group.flow(self.number, on))
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """A read says nothing more."""
 
     def client_left(self) -> None:
@@ -164,7 +164,7 @@
         if proxy.observer is not None and not seat.first:
             took_us = int((self.joins.loop.time() - seat.came_at) * 1e6)
             now_us = proxy.clock.now_us()
-            proxy.observer.answered(now_us, self.way.klass, status, took_us, self.way.tenant[0])
+            proxy.observer.on_answered(now_us, self.way.klass, status, took_us, self.way.tenant[0])
 
     # The group's request: a Client
 
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from badgergap.proxy.proxy import Asked, Books, Launch, Proxy, Request, plain
+from badgergap.proxy.proxy import RequestSpec, AttemptListener, Launch, Proxy, Request, plain
 from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.upstream.stream_attempt import Client, Tried, Wanted, is_early
+from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt, ExchangeSpec, is_early
 from badgergap.proxy.upstream.connection_pool import Exchange, Upstream
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 
@@ -31,8 +31,8 @@
     """Has a request carried to a host, which has so many seconds to begin its answer."""
 
     def __call__(
-        self, upstream: Upstream, server: int, timeout_s: float, wanted: Wanted, books: Books
-    ) -> Tried: ...
+        self, upstream: Upstream, server: int, timeout_s: float, spec: ExchangeSpec, listener: AttemptListener
+    ) -> StreamAttempt: ...
 
 
 @dataclass(slots=True)
@@ -101,8 +101,8 @@
         upstream: Upstream,
         server: int,
         timeout_s: float,
-        books: Books,
-        begin: Callable[[float, Books], Tried],
+        books: AttemptListener,
+        begin: Callable[[float, AttemptListener], StreamAttempt],
     ) -> Exchange:
         """`begin` sends it, with so many seconds left."""
 
@@ -113,7 +113,7 @@
     loop: asyncio.AbstractEventLoop
     carry: Carry
 
-    def asked(self, turn: Turn, launch: Launch, again: Callable[[], None]) -> Asked:
+    def asked(self, turn: Turn, launch: Launch, again: Callable[[], None]) -> RequestSpec:
         """What the proxy is asked. `again` is called, later, once the way leads to the spare pool."""
 
 
@@ -129,7 +129,7 @@
     began_at: float = 0.0  # of its body
     request: Request | None = None
     source: DownloadSource | None = None  # once an answer is passed on
-    exchange: Tried | None = None  # the newest
+    exchange: StreamAttempt | None = None  # the newest
     client: Client | None = None
     ways: Guide | None = None
     joined: Joined | None = None
@@ -165,26 +165,26 @@
         if request is not None and client.open:
             self.request = request
 
-    def launch(self, upstream: Upstream, server: int, timeout_s: float, books: Books) -> Exchange:
+    def launch(self, upstream: Upstream, server: int, timeout_s: float, books: AttemptListener) -> Exchange:
         way, ways, client = self.way, self.ways, self.client
         assert way is not None and ways is not None and client is not None
         head = request_for_box(self, way.path, way.query, way.host, self.peer, self.number, way.tenant[1])
-        wanted = Wanted(
+        wanted = ExchangeSpec(
             head=head,
             upload=self.upload,
             download=client,
             is_head=self.method == b"HEAD",
             chunked=self.length is None,
-            upgrade=self.upgrade,
-            failing=way.failing,
-            expects=self.expects,
+            allows_upgrade=self.upgrade,
+            is_failure=way.failing,
+            expects_continue=self.expects,
         )
         if is_early(self.exchange, self.upload):
-            second = Exchange(b"", books.ended)
+            second = Exchange(b"", books.on_ended)
             ways.loop.call_soon(second.never_sent)
             return second
 
-        def begin(left_s: float, told: Books) -> Tried:
+        def begin(left_s: float, told: AttemptListener) -> StreamAttempt:
             self.exchange = ways.carry(upstream, server, left_s, wanted, told)
             return self.exchange
 
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from badgergap.proxy.pools import Pools
-from badgergap.proxy.proxy import Asked, Launch, Proxy, plain, refused
+from badgergap.proxy.proxy import RequestSpec, Launch, Proxy, plain, refused
 from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.ordinary.heads import request_id
@@ -107,7 +107,7 @@
             return None
         return partial(self.joins.wrote, turn.way.proxy)
 
-    def asked(self, turn: Turn, launch: Launch, again: Callable[[], None]) -> Asked:
+    def asked(self, turn: Turn, launch: Launch, again: Callable[[], None]) -> RequestSpec:
         """What the proxy is asked. `again` is called, later, once the way leads to the spare pool."""
         way = turn.way
         assert way is not None
@@ -125,16 +125,16 @@
             self.loop.call_soon(again)
             return True
 
-        return Asked(
-            klass=way.klass,
-            timeout_us=way.answer_us,
+        return RequestSpec(
+            request_class=way.klass,
+            client_timeout_us=way.answer_us,
             waited_us=int((now - way.began_at) * 1e6),
             method=turn.method,
             target=way.path,
             headers=b"",
             launch=launch,
             tenant=way.tenant[0],
-            only=way.only,
-            elsewhere=elsewhere if way.spare is not None else None,
-            answered=self.wrote(turn),
+            allowed_endpoints=way.only,
+            offer_elsewhere=elsewhere if way.spare is not None else None,
+            on_answered=self.wrote(turn),
         )
--- a/badgergap/proxy/body_streams.py
+++ b/badgergap/proxy/body_streams.py
@@ -24,11 +24,11 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class UploadTaker(Protocol):
+class UploadReceiver(Protocol):
     """The host's side of a request: takes what comes after the first lot."""
 
-    def more(self, data: bytes) -> None: ...
-    def no_more(self, trailers: Headers) -> None: ...
+    def send_body(self, data: bytes) -> None: ...
+    def end_body(self, trailers: Headers) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -42,9 +42,9 @@
     held: list[bytes] = field(default_factory=list)
     is_held: bool = True  # all that has come: it can be sent again
     complete: bool = False
-    waits: bool = False  # its taker has yet to say that it wants the body (100-continue)
+    awaits_continue: bool = False  # its taker has yet to say that it wants the body (100-continue)
     trailers: Headers = field(default_factory=list)
-    taker: UploadTaker | None = None
+    receiver: UploadReceiver | None = None
     on_ready: Callable[[], None] | None = None  # called once, when rule 2 is met
     on_drop: Callable[[], None] | None = None  # called when the hold is dropped: the attempt is the last
 
@@ -54,37 +54,37 @@
 
     def put(self, data: bytes) -> None:
         self.size += len(data)
-        if self.waits:
+        if self.awaits_continue:
             self.held.append(data)
             if self.size >= self.hold:
                 self.flow(False)
             return
         if not self.is_held:
-            if self.taker is not None:
-                self.taker.more(data)
+            if self.receiver is not None:
+                self.receiver.send_body(data)
             return
-        if self.taker is not None and self.size > self.hold:
+        if self.receiver is not None and self.size > self.hold:
             self.is_held = False
             self.held.clear()
             if self.on_drop is not None:
                 self.on_drop()
             # The drop may have ended the attempt.
-            if self.taker is not None:
-                self.taker.more(data)
+            if self.receiver is not None:
+                self.receiver.send_body(data)
             return
         self.held.append(data)
-        if self.size >= self.hold and self.taker is None:
+        if self.size >= self.hold and self.receiver is None:
             self.flow(False)  # until a host takes it
-        self._tell_ready()
+        self._notify_if_ready()
 
     def end(self, trailers: Headers) -> None:
         self.complete, self.trailers = True, trailers
         self.flow(True)  # nothing more of it is to come that could be held back
-        if self.taker is not None and not self.waits:
-            self.taker.no_more(trailers)
-        self._tell_ready()
+        if self.receiver is not None and not self.awaits_continue:
+            self.receiver.end_body(trailers)
+        self._notify_if_ready()
 
-    def _tell_ready(self) -> None:
+    def _notify_if_ready(self) -> None:
         if self.ready and self.on_ready is not None:
             ready, self.on_ready = self.on_ready, None
             ready()
@@ -94,33 +94,33 @@
         if not self.complete:
             self.flow(on)
 
-    def attach(self, taker: UploadTaker, on_drop: Callable[[], None]) -> bytes:
+    def attach(self, taker: UploadReceiver, on_drop: Callable[[], None]) -> bytes:
         """A host's side takes over: what is held, to be sent now. The rest comes by `more`."""
-        self.taker, self.on_drop = taker, on_drop
+        self.receiver, self.on_drop = taker, on_drop
         self.flow(True)
         return b"".join(self.held)
 
     def release(self) -> None:
         """The taker wants the body: what has come meanwhile goes to it, and nothing is held any more."""
-        self.waits = self.is_held = False
+        self.awaits_continue = self.is_held = False
         data = b"".join(self.held)
         self.held.clear()
-        if self.taker is not None and data:
-            self.taker.more(data)
-        if self.taker is not None and self.complete:
-            self.taker.no_more(self.trailers)
+        if self.receiver is not None and data:
+            self.receiver.send_body(data)
+        if self.receiver is not None and self.complete:
+            self.receiver.end_body(self.trailers)
         self.flow(True)
 
-    def let_go(self) -> None:
+    def discard(self) -> None:
         """Nobody will want it again."""
         self.is_held = False
         self.held.clear()
 
-    def detach(self, taker: UploadTaker) -> None:
+    def detach(self, taker: UploadReceiver) -> None:
         """That side takes no more. What is held stays, for another."""
-        if self.taker is taker:
-            self.taker = self.on_drop = None
-            self.waits = False
+        if self.receiver is taker:
+            self.receiver = self.on_drop = None
+            self.awaits_continue = False
             self.flow(self.complete or not self.is_held or self.size < self.hold)
 
 
@@ -162,7 +162,7 @@
     def flow(self, on: bool) -> None:
         """The client takes no more, or takes it again."""
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Of a tunnel: what the client sends."""
 
     def client_left(self) -> None:
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -26,14 +26,14 @@
 from badgergap.proxy.lifecycle.lame_duck import LOOK_S, Fate, LameDuck
 from badgergap.proxy.proxy import (
     RETRY_AFTER,
-    Books,
+    AttemptListener,
     Proxy,
     Request,
     plain,
     refused,
 )
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.proxy.upstream.stream_attempt import Tried, Wanted, is_early
+from badgergap.proxy.upstream.stream_attempt import StreamAttempt, ExchangeSpec, is_early
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
 
 log = logging.getLogger(__name__)
@@ -109,7 +109,7 @@
     refusal: BadRequest | None = None  # what it is answered in its turn, without a look at the rest
     request_id: bytes = b""  # once it is among the open ones
     lines: bytes = b""  # of its head, as a host is to hear them
-    exchange: Tried | None = None  # the newest
+    exchange: StreamAttempt | None = None  # the newest
     source: DownloadSource | None = None  # once an answer is passed on
     chunked: bool = False  # how that is framed
     last: bool = False  # the connection ends with its answer
@@ -477,12 +477,12 @@
             self.request = request
 
     def launch(
-        self, incoming: Incoming, upstream: Upstream, server: int, timeout_s: float, books: Books
+        self, incoming: Incoming, upstream: Upstream, server: int, timeout_s: float, books: AttemptListener
     ) -> Exchange:
         """One try at a host."""
         upload = incoming.upload
         if is_early(incoming.exchange, upload) or self.has_left():
-            second = Exchange(b"", books.ended)
+            second = Exchange(b"", books.on_ended)
             self.loop.call_soon(second.never_sent)
             return second
         length = upload.size if upload.complete else incoming.length
@@ -491,17 +491,17 @@
             lines += b"Transfer-Encoding: chunked\r\n"
         elif length or incoming.method != b"GET":
             lines += b"Content-Length: %d\r\n" % length
-        wanted = Wanted(
+        wanted = ExchangeSpec(
             head=ForHost(lines),
             upload=upload,
             download=Final(self, incoming),
             is_head=False,
             chunked=length is None,
-            upgrade=False,
-            failing=is_failure,
-            holds=True,
-            whole_runs=True,
-            limit=BODY_LIMIT,
+            allows_upgrade=False,
+            is_failure=is_failure,
+            buffers_success=True,
+            runs_when_complete=True,
+            response_limit=BODY_LIMIT,
         )
         incoming.exchange = carry(upstream, server, timeout_s, wanted, books)
         return incoming.exchange
@@ -573,7 +573,7 @@
         """It has had its answer, or nobody waits for it."""
         self.server.intake.close_id(incoming.request_id)
         if incoming.upload.size:
-            incoming.upload.let_go()
+            incoming.upload.discard()
         if self.counted:
             self.count()
 
@@ -772,7 +772,7 @@
     @property
     def limit(self) -> int:
         """Connections that clients may have here."""
-        others = len(self.proxy.upstream.connections) + self.proxy.upstream.elsewhere
+        others = len(self.proxy.upstream.connections) + self.proxy.upstream.connections_elsewhere
         return max(self.most // 4, eviction.limit(self.config.sockets, others) - self.elsewhere)
 
     def follow(self, config: Config) -> None:
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -1,7 +1,8 @@
 """What makes a request valid, whatever transport it came by: its head, its class, its bounds, its id.
 
-A transport hands over a `Head` line by line as it reads it, and the body; it gets an `Asked` for the proxy,
-or a `BadRequest` that holds the answer. What is bounded per connection (raw bytes, time) is its own affair.
+A transport hands over a `Head` line by line as it reads it, and the body; it gets a `RequestSpec` for the
+proxy, or a `BadRequest` that holds the answer. What is bounded per connection (raw
+bytes, time) is its own affair.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from urllib.parse import parse_qs
 
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.proxy import Asked, Launch, plain
+from badgergap.proxy.proxy import RequestSpec, Launch, plain
 from badgergap.balancing.interface import Idempotency
 
 BODY_LIMIT = 32 * 1024 * 1024
@@ -118,7 +119,7 @@
     def close_id(self, request_id: bytes) -> None:
         self.open_ids.discard(request_id)
 
-    def read(self, head: Head, launch: Launch, waited_s: float) -> Asked:
+    def read(self, head: Head, launch: Launch, waited_s: float) -> RequestSpec:
         """The request as the balancer and the hosts need it. `waited_s`: since its last byte came.
 
         `launch` sends it to a host. Raises BadRequest.
@@ -142,9 +143,9 @@
             raise BadRequest(400, "Tenant is missing or unknown")
         work_us = whole(headers.get(b"work-hint", b""))
         # Bounded by the class: one client's figures must not become the usual ones, nor last for hours.
-        return Asked(
-            klass=number,
-            timeout_us=min(timeout_ms * 1000, klass.client_timeout_us),
+        return RequestSpec(
+            request_class=number,
+            client_timeout_us=min(timeout_ms * 1000, klass.client_timeout_us),
             waited_us=int(waited_s * 1e6),
             method=head.method,
             target=head.target,
@@ -152,7 +153,7 @@
             launch=launch,
             passes_failures=False,  # what it promises a client is for the gateway to say
             key=_key(head.target),
-            work_us=min(work_us, klass.client_timeout_us) if work_us else None,
+            expected_work_us=min(work_us, klass.client_timeout_us) if work_us else None,
             is_retry=headers.get(b"client-retry") == b"1",
             tenant=tenant,
             is_write=b"isWrite=1" in headers.get(b"request-info", b"").split(b","),
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -112,7 +112,7 @@
         self.connections.divide(weights)
         self.open_requests.divide(weights)
         for name, proxy in self.proxies().items():
-            proxy.upstream.has_room = partial(self._has_room, name)  # type: ignore[method-assign]
+            proxy.upstream.has_capacity = partial(self._has_room, name)  # type: ignore[method-assign]
             proxy.may_open = partial(self._may_open, name) if self.open_requests.total else None
 
     def _has_room(self, name: str) -> bool:
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -68,37 +68,37 @@
 Reply = Callable[[Answer], None]
 
 
-class Books(Protocol):
+class AttemptListener(Protocol):
     """What a streamed attempt tells of itself; each at most once, but for `ended` in this order."""
 
-    def committed(self) -> None:
+    def on_committed(self) -> None:
         """Part of the request has gone on that is held no more: it cannot be sent again."""
 
-    def began(self, status: int, waited_s: float) -> None:
+    def on_response_started(self, status: int, waited_s: float) -> None:
         """A host's answer is passed on from here: it is the final one. `waited_s`: for its head."""
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
         """Always comes. An answer goes with it if it is whole and has not been passed on."""
 
 
 # Offered a request that is refused here and of which no host's answer is left: True if another pool takes it
 # over. It is told whether a host was tried, and whether one may have run it.
-Elsewhere = Callable[[bool, bool], bool]
+OfferElsewhere = Callable[[bool, bool], bool]
 
 # Sends one attempt of a request that is no whole payload: to this host, which has so many seconds to begin.
-Launch = Callable[[Upstream, int, float, Books], Exchange]
+Launch = Callable[[Upstream, int, float, AttemptListener], Exchange]
 
 
 class Observer(Protocol):
     """Hears what became of requests and attempts; called in the midst of serving, so it only counts."""
 
-    def answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int) -> None:
+    def on_answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int) -> None:
         """A request had its final answer, `took_us` after its last byte came."""
 
-    def left(self, now_us: int, klass: int, tenant: int) -> None:
+    def on_client_left(self, now_us: int, klass: int, tenant: int) -> None:
         """A client left before its answer."""
 
-    def attempted(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
+    def on_attempt_ended(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
         """An attempt at a host has ended."""
 
 
@@ -113,63 +113,67 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RequestSpec:
     """What a client asks, as the balancer and the hosts need it."""
 
-    klass: int
-    timeout_us: int
+    request_class: int
+    client_timeout_us: int
     waited_us: int  # since its last byte came
     method: bytes
     target: bytes
     headers: bytes  # those that go on to a host, as lines
     launch: Launch
     key: int | None = None
-    work_us: int | None = None
+    expected_work_us: int | None = None
     is_retry: bool = False
     tenant: int = 0
     is_write: bool = False
-    only: tuple[int, ...] = ()  # the hosts that may have it; empty: all
-    elsewhere: Elsewhere | None = None
-    answered: Callable[[], None] | None = None  # told just before the final answer is given
+    allowed_endpoints: tuple[int, ...] = ()  # the hosts that may have it; empty: all
+    offer_elsewhere: OfferElsewhere | None = None
+    on_answered: Callable[[], None] | None = None  # told just before the final answer is given
     passes_failures: bool = True  # a host's own failure is the answer where nothing better came of it
 
 
 @dataclass(slots=True, eq=False)
 class Request:
     id: str
-    asked: Asked
-    came_us: int
+    spec: RequestSpec
+    arrived_us: int
     deadline_us: int
     reply: Reply | None  # None once it has had its final answer, or its client has gone
     last_resort: asyncio.TimerHandle | None = None
     attempts: list[Exchange | None] = field(default_factory=list)
-    out: int = 0
-    kept: Answer | None = None  # a host's own answer to a streamed request, which counts as its failure
+    attempts_in_flight: int = 0
+    endpoint_failure: Answer | None = (
+        None  # a host's own answer to a streamed request, which counts as its failure
+    )
     epoch: int = 0  # of the rules that it was taken under
 
 
-class StreamBooks:
-    """One streamed attempt in the proxy's books."""
+class AttemptRecorder:
+    """One streamed attempt as the proxy accounts for it."""
 
-    __slots__ = ("number", "proxy", "request", "sent_us", "server")
+    __slots__ = ("attempt_number", "endpoint_id", "proxy", "request", "sent_us")
 
     def __init__(self, proxy: Proxy, request: Request, number: int, server: int, sent_us: int) -> None:
-        self.proxy, self.request, self.number, self.server = proxy, request, number, server
+        self.proxy, self.request, self.attempt_number, self.endpoint_id = proxy, request, number, server
         self.sent_us = sent_us
 
-    def committed(self) -> None:
+    def on_committed(self) -> None:
         if self.request.last_resort is not None:
             self.request.last_resort.cancel()  # the rest takes as long as the client and the route say
-        self.proxy.feed(StreamStarted(self.request.id, self.number, answered=False))
+        self.proxy.feed(StreamStarted(self.request.id, self.attempt_number, answered=False))
 
-    def began(self, status: int, waited_s: float) -> None:
+    def on_response_started(self, status: int, waited_s: float) -> None:
         self.proxy.close_with(self.request, status)
-        self.proxy.feed(StreamStarted(self.request.id, self.number, latency_us=int(waited_s * 1e6)))
+        self.proxy.feed(StreamStarted(self.request.id, self.attempt_number, latency_us=int(waited_s * 1e6)))
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        if outcome is Outcome.ERROR and self.request.asked.passes_failures:
-            self.request.kept = answer
-        self.proxy.attempt_ended(self.request, self.number, self.server, self.sent_us, outcome, answer)
+    def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+        if outcome is Outcome.ERROR and self.request.spec.passes_failures:
+            self.request.endpoint_failure = answer
+        self.proxy.attempt_ended(
+            self.request, self.attempt_number, self.endpoint_id, self.sent_us, outcome, answer
+        )
 
 
 def plain(status: int, text: str, *headers: tuple[bytes, bytes]) -> Answer:
@@ -249,7 +253,7 @@
     def act_by(self, acting: Callable[[], int] | None) -> None:
         """Ask before each request is taken, and again before it is sent to a host."""
         self.acting = acting
-        self.upstream.acting = acting
+        self.upstream.current_epoch = acting
 
     def add_source(self, source: HostSource) -> None:
         """A further source of hosts, before the start. What it says it hands to `hear`, under its name."""
@@ -268,7 +272,7 @@
         self.loop.call_later(SWEEP_S, self.sweep)
 
     def sweep(self) -> None:
-        self.upstream.sweep()
+        self.upstream.clean_up()
         self.loop.call_later(SWEEP_S, self.sweep)
 
     def take_over(self, config: Config) -> None:
@@ -307,11 +311,13 @@
 
     def waiting(self) -> int:
         """Requests that are owed an answer and are with no host at the moment."""
-        return sum(request.reply is not None and not request.out for request in self.requests.values())
+        return sum(
+            request.reply is not None and not request.attempts_in_flight for request in self.requests.values()
+        )
 
     @property
     def ready(self) -> bool:
-        known = bool(self.upstream.hosts) and (self.discovery is None or self.discovery.is_current)
+        known = bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
         return known and (self.acting is None or self.acting() >= 0)
 
     # Events in, actions out
@@ -387,32 +393,32 @@
 
     # Requests
 
-    def arrive(self, asked: Asked, reply: Reply) -> Request | None:
+    def arrive(self, spec: RequestSpec, reply: Reply) -> Request | None:
         """Take a request: `reply` is called exactly once, unless `leave` comes first."""
         epoch = self.acting() if self.acting is not None else 0
         if epoch < 0 or not self.has_room():
             reply(refused("too many requests" if epoch >= 0 else OUT_OF_TOUCH))
             if self.observer is not None:
-                self.observer.answered(self.clock.now_us(), asked.klass, 503, 0, asked.tenant)
+                self.observer.on_answered(self.clock.now_us(), spec.request_class, 503, 0, spec.tenant)
             return None
         self.taken += 1
         now_us = self.clock.now_us()
-        patience_us = max(0, min(asked.timeout_us - asked.waited_us - TRANSIT_US, self.ends_us - now_us))
-        request = Request(str(self.taken), asked, now_us, now_us + patience_us, reply, epoch=epoch)
+        patience_us = max(0, min(spec.client_timeout_us - spec.waited_us - TRANSIT_US, self.ends_us - now_us))
+        request = Request(str(self.taken), spec, now_us, now_us + patience_us, reply, epoch=epoch)
         self.requests[request.id] = request
         self.open += 1
         self.give_until(request, now_us, request.deadline_us)
         self.feed(
             RequestArrived(
                 request.id,
-                asked.klass,
+                spec.request_class,
                 patience_us,
-                asked.key,
-                asked.work_us,
-                asked.is_retry,
-                asked.tenant,
-                asked.is_write,
-                asked.only,
+                spec.key,
+                spec.expected_work_us,
+                spec.is_retry,
+                spec.tenant,
+                spec.is_write,
+                spec.allowed_endpoints,
             )
         )
         return request
@@ -431,7 +437,9 @@
         if request.reply is not None:
             self.close_account(request)
             if self.observer is not None:
-                self.observer.left(self.clock.now_us(), request.asked.klass, request.asked.tenant)
+                self.observer.on_client_left(
+                    self.clock.now_us(), request.spec.request_class, request.spec.tenant
+                )
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
@@ -455,9 +463,11 @@
         """The rest of a body that was passed on as it came: its client's time counts from here."""
         if request.reply is None:
             return
-        request.came_us = self.clock.now_us()
-        patience_us = max(0, min(request.asked.timeout_us - TRANSIT_US, self.ends_us - request.came_us))
-        self.give_until(request, request.came_us, request.came_us + patience_us)
+        request.arrived_us = self.clock.now_us()
+        patience_us = max(
+            0, min(request.spec.client_timeout_us - TRANSIT_US, self.ends_us - request.arrived_us)
+        )
+        self.give_until(request, request.arrived_us, request.arrived_us + patience_us)
 
     def end_within(self, seconds: float) -> None:
         """The process is killed soon after: what is open has its answer by then, and so has what comes yet.
@@ -491,15 +501,15 @@
         request = self.requests.get(number)
         if request is not None:
             # What a host says of its own failure tells the client more than what this gateway could.
-            self.settle(request, answer if request.kept is None else request.kept)
+            self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
     def hand_over(self, number: str) -> bool:
         """A refused request goes to another pool, if one takes it: its final answer is that pool's."""
         request = self.requests.get(number)
-        if request is None or request.reply is None or request.kept is not None:
+        if request is None or request.reply is None or request.endpoint_failure is not None:
             return False
-        elsewhere = request.asked.elsewhere
+        elsewhere = request.spec.offer_elsewhere
         tried = [exchange for exchange in request.attempts if exchange is not None]
         if elsewhere is None or not elsewhere(bool(tried), any(exchange.written for exchange in tried)):
             return False
@@ -520,12 +530,14 @@
         """The final answer, with this status, is given now."""
         if request.reply is not None:
             self.close_account(request)
-            if request.asked.answered is not None:
-                request.asked.answered()
+            if request.spec.on_answered is not None:
+                request.spec.on_answered()
             if self.observer is not None:
                 now_us = self.clock.now_us()
-                took_us = now_us - request.came_us + request.asked.waited_us
-                self.observer.answered(now_us, request.asked.klass, status, took_us, request.asked.tenant)
+                took_us = now_us - request.arrived_us + request.spec.waited_us
+                self.observer.on_answered(
+                    now_us, request.spec.request_class, status, took_us, request.spec.tenant
+                )
 
     def close_account(self, request: Request) -> None:
         request.reply = None
@@ -537,7 +549,7 @@
             request.last_resort.cancel()
 
     def forget_if_over(self, request: Request) -> None:
-        if request.reply is None and request.out == 0:
+        if request.reply is None and request.attempts_in_flight == 0:
             self.requests.pop(request.id, None)
 
     # Attempts
@@ -561,17 +573,17 @@
             )
             return
 
-        request.out += 1
-        books = StreamBooks(self, request, number, action.endpoint_id, sent_us)
-        exchange = request.asked.launch(self.upstream, action.endpoint_id, left_us / 1e6, books)
+        request.attempts_in_flight += 1
+        recorder = AttemptRecorder(self, request, number, action.endpoint_id, sent_us)
+        exchange = request.spec.launch(self.upstream, action.endpoint_id, left_us / 1e6, recorder)
         request.attempts.append(exchange)
 
     def withdraw(self, request: Request) -> None:
         """The rules that it was taken under may have been taken back: it goes to no host any more."""
-        if request.reply is not None and not request.out:
+        if request.reply is not None and not request.attempts_in_flight:
             ran = any(exchange is not None and exchange.written for exchange in request.attempts)
             answer = plain(502, "failed") if ran else refused(OUT_OF_TOUCH)
-            self.settle(request, answer if request.kept is None else request.kept)
+            self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
     def attempt_ended(
@@ -583,12 +595,12 @@
         outcome: Outcome,
         answer: Answer | None,
     ) -> None:
-        request.out -= 1
+        request.attempts_in_flight -= 1
         latency_us = self.clock.now_us() - sent_us
         if outcome is Outcome.SUCCESS and answer is not None:
             self.settle(request, answer)
         if self.observer is not None:
-            self.observer.attempted(sent_us + latency_us, server, outcome, latency_us)
+            self.observer.on_attempt_ended(sent_us + latency_us, server, outcome, latency_us)
         over, load = request.reply is None, self.report(answer)
         self.feed(AttemptEnded(request.id, number, server, outcome, latency_us, over, load))
         self.forget_if_over(request)
@@ -650,10 +662,10 @@
 
     def on_news(self, news: News) -> None:
         if news.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
-            self.upstream.drain_others(entry.listed.endpoint_id for entry in news.entries)
+            self.upstream.drain_unlisted(entry.listed.endpoint_id for entry in news.entries)
         for entry in news.entries:
             server = entry.listed
-            self.upstream.list_host(server.endpoint_id, entry.address, server.status, entry.protocol)
+            self.upstream.update_endpoint(server.endpoint_id, entry.address, server.status, entry.protocol)
         self.feed(news.event())
 
     def tell_peers(self, action: SendPeerMessage) -> None:
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -40,7 +40,7 @@
 REST_S = 0.01
 CONNECT_UNSTATED_S = 1.0
 
-HostId = int
+EndpointId = int
 
 
 @dataclass(slots=True)
@@ -121,14 +121,16 @@
     A kind says how an exchange is written and what is read; that it is there, idle or busy, is the pool's.
     """
 
-    def __init__(self, pool: Upstream, host: Host) -> None:
+    def __init__(self, pool: Upstream, host: Endpoint) -> None:
         self.pool = pool
-        self.host = host
+        self.endpoint = host
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.idle_since = 0.0
-        self.epoch = pool.acting() if pool.acting is not None else 0  # of the rules it is made under
+        self.epoch = (
+            pool.current_epoch() if pool.current_epoch is not None else 0
+        )  # of the rules it is made under
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
@@ -137,7 +139,11 @@
         exchange = self.exchange
         if exchange is None or exchange.done:
             self.abort()
-        elif exchange.unwanted or not self.pool.may_send(self.host) or not self.pool.still(self.epoch):
+        elif (
+            exchange.unwanted
+            or not self.pool.may_send(self.endpoint)
+            or not self.pool.is_epoch_current(self.epoch)
+        ):
             # Guards against a drain, other rules, or the end of its request (its client has left, another
             # attempt was answered), that came while the connection was being made.
             exchange.never_sent()
@@ -150,13 +156,13 @@
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.drop(self)
+        self.pool.forget(self)
         if self.exchange is not None:
             self.exchange.lost()
 
     def abort(self) -> None:
         self.exchange = None
-        self.pool.drop(self)
+        self.pool.forget(self)
         if self.connecting is not None:
             self.connecting.cancel()
         if self.transport is not None:
@@ -180,7 +186,7 @@
 class HostConnection(PooledConnection, asyncio.Protocol):
     """Exchanges whole, as probes are: a payload out, an answer of bounded size in."""
 
-    def __init__(self, pool: Upstream, host: Host) -> None:
+    def __init__(self, pool: Upstream, host: Endpoint) -> None:
         super().__init__(pool, host)
         self.answer = Answer()
         self.size = 0
@@ -273,14 +279,14 @@
         answer.body = b"".join(self.chunks)
         self.exchange, self.complete = None, False
         if clean and exchange.written and self.keep_alive:
-            self.pool.rest(self)
+            self.pool.return_idle(self)
         else:
             self.abort()
         exchange.end(outcome_of(answer), answer)
 
 
 @dataclass(slots=True, eq=False)
-class Host:
+class Endpoint:
     address: Address
     protocol: str = ""  # in which it is spoken to; "" is HTTP/1.1
     stop_at: float | None = None  # loop time from which nothing new may be written, once it drains or is gone
@@ -306,8 +312,8 @@
         self.budget = budget if budget is not None else Budget()
         self.reads = Reads(self.budget)
         self.limit = connections
-        self.elsewhere = 0  # connections that another process of this gateway holds
-        self.acting: Callable[[], int] | None = None  # as `Proxy.acting`
+        self.connections_elsewhere = 0  # connections that another process of this gateway holds
+        self.current_epoch: Callable[[], int] | None = None  # as `Proxy.acting`
         self.on_open: Callable[[], None] | None = None  # a connection to a host has been begun
         self.connect_timeout_s = connect_timeout_us / 1e6 or CONNECT_UNSTATED_S
         self.idle_s = (idle_us / 1e6 or IDLE_UNSTATED_S) * IDLE_SHARE
@@ -317,82 +323,84 @@
         self.tls_name: str | None = None  # whom certificates must name; None: the address
         self.authority: bytes | None = None  # PEM, for transports with a TLS of their own
         self.on_close: list[Callable[[], None]] = []  # of what carries exchanges without a connection here
-        self.hosts: dict[HostId, Host] = {}
+        self.endpoints: dict[EndpointId, Endpoint] = {}
         self.connections: set[PooledConnection] = set()
 
     # Hosts
 
-    def list_host(self, number: HostId, address: Address, status: EndpointStatus, protocol: str = "") -> None:
-        host = self.hosts.setdefault(number, Host(address, protocol))
+    def update_endpoint(
+        self, number: EndpointId, address: Address, status: EndpointStatus, protocol: str = ""
+    ) -> None:
+        host = self.endpoints.setdefault(number, Endpoint(address, protocol))
         if host.address != address or host.protocol != protocol:
             # Another machine. Guards against a connection to the one before that is busy now and rests later.
             self.close_idle(number)
             host.stop_at = self.loop.time()
-            host = self.hosts[number] = Host(address, protocol)
+            host = self.endpoints[number] = Endpoint(address, protocol)
         if status is EndpointStatus.READY:
             host.stop_at = None
         else:
-            self.drain_host(number)
+            self.drain_endpoint(number)
 
-    def drain_host(self, number: HostId) -> None:
+    def drain_endpoint(self, number: EndpointId) -> None:
         """The host drains or is gone: nothing new to it once the grace is over."""
-        host = self.hosts.get(number)
+        host = self.endpoints.get(number)
         if host is not None and host.stop_at is None:
             host.stop_at = self.loop.time() + self.drain_grace_s
             self.close_idle(number)
 
-    def drain_others(self, listed: Iterable[HostId]) -> None:
-        for number in self.hosts.keys() - set(listed):
-            self.drain_host(number)
+    def drain_unlisted(self, listed: Iterable[EndpointId]) -> None:
+        for number in self.endpoints.keys() - set(listed):
+            self.drain_endpoint(number)
 
-    def may_send(self, host: Host) -> bool:
+    def may_send(self, host: Endpoint) -> bool:
         return host.stop_at is None or self.loop.time() < host.stop_at
 
-    def still(self, epoch: int) -> bool:
+    def is_epoch_current(self, epoch: int) -> bool:
         """Whether what was begun in this epoch may still be sent."""
-        return self.acting is None or 0 <= self.acting() == epoch
+        return self.current_epoch is None or 0 <= self.current_epoch() == epoch
 
-    def connecting(self) -> dict[HostId, int]:
+    def connecting_counts(self) -> dict[EndpointId, int]:
         """How many exchanges wait for a connection to each host."""
-        waiting = Counter(id(c.host) for c in self.connections if c.connecting is not None)
-        return {number: waiting[id(host)] for number, host in self.hosts.items() if id(host) in waiting}
+        waiting = Counter(id(c.endpoint) for c in self.connections if c.connecting is not None)
+        return {number: waiting[id(host)] for number, host in self.endpoints.items() if id(host) in waiting}
 
     # Exchanges
 
-    def send(self, number: HostId, payload: bytes, timeout_s: float, ended: Ended) -> Exchange:
+    def send(self, number: EndpointId, payload: bytes, timeout_s: float, ended: Ended) -> Exchange:
         exchange = Exchange(payload, ended)
         self.carry(number, exchange, timeout_s, HostConnection)
         return exchange
 
     def carry(
-        self, number: HostId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
+        self, number: EndpointId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
     ) -> None:
         """Have an exchange carried by an idle connection of this kind, or else by a new one."""
-        host = self.hosts.get(number)
+        host = self.endpoints.get(number)
         if host is None or not self.may_send(host):
             self.loop.call_soon(exchange.never_sent)
             return
         exchange.timer = self.loop.call_later(timeout_s, exchange.give_up, Outcome.TIMEOUT)
-        while (connection := self.rested(host)) is not None:
+        while (connection := self.take_idle(host)) is not None:
             if type(connection) is kind and connection.is_quiet():
                 connection.write(exchange)
                 return
             connection.abort()
         self.connect(host, exchange, kind)
 
-    def rested(self, host: Host) -> PooledConnection | None:
+    def take_idle(self, host: Endpoint) -> PooledConnection | None:
         """Take the connection to use again: of those that have rested, the one used last.
 
         Where no new one can be made, one that has hardly rested is better than another host's that has to go.
         """
         idle = host.idle
         rested = bisect_right(idle, self.loop.time() - self.rest_s, key=attrgetter("idle_since"))
-        if rested or (idle and not self.has_room()):
+        if rested or (idle and not self.has_capacity()):
             return idle.pop(max(0, rested - 1))
         return None
 
-    def connect(self, host: Host, exchange: Exchange, kind: type[PooledConnection]) -> None:
-        if not self.has_room() and not self.close_oldest_idle():
+    def connect(self, host: Endpoint, exchange: Exchange, kind: type[PooledConnection]) -> None:
+        if not self.has_capacity() and not self.close_oldest_idle():
             self.loop.call_soon(exchange.never_sent)
             return
         connection = kind(self, host)
@@ -402,20 +410,20 @@
         if self.on_open is not None:
             self.on_open()
 
-    def has_room(self) -> bool:
-        return len(self.connections) + self.elsewhere < self.limit
+    def has_capacity(self) -> bool:
+        return len(self.connections) + self.connections_elsewhere < self.limit
 
     async def open(self, connection: PooledConnection, exchange: Exchange) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(
                     lambda: connection,
-                    *connection.host.address,
+                    *connection.endpoint.address,
                     ssl=self.tls,
                     server_hostname=self.tls_name if self.tls is not None else None,
                 )
         except (OSError, TimeoutError, ValueError) as error:  # the last from an address that is none
-            self.drop(connection)
+            self.forget(connection)
             if isinstance(error, OSError) and error.errno in NO_DESCRIPTOR:
                 exchange.never_sent()
             else:
@@ -425,43 +433,43 @@
 
     # The pool
 
-    def rest(self, connection: PooledConnection) -> None:
-        if connection.host.stop_at is not None:
+    def return_idle(self, connection: PooledConnection) -> None:
+        if connection.endpoint.stop_at is not None:
             connection.abort()
             return
         connection.idle_since = self.loop.time()
-        connection.host.idle.append(connection)
+        connection.endpoint.idle.append(connection)
 
-    def drop(self, connection: PooledConnection) -> None:
+    def forget(self, connection: PooledConnection) -> None:
         self.connections.discard(connection)
-        if connection in connection.host.idle:
-            connection.host.idle.remove(connection)
+        if connection in connection.endpoint.idle:
+            connection.endpoint.idle.remove(connection)
 
-    def close_idle(self, number: HostId) -> None:
-        host = self.hosts.get(number)
+    def close_idle(self, number: EndpointId) -> None:
+        host = self.endpoints.get(number)
         for connection in list(host.idle) if host is not None else ():
             connection.abort()
 
     def close_all_idle(self) -> None:
-        for number in self.hosts:
+        for number in self.endpoints:
             self.close_idle(number)
 
     def close_oldest_idle(self) -> bool:
         """Make room for a new connection."""
-        idle = [host.idle[0] for host in self.hosts.values() if host.idle]
+        idle = [host.idle[0] for host in self.endpoints.values() if host.idle]
         if not idle:
             return False
         min(idle, key=lambda c: c.idle_since).abort()
         return True
 
-    def sweep(self) -> None:
+    def clean_up(self) -> None:
         """Close what has stood idle for long and forget hosts that are gone."""
         oldest = self.loop.time() - self.idle_s
-        for number, host in list(self.hosts.items()):
+        for number, host in list(self.endpoints.items()):
             while host.idle and host.idle[0].idle_since < oldest:
                 host.idle[0].abort()
             if host.stop_at is not None and not self.may_send(host) and not host.idle:
-                del self.hosts[number]
+                del self.endpoints[number]
 
     def close(self) -> None:
         for end in self.on_close:
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgergap.proxy.proxy import Books
+from badgergap.proxy.proxy import AttemptListener
 from badgergap.proxy.body_streams import AnswerHead, Download, Headers, Upload
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange
 from badgergap.balancing.interface import Outcome
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class ExchangeSpec:
     """What an exchange with a box is for."""
 
     head: RequestLines
@@ -43,12 +43,12 @@
     download: Download
     is_head: bool  # the method is HEAD: the answer has no body
     chunked: bool  # the length of the request's body is not known
-    upgrade: bool  # the client would speak as it likes from 101 on
-    failing: Callable[[int], bool]  # whether a status counts as the box's failure
-    expects: bool = False  # the client sends no body before it is told to
-    holds: bool = False  # an answer that is good is held for another try too, while it fits
-    whole_runs: bool = False  # a box begins a request with its last byte, and never before
-    limit: int | None = None  # bytes of an answer, beyond which it is none
+    allows_upgrade: bool  # the client would speak as it likes from 101 on
+    is_failure: Callable[[int], bool]  # whether a status counts as the box's failure
+    expects_continue: bool = False  # the client sends no body before it is told to
+    buffers_success: bool = False  # an answer that is good is held for another try too, while it fits
+    runs_when_complete: bool = False  # a box begins a request with its last byte, and never before
+    response_limit: int | None = None  # bytes of an answer, beyond which it is none
 
 
 def is_early(before: Exchange | None, upload: Upload) -> bool:
@@ -56,7 +56,7 @@
     return before is not None and not before.done and not upload.complete
 
 
-class Tried(Exchange):
+class StreamAttempt(Exchange):
     """One try of a request at a box, as a stream; what carries it says how.
 
     What an outcome says of a box that may have run the request: nothing of it has left this process, never
@@ -65,37 +65,41 @@
     """
 
     __slots__ = (
-        "began_at",
-        "begun",
-        "books",
-        "expecting",
-        "last_at",
-        "last_try",
+        "client_paused",
+        "continue_timer",
+        "is_committed",
+        "listener",
         "loop",
-        "paused",
-        "stuck",
-        "wanted",
-        "whole",
+        "progress_at",
+        "response_complete",
+        "response_started",
+        "sent_at",
+        "spec",
+        "write_blocked",
     )
 
-    def __init__(self, wanted: Wanted, books: Books, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(b"", books.ended)
-        self.wanted, self.books, self.loop = wanted, books, loop
-        self.begun = False  # the answer's head is passed on
-        self.whole = False  # and so is its end
-        self.paused = False  # by the client, which takes no more
-        self.last_try = False  # the request's body is not held any more
-        self.stuck = False  # the box takes no more of it
-        self.began_at = self.last_at = loop.time()  # last: when the box last said or took something
-        self.expecting: asyncio.TimerHandle | None = None  # the box has yet to say that it wants the body
+    def __init__(
+        self, spec: ExchangeSpec, listener: AttemptListener, loop: asyncio.AbstractEventLoop
+    ) -> None:
+        super().__init__(b"", listener.on_ended)
+        self.spec, self.listener, self.loop = spec, listener, loop
+        self.response_started = False  # the answer's head is passed on
+        self.response_complete = False  # and so is its end
+        self.client_paused = False  # by the client, which takes no more
+        self.is_committed = False  # the request's body is not held any more
+        self.write_blocked = False  # the box takes no more of it
+        self.sent_at = self.progress_at = loop.time()  # last: when the box last said or took something
+        self.continue_timer: asyncio.TimerHandle | None = (
+            None  # the box has yet to say that it wants the body
+        )
 
     # What carries it
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Of the request's body, or of a tunnel."""
         raise NotImplementedError
 
-    def no_more(self, fields: Headers) -> None:
+    def end_body(self, fields: Headers) -> None:
         """The request's body is whole."""
         raise NotImplementedError
 
@@ -106,67 +110,67 @@
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
         if self.done:
             return
-        self.wanted.upload.detach(self)
-        self.expect_no_more()
-        cut = self.begun and not self.whole
+        self.spec.upload.detach(self)
+        self.cancel_continue_timer()
+        cut = self.response_started and not self.response_complete
         super().end(outcome, answer)
         if cut:
-            self.wanted.download.broke()
+            self.spec.download.broke()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
         """The box says or takes nothing for too long, where the decisions' own time is over."""
-        if self.done or not (self.begun or self.last_try):
+        if self.done or not (self.response_started or self.is_committed):
             return
-        quiet_s, upload = now - self.last_at, self.wanted.upload
-        if self.begun:
-            late = not self.paused and quiet_s > between_s
+        quiet_s, upload = now - self.progress_at, self.spec.upload
+        if self.response_started:
+            late = not self.client_paused and quiet_s > between_s
         elif upload.complete:
             late = quiet_s > answer_s
         else:
-            late = self.stuck and quiet_s > between_s
+            late = self.write_blocked and quiet_s > between_s
         if late:
             self.give_up(Outcome.TIMEOUT)
 
     # The request's body
 
-    def expect(self) -> None:
+    def await_continue(self) -> None:
         """Nothing of the body goes to the box before it says 100, or has had its time for that."""
-        self.wanted.upload.waits = True
-        self.expecting = self.loop.call_later(EXPECT_S, self.go_on)
+        self.spec.upload.awaits_continue = True
+        self.continue_timer = self.loop.call_later(EXPECT_S, self.on_continue)
 
-    def expect_no_more(self) -> None:
-        if self.expecting is not None:
-            self.expecting.cancel()
-            self.expecting = None
+    def cancel_continue_timer(self) -> None:
+        if self.continue_timer is not None:
+            self.continue_timer.cancel()
+            self.continue_timer = None
 
-    def go_on(self) -> None:
+    def on_continue(self) -> None:
         """The client is told to send: to this box, and to no other after it."""
-        if self.expecting is None or self.done or self.begun:
+        if self.continue_timer is None or self.done or self.response_started:
             return
-        self.expect_no_more()
-        self.committed()
-        self.wanted.upload.release()
-        self.wanted.download.go_on()
+        self.cancel_continue_timer()
+        self.commit()
+        self.spec.upload.release()
+        self.spec.download.go_on()
 
-    def committed(self) -> None:
+    def commit(self) -> None:
         """What has come is held no more: the time to the answer counts from the request's end."""
         if self.timer is not None:
             self.timer.cancel()
-        self.last_try = True
-        self.books.committed()
+        self.is_committed = True
+        self.listener.on_committed()
 
     # The answer
 
-    def begin(self, head: AnswerHead) -> None:
+    def start_response(self, head: AnswerHead) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.begun = True
-        self.last_at = self.loop.time()
-        self.books.began(head.status, self.last_at - self.began_at)
-        self.wanted.download.begin(head, self)
+        self.response_started = True
+        self.progress_at = self.loop.time()
+        self.listener.on_response_started(head.status, self.progress_at - self.sent_at)
+        self.spec.download.begin(head, self)
 
     def client_left(self) -> None:
-        self.whole = True  # nobody is to be told of a break
+        self.response_complete = True  # nobody is to be told of a break
         self.give_up(Outcome.CANCELLED)
 
 
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -1,9 +1,10 @@
-"""HTTP/1.1 to boxes as streams: one exchange at a time on a connection, each with exactly one outcome.
+"""HTTP/1.1 to endpoints as streams: one exchange at a time on a connection, each with exactly one outcome.
 
-What an outcome says of what may have run stands at `Tried`. An answer that counts as the box's failure is
-held, up to HOLD bytes, so that another box may be asked; a longer one is passed on as it comes, and counts as
-a failure all the same. Where the request says so (`Wanted.holds`) a good answer is held too, while it is
-known to fit or for HOLD_S, and a failure that does not fit is no answer.
+`StreamAttempt` states what an outcome says of whether the request may have run. A response that counts as the
+endpoint's failure is held, up to HOLD bytes, so that a retry can go to another endpoint; a longer one is
+passed on as it comes, and counts as a failure all the same. Where `ExchangeSpec.buffers_success` is set a
+good response is held too, while it is known to fit or for HOLD_S, and a failure that does not fit is no
+response.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 
 import httptools
 
-from badgergap.proxy.proxy import Books
+from badgergap.proxy.proxy import AttemptListener
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
 from badgergap.proxy.upstream.connection_pool import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
     Answer,
     Exchange,
-    Host,
+    Endpoint,
     PooledConnection,
     Upstream,
 )
@@ -31,7 +32,7 @@
 from badgergap.proxy.limits.memory import LEAST
 from badgergap.proxy.downstream.response_writer import last_chunk
 from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
-from badgergap.proxy.upstream.stream_attempt import NO_BODY, Tried, Wanted, outcome_of
+from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to a box and not yet sent, beyond which the client is not read
 LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
@@ -43,47 +44,49 @@
 FRAMING_LIMIT, FRAMING_SHARE = 4 * HEAD_LIMIT, 32
 
 
-class BoxExchange(Tried):
+class Http1Attempt(StreamAttempt):
     """One try of a request, over HTTP/1.1."""
 
     __slots__ = ()
 
     @property
-    def box(self) -> BoxConnection | None:
-        return self.connection if isinstance(self.connection, BoxConnection) else None
+    def http1_connection(self) -> Http1Connection | None:
+        return self.connection if isinstance(self.connection, Http1Connection) else None
 
-    def more(self, data: bytes) -> None:
-        box = self.box
+    def send_body(self, data: bytes) -> None:
+        box = self.http1_connection
         if box is not None:
-            self.last_at = self.loop.time()
-            box.send(b"%x\r\n%b\r\n" % (len(data), data) if self.wanted.chunked else data)
+            self.progress_at = self.loop.time()
+            box.send(b"%x\r\n%b\r\n" % (len(data), data) if self.spec.chunked else data)
 
-    def no_more(self, fields: Headers) -> None:
-        box = self.box
-        if box is not None and self.wanted.chunked:
+    def end_body(self, fields: Headers) -> None:
+        box = self.http1_connection
+        if box is not None and self.spec.chunked:
             box.send(last_chunk(fields))
-        if box is not None and self.wanted.whole_runs:
+        if box is not None and self.spec.runs_when_complete:
             self.written = not box.blocked
-        self.began_at = self.last_at = self.loop.time()
+        self.sent_at = self.progress_at = self.loop.time()
 
     def flow(self, on: bool) -> None:
-        self.paused = not on
-        self.last_at = self.loop.time()
-        box = self.box
+        self.client_paused = not on
+        self.progress_at = self.loop.time()
+        box = self.http1_connection
         if box is not None and box.transport is not None and not box.transport.is_closing():
             (box.transport.resume_reading if on else box.transport.pause_reading)()
 
 
-def carry(upstream: Upstream, server: int, timeout_s: float, wanted: Wanted, books: Books) -> BoxExchange:
-    exchange = BoxExchange(wanted, books, upstream.loop)
-    upstream.carry(server, exchange, timeout_s, BoxConnection)
+def carry(
+    upstream: Upstream, server: int, timeout_s: float, spec: ExchangeSpec, listener: AttemptListener
+) -> Http1Attempt:
+    exchange = Http1Attempt(spec, listener, upstream.loop)
+    upstream.carry(server, exchange, timeout_s, Http1Connection)
     return exchange
 
 
-class BoxConnection(PooledConnection, asyncio.BufferedProtocol):
-    def __init__(self, pool: Upstream, host: Host) -> None:
+class Http1Connection(PooledConnection, asyncio.BufferedProtocol):
+    def __init__(self, pool: Upstream, host: Endpoint) -> None:
         super().__init__(pool, host)
-        self.carried: BoxExchange | None = None
+        self.carried: Http1Attempt | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.headers: Headers = []
         self.fields: Headers = []  # trailers
@@ -111,30 +114,30 @@
 
     def write(self, exchange: Exchange) -> None:
         transport = self.transport
-        assert transport is not None and isinstance(exchange, BoxExchange)
+        assert transport is not None and isinstance(exchange, Http1Attempt)
         self.exchange = self.carried = exchange
         exchange.connection = self
         self.fresh()
         self.interim = 0
-        wanted = exchange.wanted
-        if not wanted.upload.is_held:  # its request has had its answer, and its body is gone
+        spec = exchange.spec
+        if not spec.upload.is_held:  # its request has had its answer, and its body is gone
             exchange.never_sent()
             self.abort()
             return
-        held = wanted.upload.attach(exchange, exchange.committed)
-        if wanted.chunked:
+        held = spec.upload.attach(exchange, exchange.commit)
+        if spec.chunked:
             held = (b"%x\r\n%b\r\n" % (len(held), held) if held else b"") + (
-                last_chunk(wanted.upload.trailers) if wanted.upload.complete else b""
+                last_chunk(spec.upload.trailers) if spec.upload.complete else b""
             )
-        expects = wanted.expects and not wanted.upload.size and not wanted.upload.complete
+        expects = spec.expects_continue and not spec.upload.size and not spec.upload.complete
         if expects:
-            exchange.expect()
-        payload = wanted.head.lines() + (b"expect: 100-continue\r\n\r\n" if expects else b"\r\n") + held
-        exchange.began_at = exchange.last_at = exchange.loop.time()
+            exchange.await_continue()
+        payload = spec.head.lines() + (b"expect: 100-continue\r\n\r\n" if expects else b"\r\n") + held
+        exchange.sent_at = exchange.progress_at = exchange.loop.time()
         exchange.written = True
         transport.write(payload)  # may tell from within that not all of it has left the process
-        if wanted.whole_runs:
-            exchange.written = wanted.upload.complete and not self.blocked and not transport.is_closing()
+        if spec.runs_when_complete:
+            exchange.written = spec.upload.complete and not self.blocked and not transport.is_closing()
             return
         # Nothing has left the process: the write met a broken connection, or all of it waits.
         if transport.is_closing() or transport.get_write_buffer_size() >= len(payload):
@@ -170,27 +173,30 @@
         self.blocked = True
         self.count_unsent()
         if self.carried is not None and self.exchange is not None:
-            self.carried.stuck = True
-            self.carried.wanted.upload.pace(False)
+            self.carried.write_blocked = True
+            self.carried.spec.upload.pace(False)
 
     def resume_writing(self) -> None:
         self.blocked = False
         self.count_unsent()
         if self.carried is not None and self.exchange is not None:
-            wanted = self.carried.wanted
-            self.carried.written, self.carried.stuck = not wanted.whole_runs or wanted.upload.complete, False
-            self.carried.last_at = self.carried.loop.time()
-            self.carried.wanted.upload.pace(True)
+            spec = self.carried.spec
+            self.carried.written, self.carried.write_blocked = (
+                not spec.runs_when_complete or spec.upload.complete,
+                False,
+            )
+            self.carried.progress_at = self.carried.loop.time()
+            self.carried.spec.upload.pace(True)
 
     def data_received(self, data: bytes) -> None:
         exchange = self.carried
         if exchange is None or self.exchange is None:  # nothing was asked
             self.abort()
             return
-        exchange.written = exchange.written or not exchange.wanted.whole_runs
-        exchange.last_at = exchange.loop.time()
+        exchange.written = exchange.written or not exchange.spec.runs_when_complete
+        exchange.progress_at = exchange.loop.time()
         if self.tunnel:
-            exchange.wanted.download.data(data)
+            exchange.spec.download.data(data)
             return
         if self.direct:
             self.pass_on(exchange, data)
@@ -204,7 +210,7 @@
             if not self.tunnel:
                 clean = False
             elif rest:
-                exchange.wanted.download.data(rest)
+                exchange.spec.download.data(rest)
         except httptools.HttpParserError:
             clean = False
         if self.exchange is not exchange:
@@ -214,34 +220,39 @@
             self.conclude(clean)
         elif not clean or self.raw > FRAMING_LIMIT + FRAMING_SHARE * self.body:
             self.fail()
-        elif self.answer is not None and self.until_told and exchange.wanted.holds:
+        elif self.answer is not None and self.until_told and exchange.spec.buffers_success:
             self.until_told = False
             exchange.loop.call_later(HOLD_S, self.pass_late, exchange)
-        elif self.left > 0 and exchange.begun:
+        elif self.left > 0 and exchange.response_started:
             # The rest of a body of known length needs no parser: it would copy every byte.
             self.direct = True
             self.parser = httptools.HttpResponseParser(self)
 
-    def pass_on(self, exchange: BoxExchange, data: bytes) -> None:
+    def pass_on(self, exchange: Http1Attempt, data: bytes) -> None:
         rest, clean = self.left - len(data), True
         if rest < 0:
             data, rest, clean = data[: self.left], 0, False
         self.left = rest
-        exchange.wanted.download.data(data)
+        exchange.spec.download.data(data)
         if not rest and self.exchange is exchange:
             self.complete = True
             self.conclude(clean)
 
-    def pass_late(self, exchange: BoxExchange) -> None:
+    def pass_late(self, exchange: Http1Attempt) -> None:
         """The end of an answer whose length was not said takes its time: what there is goes on now."""
-        if self.carried is exchange and self.answer is not None and not exchange.begun and not exchange.done:
+        if (
+            self.carried is exchange
+            and self.answer is not None
+            and not exchange.response_started
+            and not exchange.done
+        ):
             try:
                 self.pass_held(exchange)
             except BadHead:
                 self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.drop(self)
+        self.pool.forget(self)
         self.blocked = False
         self.count_unsent()
         if exc is not None and self.exchange is not None:
@@ -316,26 +327,26 @@
             if self.interim > INTERIM_LIMIT:
                 raise ValueError("too many interim answers")
             if status == 100:
-                exchange.go_on()
+                exchange.on_continue()
             else:
-                exchange.wanted.download.interim(status, answer_headers(headers))
+                exchange.spec.download.interim(status, answer_headers(headers))
             return
         self.head_read = True
         if status == 101:
             self.switch(exchange, headers)
             return
-        wanted = exchange.wanted
-        head = self.read_head(wanted, status, headers)
-        if wanted.limit is not None and (head.length or 0) > wanted.limit:
+        spec = exchange.spec
+        head = self.read_head(spec, status, headers)
+        if spec.response_limit is not None and (head.length or 0) > spec.response_limit:
             raise ValueError("body too long")
         self.left = head.length or 0 if head.has_body else 0
         self.keep_alive = self.parser.should_keep_alive() and not self.until_close
-        self.outcome = outcome_of(status, headers, exchange.wanted.failing)
-        fits = wanted.holds and (head.length is None or head.length <= self.hold)
+        self.outcome = outcome_of(status, headers, exchange.spec.is_failure)
+        fits = spec.buffers_success and (head.length is None or head.length <= self.hold)
         if self.outcome is Outcome.SUCCESS and not fits:
-            exchange.begin(self.passed(head))
+            exchange.start_response(self.passed(head))
         else:
-            self.answer = Answer(status, headers if wanted.holds else answer_headers(headers))
+            self.answer = Answer(status, headers if spec.buffers_success else answer_headers(headers))
             self.held = head
             self.until_told = self.outcome is Outcome.SUCCESS and head.has_body and head.length is None
         if not head.has_body:
@@ -343,26 +354,26 @@
             self.complete = True
             self.parser = httptools.HttpResponseParser(self)
 
-    def switch(self, exchange: BoxExchange, headers: Headers) -> None:
+    def switch(self, exchange: Http1Attempt, headers: Headers) -> None:
         upgrade = next((value for name, value in headers if name == b"upgrade"), b"")
-        if not exchange.wanted.upgrade or upgrade.lower() != b"websocket":
+        if not exchange.spec.allows_upgrade or upgrade.lower() != b"websocket":
             raise ValueError("an upgrade that nobody asked for")
         self.tunnel = True
         kept = [*answer_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
-        exchange.begin(AnswerHead(101, kept, None, has_body=True, upgraded=True))
+        exchange.start_response(AnswerHead(101, kept, None, has_body=True, upgraded=True))
 
     def passed(self, head: AnswerHead) -> AnswerHead:
         """A head as the client gets it. Raises BadHead."""
         return replace(head, headers=answer_headers(head.headers))
 
-    def read_head(self, wanted: Wanted, status: int, headers: Headers) -> AnswerHead:
+    def read_head(self, spec: ExchangeSpec, status: int, headers: Headers) -> AnswerHead:
         """What frames the answer; its fields as they came."""
         lengths = {value for name, value in headers if name == b"content-length"}
         codings = [value.lower() for name, value in headers if name == b"transfer-encoding"]
         if (codings and (lengths or codings != [b"chunked"])) or len(lengths) > 1:
             raise BadHead("an answer of ambiguous length")
         length = int(lengths.pop()) if lengths else None  # the parser takes nothing but digits
-        has_body = not (wanted.is_head or status in NO_BODY)
+        has_body = not (spec.is_head or status in NO_BODY)
         self.until_close = has_body and length is None and not codings
         return AnswerHead(status, headers, length, has_body)
 
@@ -372,25 +383,25 @@
             return
         self.left -= len(body)
         self.body += len(body)
-        limit = exchange.wanted.limit
+        limit = exchange.spec.response_limit
         if limit is not None and self.body > limit:
             raise ValueError("body too long")
-        if exchange.begun:
-            exchange.wanted.download.data(body)
+        if exchange.response_started:
+            exchange.spec.download.data(body)
             return
         self.chunks.append(body)
         if self.body > LEAST:
             self.count(self.body)
         if self.body > self.hold:
-            if exchange.wanted.holds and self.outcome is not Outcome.SUCCESS:
+            if exchange.spec.buffers_success and self.outcome is not Outcome.SUCCESS:
                 raise ValueError("a failure that is too long")
             self.pass_held(exchange)
 
-    def pass_held(self, exchange: BoxExchange) -> None:
+    def pass_held(self, exchange: Http1Attempt) -> None:
         """What is held of an answer goes to the client: from here on it is the final one."""
-        exchange.begin(self.passed(self.held))
+        exchange.start_response(self.passed(self.held))
         for chunk in self.chunks:
-            exchange.wanted.download.data(chunk)
+            exchange.spec.download.data(chunk)
         self.chunks = []
         self.count(0)
 
@@ -408,18 +419,18 @@
             self.count(0)
         self.exchange = self.carried = None
         transport = self.transport
-        upload = exchange.wanted.upload
+        upload = exchange.spec.upload
         reusable = clean and self.keep_alive and upload.complete and transport is not None
         if reusable and transport is not None and not transport.get_write_buffer_size():
             transport.set_write_buffer_limits(high=0)
-            if exchange.paused:
+            if exchange.client_paused:
                 transport.resume_reading()
-            self.pool.rest(self)
+            self.pool.return_idle(self)
         else:
             self.abort()
-        if exchange.begun:
-            exchange.whole = True
-            exchange.wanted.download.end(trailers(self.fields))
+        if exchange.response_started:
+            exchange.response_complete = True
+            exchange.spec.download.end(trailers(self.fields))
             exchange.end(outcome)
         else:
             exchange.end(outcome, answer)
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -20,9 +20,9 @@
 from badgergap.replication.idempotent_request import End, Once, Request
 from badgergap.replication.idempotency_record import Record, Repeats
 from badgergap.replication.service import CopiesRoom
-from badgergap.proxy.proxy import OUT_OF_TOUCH, TRANSIT_US, Books, plain, refused
+from badgergap.proxy.proxy import OUT_OF_TOUCH, TRANSIT_US, AttemptListener, plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.proxy.upstream.stream_attempt import Client, Tried
+from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
 from badgergap.balancing.interface import Idempotency, Outcome, DeduplicationScope
 from badgergap.ordinary.turn import Guide, Turn, Way
@@ -322,8 +322,8 @@
         upstream: Upstream,
         server: int,
         timeout_s: float,
-        books: Books,
-        begin: Callable[[float, Books], Tried],
+        books: AttemptListener,
+        begin: Callable[[float, AttemptListener], StreamAttempt],
     ) -> Exchange:
         once = self.once
         assert once is not None
@@ -403,7 +403,7 @@
         if self.source is not None and not self.ended:
             self.source.flow(on)
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """No tunnel has a key."""
 
     def client_left(self) -> None:
@@ -458,15 +458,15 @@
         seat: Seat,
         upstream: Upstream,
         timeout_s: float,
-        books: Books,
-        begin: Callable[[float, Books], Tried],
+        books: AttemptListener,
+        begin: Callable[[float, AttemptListener], StreamAttempt],
     ) -> None:
-        super().__init__(b"", books.ended)
+        super().__init__(b"", books.on_ended)
         self.seat, self.upstream, self.books, self.begin = seat, upstream, books, begin
         self.until = seat.loop.time() + timeout_s
-        self.inner: Tried | None = None
+        self.inner: StreamAttempt | None = None
         self.sent = False
-        self.epoch = upstream.acting() if upstream.acting is not None else 0
+        self.epoch = upstream.current_epoch() if upstream.current_epoch is not None else 0
 
     def ask(self, server: int) -> None:
         once = self.seat.once
@@ -482,7 +482,13 @@
         once = self.seat.once
         assert once is not None
         left_s = self.until - self.seat.loop.time()
-        if self.done or self.unwanted or not may or left_s <= 0 or not self.upstream.still(self.epoch):
+        if (
+            self.done
+            or self.unwanted
+            or not may
+            or left_s <= 0
+            or not self.upstream.is_epoch_current(self.epoch)
+        ):
             if may:
                 once.attempt_over(False)
             if not self.done:
@@ -519,13 +525,13 @@
     def __init__(self, held: Held) -> None:
         self.held = held
 
-    def committed(self) -> None:
-        self.held.books.committed()
+    def on_committed(self) -> None:
+        self.held.books.on_committed()
 
-    def began(self, status: int, waited_s: float) -> None:
-        self.held.books.began(status, waited_s)
+    def on_response_started(self, status: int, waited_s: float) -> None:
+        self.held.books.on_response_started(status, waited_s)
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
         held = self.held
         held.written = held.inner.written if held.inner is not None else False
         held.seat.whole = answer if answer is not None else held.seat.whole
--- a/badgergap/rollout/metrics.py
+++ b/badgergap/rollout/metrics.py
@@ -31,8 +31,8 @@
         pairs = zip(self.names, classes, strict=True)
         self.aims_us = [aims_us.get(name, own) for name, (_, own) in pairs]
 
-    def answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int) -> None:
-        self.then.answered(now_us, klass, status, took_us, tenant)
+    def on_answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int) -> None:
+        self.then.on_answered(now_us, klass, status, took_us, tenant)
         counts = self._counts(klass)
         if counts is None:
             return
@@ -58,12 +58,12 @@
             counts = self.counts[self.names[klass]] = Counts()
         return counts
 
-    def left(self, now_us: int, klass: int, tenant: int) -> None:
+    def on_client_left(self, now_us: int, klass: int, tenant: int) -> None:
         """Whoever left is told of nothing: the client decides, and no settings are to blame for it."""
-        self.then.left(now_us, klass, tenant)
+        self.then.on_client_left(now_us, klass, tenant)
 
-    def attempted(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
-        self.then.attempted(now_us, server, outcome, latency_us)
+    def on_attempt_ended(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
+        self.then.on_attempt_ended(now_us, server, outcome, latency_us)
         self.tries += 1
 
     def take(self) -> Block:
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -89,7 +89,7 @@
     def data_received(self, data: bytes) -> None:
         self.progress_at = self.loop.time()
         if self.tunnel and self.current is not None and self.current.source is not None:
-            self.current.source.more(data)
+            self.current.source.send_body(data)
         elif self.closing:
             return
         elif self.rest or self.may_switch:
@@ -535,5 +535,5 @@
         super().begin(head, source)
         if head.upgraded and front.rest and self.incoming.source is source:
             rest, front.rest = front.rest, b""
-            source.more(rest)
+            source.send_body(rest)
         front.check_flow()
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -46,8 +46,8 @@
     figures = Figures((("entry", 500_000), ("deck", 2 * S)))
     for second in range(400):
         for status, took_us in ((200, 100_000), (200, 600_000), (503, 1_000), (504, 1_000_000)):
-            figures.answered(second * S, 0, status, took_us)
-        figures.left(second * S, 0)
+            figures.on_answered(second * S, 0, status, took_us)
+        figures.on_client_left(second * S, 0)
     entry, deck = figures.service(400 * S)
     assert [w.span_s for w in entry.windows] == [10, 60, 300]
     for window in entry.windows:
@@ -66,9 +66,11 @@
 def test_a_box_is_judged_by_what_it_answers() -> None:
     figures = Figures((("entry", 1),))
     for n in range(20):
-        figures.attempted(10 * S + n * 100_000, 7, Outcome.SUCCESS if n % 2 else Outcome.TIMEOUT, 40_000)
-    figures.attempted(12 * S, 7, Outcome.NEVER_SENT, 0)
-    figures.attempted(12 * S, 8, Outcome.CANCELLED, 0)
+        figures.on_attempt_ended(
+            10 * S + n * 100_000, 7, Outcome.SUCCESS if n % 2 else Outcome.TIMEOUT, 40_000
+        )
+    figures.on_attempt_ended(12 * S, 7, Outcome.NEVER_SENT, 0)
+    figures.on_attempt_ended(12 * S, 8, Outcome.CANCELLED, 0)
     assert figures.boxes[7].rates(13 * S) == (1.0, 1.0) and figures.boxes[7].usual_us == 40_000
     assert 8 not in figures.boxes
     figures.keep_only([8])
@@ -79,7 +81,7 @@
     monkeypatch.setattr(figures_module, "BOX_LIMIT", 2)
     figures = Figures((("entry", 1),))
     for server in range(5):
-        figures.attempted(S, server, Outcome.SUCCESS, 1)
+        figures.on_attempt_ended(S, server, Outcome.SUCCESS, 1)
     assert list(figures.boxes) == [0, 1]
 
 
@@ -97,11 +99,11 @@
 def server(name: str, **changed: float | bool) -> EndpointView:
     fields: dict[str, object] = {
         "open_until_us": 0,
-        "on_trial": False,
-        "silent": False,
-        "warm_share": 1.0,
-        "weight": 1.0,
-        "out": 0,
+        "half_open": False,
+        "overdue": False,
+        "warm_up_fraction": 1.0,
+        "controller_weight": 1.0,
+        "in_flight": 0,
     }
     return EndpointView(host_id(name), **(fields | changed))  # type: ignore[arg-type]
 
@@ -110,9 +112,9 @@
 STATES = [
     (host("a"), server("a"), "untried", ""),
     (host("a"), server("a", open_until_us=9 * S), "resting", ""),
-    (host("a"), server("a", on_trial=True, silent=True), "trial", ""),
-    (host("a"), server("a", silent=True, warm_share=0.5), "silent", ""),
-    (host("a"), server("a", warm_share=0.5), "warming", ""),
+    (host("a"), server("a", half_open=True, overdue=True), "trial", ""),
+    (host("a"), server("a", overdue=True, warm_up_fraction=0.5), "silent", ""),
+    (host("a"), server("a", warm_up_fraction=0.5), "warming", ""),
     (host("a"), None, "gone", "file"),
     (host("a", EndpointStatus.DRAINING), server("a"), "draining", "file"),
     (host("a", EndpointStatus.GONE), None, "gone", "file"),
@@ -133,9 +135,9 @@
 
 def test_a_state_has_a_beginning_and_a_gone_box_is_forgotten() -> None:
     boxes, figures = Boxes(Names((), (), (), ())), Figures(())
-    figures.attempted(S, host_id("a"), Outcome.SUCCESS, 1)
+    figures.on_attempt_ended(S, host_id("a"), Outcome.SUCCESS, 1)
     for now_us in (10 * S, 12 * S):
-        (view,) = boxes.views(now_us, [host("a")], [server("a", out=5)], {host_id("a"): 2}, figures)
+        (view,) = boxes.views(now_us, [host("a")], [server("a", in_flight=5)], {host_id("a"): 2}, figures)
         assert (view.state, view.since_us, view.waiting, view.in_work) == ("serving", 10 * S, 2, 3)
     gone = host("a", EndpointStatus.GONE)
     assert boxes.views(302 * S, [gone], [], {}, figures)[0].since_us == 3 * S
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from badgergap.etcd import EtcdRoom, EtcdSource, Options, Times
-from badgergap.proxy.upstream.stream_exchange import BoxConnection
+from badgergap.proxy.upstream.stream_exchange import Http1Connection
 from badgergap.proxy.lifecycle.config import Config, parse_config
 from badgergap.proxy.downstream.client_connection import Downstream
 from badgergap.proxy.proxy import Proxy
@@ -65,16 +65,16 @@
 
     def note_writes(self) -> Callable[[], None]:
         """Note each request that is written to a box; what is returned ends that."""
-        write = BoxConnection.write
+        write = Http1Connection.write
 
-        def noting(connection: BoxConnection, exchange: Exchange) -> None:
-            self.wrote.append(("{}:{}".format(*connection.host.address), own_time()))
+        def noting(connection: Http1Connection, exchange: Exchange) -> None:
+            self.wrote.append(("{}:{}".format(*connection.endpoint.address), own_time()))
             write(connection, exchange)
 
         def end() -> None:
-            BoxConnection.write = write  # type: ignore[method-assign]
+            Http1Connection.write = write  # type: ignore[method-assign]
 
-        BoxConnection.write = noting  # type: ignore[method-assign,assignment]
+        Http1Connection.write = noting  # type: ignore[method-assign,assignment]
         return end
 
     def load(self, seed: int = 1) -> Load:
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -438,16 +438,16 @@
                 {"x": None},
             ):
                 old.send(said)
-            while not it.proxy.upstream.elsewhere:
+            while not it.proxy.upstream.connections_elsewhere:
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.05)
-            assert it.downstream.elsewhere >= 100 and it.proxy.upstream.elsewhere == 50
+            assert it.downstream.elsewhere >= 100 and it.proxy.upstream.connections_elsewhere == 50
             assert it.downstream.limit <= limit - 100
             old.send({"hand": ["h0", "anna", True]})
             while not it.proxy.roster.drains:
                 await asyncio.sleep(0.001)
             old.close()
-            while it.proxy.upstream.elsewhere:
+            while it.proxy.upstream.connections_elsewhere:
                 await asyncio.sleep(0.001)
             assert it.downstream.limit == limit
             await succession.close()
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -49,7 +49,7 @@
             assert await told(it) == (EndpointListKind.DELTA, ["h1 gone"])
             watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
             assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert it.proxy.upstream.hosts[host_id("h0")].stop_at is not None  # the full list lacks it
+            assert it.proxy.upstream.endpoints[host_id("h0")].stop_at is not None  # the full list lacks it
 
     run(test())
 
@@ -123,7 +123,7 @@
             assert await told(it) == (EndpointListKind.ERROR, [])
             first, _ = await it.registry.watches.get()
             assert "index=12" in first
-            assert it.proxy.upstream.hosts  # the old list stands
+            assert it.proxy.upstream.endpoints  # the old list stands
 
     run(test())
 
@@ -187,7 +187,7 @@
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
             await told(it)
-            host = it.proxy.upstream.hosts[host_id("h0")]
+            host = it.proxy.upstream.endpoints[host_id("h0")]
             assert host.address == ("127.0.0.1", 9)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
             assert await told(it) == (EndpointListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -155,7 +155,7 @@
             for connection in it.downstream.connections:
                 connection.since -= 1.0
             busy = await it.client()
-            it.proxy.upstream.elsewhere = 30
+            it.proxy.upstream.connections_elsewhere = 30
             assert (await busy.ask(ask("buy", body=b"x")))[2] == b"x"
             assert len(it.downstream.connections) <= it.downstream.limit < len(resting)
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -22,7 +22,7 @@
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy import unread_input
 from badgergap.proxy.downstream import client_connection
-from badgergap.proxy.proxy import Books
+from badgergap.proxy.proxy import AttemptListener
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.balancing.interface import (
@@ -386,7 +386,7 @@
             client.send(ask("buy"))
             await it.event(RequestArrived)
             change = entry("h0", "127.0.0.1:9") if how == "moved" else entry("h0", it.host.address, how)
-            host = next(iter(it.proxy.upstream.hosts.values()))
+            host = next(iter(it.proxy.upstream.endpoints.values()))
             watch.write(chunk(news(change)))
             await until(lambda: host.stop_at is not None)
             free.set()
@@ -689,10 +689,10 @@
         seat = SimpleNamespace(
             loop=upstream.loop, once=SimpleNamespace(attempt_over=over.append, launch=lambda *_: None)
         )
-        books = SimpleNamespace(ended=lambda outcome, answer: told.append(outcome))
+        books = SimpleNamespace(on_ended=lambda outcome, answer: told.append(outcome))
         begun: list[float] = []
 
-        def begin(left_s: float, told: Books) -> Any:
+        def begin(left_s: float, told: AttemptListener) -> Any:
             begun.append(left_s)
 
         held = Held(seat, upstream, 9.0, books, begin)  # type: ignore[arg-type]
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -215,7 +215,7 @@
 
     async def test() -> None:
         async with gateway() as it:
-            it.proxy.upstream.hosts[host_id("h0")].address = ("a..b", 80)
+            it.proxy.upstream.endpoints[host_id("h0")].address = ("a..b", 80)
             assert (await (await it.client()).ask(ask("buy")))[0] == 503
             assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
             assert not it.proxy.upstream.connections
@@ -729,11 +729,11 @@
         async with gateway() as it:
             client = await it.client()
             await it.served(client)
-            it.proxy.upstream.sweep()
+            it.proxy.upstream.clean_up()
             assert len(it.proxy.upstream.connections) == 1
             assert it.proxy.upstream.idle_s < 60  # what the settings say
             monkeypatch.setattr(it.proxy.upstream, "idle_s", 0.0)
-            it.proxy.upstream.sweep()
+            it.proxy.upstream.clean_up()
             await it.host.left.get()
             assert not it.proxy.upstream.connections
 
