--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -32,7 +32,8 @@
 from typing import Any
 
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.downstream.client_connection import ClientConnection, Downstream
+from badgergap.proxy.downstream.client_connection import ClientConnection
+from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.hot_restart.channel import Link, Place, check_peer, descriptor_of
 from badgergap.hot_restart.listeners import Part
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -15,7 +15,7 @@
 
 from badgergap.proxy.commands.parsing import LINE_LIMIT, Call, CallError, answer_line
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy.downstream.client_connection import Downstream
+from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.endpoints.registry import RosterError
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -1,51 +1,44 @@
-"""Connections from clients: HTTP in, one answer out for each request, /health/ready."""
+"""A connection from a client: requests in, one response to each in their order, /health/ready.
+
+The order of its concerns: what its transport reports, what the parser reports, the requests in their turn,
+the responses, the end of the connection, and the time limits.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import heapq
 import logging
 import socket
 import struct
 from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
-from typing import cast
+from typing import Protocol, cast
 
 import httptools
 
-from badgergap.proxy.limits import eviction
 from badgergap.proxy import unread_input
-from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE, carry
-from badgergap.proxy.limits.memory import LARGEST, LEAST
-from badgergap.proxy.lifecycle.config import Address, Config
-from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
-from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest, Head, Intake
-from badgergap.proxy.lifecycle.lame_duck import LOOK_S, Fate, LameDuck
-from badgergap.proxy.proxy import (
-    RETRY_AFTER,
-    Books,
-    Proxy,
-    Request,
-    plain,
-    refused,
-)
-from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.proxy.upstream.stream_attempt import Tried, Wanted, is_early
+from badgergap.proxy.body_streams import AnswerHead, Upload
+from badgergap.proxy.downstream.forwarding import exchange_spec
+from badgergap.proxy.downstream.incoming_request import Incoming
+from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest, Intake
+from badgergap.proxy.downstream.response import answer_bytes, head_of
+from badgergap.proxy.downstream.response_writer import Written
+from badgergap.proxy.lifecycle.lame_duck import Fate, LameDuck
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.limits.memory import Budget, Reads
+from badgergap.proxy.proxy import RETRY_AFTER, Books, Proxy, Request, plain, refused
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.upstream.stream_attempt import is_early
+from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE, carry
 
 log = logging.getLogger(__name__)
 
 # What is not body of a request, beside so many times its body. Guards against chunk extensions and trailers
 # that go on without end; a body may come in chunks of one byte.
 RAW_LIMIT = 4 * HEAD_LIMIT
-BACKLOG = 1024
 COUNTED = 2048  # bytes of a head that is not whole, from which on the budget is told
 PIPELINED = 8  # requests read ahead of their turn on one connection
 IDLE_S = 5.0  # a connection between requests
-RESTING_SHARE = 1 / 3  # of the connections that clients may have: so many of them between requests
 # For a whole request: the first on a connection from its accept, a later one from its first byte. Guards
 # against clients that say nothing, or say it without end, and hold a descriptor meanwhile.
 REQUEST_S = 2.25
@@ -56,102 +49,36 @@
 FIRST_S = 1.0  # for the first of it, behind a head that took its time
 UNREAD_S = 10.0  # a client that takes nothing of its answer for so long is cut
 HOST_QUIET_S = 10.0  # a host that has begun to answer and says nothing for so long
-SWEEP_S = 0.25
 LINGER_S = 1.0
-# New connections go on coming for 0.4 s after a planned restart has begun.
-LAST_ACCEPT_S = 0.5
-LAST_REQUEST_S = 0.6
-UNREAD_DRAIN_S = 3.0  # for a client to read an answer that it was given
-FINISH_POLL_S = 0.01
-LOOKED_AT = 8  # connections that may have said something meanwhile, for one that makes room
-GIVE_S = 0.5  # for an answer to be sent, so that its connection can be given to the next process
-# Of the reserve: connections over the limit that hear 503 to their request; so many again hear it unasked.
-TURNED_AWAY = 1 / 4
-TURNED_LINGER_S = 0.3
 LAME_LINGER_S = 0.3
 
-# Of a host's answer: between two machines only, or written anew by the gateway.
-HOP_HEADERS = frozenset(
-    (
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"content-length",
-        b"not-started",
-        b"server-load",
-    )
-)
-VERSIONS = ("1.0", "1.1")
-
-
-# The body of all requests that have none: whole from the start, and nothing to hold.
-NOTHING = Upload(lambda on: None, complete=True)
-
-
-@dataclass(slots=True, eq=False)
-class Incoming(Head):
-    """A request as it is read, and its answer as it is written."""
-
-    came_at: float = 0.0  # loop time of its last byte
-    upload: Upload = NOTHING
-    size: int = 0  # of its header fields, then of its body
-    raw: int = 0  # bytes since the first, however they are framed
-    length: int | None = 0  # of the body; None: chunked
-    version: str = "1.1"
-    head_read: bool = False
-    queued: bool = False  # it waits for its turn, or has had it
-    wants_word: bool = False  # its client sends no body before it is told to
-    keep_alive: bool = True
-    refusal: BadRequest | None = None  # what it is answered in its turn, without a look at the rest
-    request_id: bytes = b""  # once it is among the open ones
-    lines: bytes = b""  # of its head, as a host is to hear them
-    exchange: Tried | None = None  # the newest
-    source: DownloadSource | None = None  # once an answer is passed on
-    chunked: bool = False  # how that is framed
-    last: bool = False  # the connection ends with its answer
-
-    def check_head(self, version: str) -> None:
-        """What the head alone shows to be wrong, before any of the body has come."""
-        if version not in VERSIONS:
-            raise BadRequest(505, "neither HTTP/1.0 nor HTTP/1.1")
-        self.version = version
-        self.check_target()
-        coding = self.headers.get(b"transfer-encoding")
-        if coding is not None and (b"content-length" in self.headers or coding.lower() != b"chunked"):
-            raise BadRequest(400, "ambiguous length")
-        self.check_length()
-        if self.method == b"GET" and coding is not None:
-            raise BadRequest(400, "GET with a body")
-        self.length = int(self.headers.get(b"content-length", b"0")) if coding is None else None
-
-
-class ForHost:
-    """A head of the platform's, whose lines are ready."""
-
-    __slots__ = ("ready",)
-
-    def __init__(self, ready: bytes) -> None:
-        self.ready = ready
-
-    def lines(self) -> bytes:
-        return self.ready
-
-
-class Final(Downward):
-    """Of a host's answers the final one alone goes on: this protocol has no others."""
-
-    __slots__ = ()
-
-    def interim(self, status: int, headers: Headers) -> None:
-        """Between the gateway and the host."""
+
+class ListenerContext(Protocol):
+    """What a connection needs of the listener that accepted it."""
+
+    loop: asyncio.AbstractEventLoop
+    proxy: Proxy
+    intake: Intake
+    budget: Budget  # bytes of bodies and heads that the process may hold
+    reads: Reads  # the buffer that all connections read into
+    lame: LameDuck
+    unsent_limit: int  # bytes written to a client and not taken, beyond which its endpoint is not read
+    resting: dict[ClientConnection, None]  # between requests, the one used last comes last
+
+    @property
+    def ends_connections(self) -> bool:
+        """Whether each response is its connection's last."""
+
+    def add(self, connection: ClientConnection) -> None: ...
+    def drop(self, connection: ClientConnection) -> None: ...
+    def rest(self, connection: ClientConnection) -> None:
+        """It has no request in hand."""
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    def __init__(self, server: Downstream, asked: bool = False) -> None:
+    """One connection from a client of the platform: requests in, one response to each, in their order."""
+
+    def __init__(self, server: ListenerContext, asked: bool = False) -> None:
         """`asked`: another process of this gateway has served it before."""
         self.server = server
         self.loop = server.loop
@@ -485,24 +412,7 @@
             second = Exchange(b"", books.ended)
             self.loop.call_soon(second.never_sent)
             return second
-        length = upload.size if upload.complete else incoming.length
-        lines = incoming.lines + b"Request-Timeout-Ms: %d\r\n" % -(-int(timeout_s * 1e6) // 1000)
-        if length is None:
-            lines += b"Transfer-Encoding: chunked\r\n"
-        elif length or incoming.method != b"GET":
-            lines += b"Content-Length: %d\r\n" % length
-        wanted = Wanted(
-            head=ForHost(lines),
-            upload=upload,
-            download=Final(self, incoming),
-            is_head=False,
-            chunked=length is None,
-            upgrade=False,
-            failing=is_failure,
-            holds=True,
-            whole_runs=True,
-            limit=BODY_LIMIT,
-        )
+        wanted = exchange_spec(self, incoming, timeout_s)
         incoming.exchange = carry(upstream, server, timeout_s, wanted, books)
         return incoming.exchange
 
@@ -702,261 +612,3 @@
                 self.next()
         elif not self.owed and now - self.since > (IDLE_S if self.asked else REQUEST_S) and self.may_close:
             self.close()
-
-
-class Downstream:
-    """The listener and its connections."""
-
-    def __init__(self, config: Config, proxy: Proxy, loop: asyncio.AbstractEventLoop) -> None:
-        self.config, self.proxy, self.loop = config, proxy, loop
-        self.intake = Intake(config)
-        self.budget, self.reads = proxy.upstream.budget, proxy.upstream.reads
-        self.most = eviction.limit(config.sockets, 0)
-        self.turned_away = int(eviction.reserve(config.sockets) * TURNED_AWAY)
-        self.longest_s = max(klass.client_timeout_us for klass in config.settings.classes) / 1e6
-        self.half_sent_s = eviction.half_sent_s(self.longest_s)
-        proxy.upstream.on_open = self.keep_to_limit
-        # Bytes written to a client and not taken, beyond which its host is not read.
-        self.unsent_limit = min(LARGEST, max(LEAST, self.budget.total // (4 * self.most)))
-        self.elsewhere = 0  # of them, those that another process of this gateway holds
-        self.connections: set[ClientConnection] = set()
-        self.resting: dict[ClientConnection, None] = {}  # between requests, the one used last comes last
-        self.most_resting = int(eviction.half(config.sockets) * RESTING_SHARE)
-        self.draining = False
-        self.socket: socket.socket | None = None  # that listens; another process may listen on it too
-        self.give: Callable[[ClientConnection], bool] | None = None  # to the process that takes over
-        self.on_lame: list[Callable[[bool], None]] = []
-        self.lame = LameDuck()
-        self.looking: asyncio.TimerHandle | None = None  # while clients are sent away
-        self.listener: asyncio.Server | None = None
-
-    async def start(self, listener: socket.socket | None = None) -> Address:
-        """Listen for clients; returns where, as port 0 leaves the choice to the system.
-
-        `listener`: the socket of a process before, which goes on.
-        """
-        if self.config.listen is None:
-            raise ValueError("nothing to listen on")
-        self.socket = listener or listening(self.config.listen, shared=self.config.console is not None)
-        await self.accept()
-        self.loop.call_later(SWEEP_S, self.sweep)
-        bound: Address = self.socket.getsockname()[:2]
-        return bound
-
-    async def accept(self) -> None:
-        """The loop gets a descriptor of its own: what it closes leaves the socket as it is."""
-        assert self.socket is not None
-        self.listener = await self.loop.create_server(
-            lambda: ClientConnection(self), sock=self.socket.dup(), backlog=BACKLOG
-        )
-
-    def give_way(self, give: Callable[[ClientConnection], bool]) -> None:
-        """Another process takes the clients: nothing is accepted any more, and who rests is given over."""
-        self.give = give
-        self.stop_listening()
-        for connection in list(self.connections):
-            self.try_to_give(connection)
-
-    def take_back(self) -> None:
-        """That process has gone."""
-        self.give = None
-        self.accepting = self.loop.create_task(self.accept())
-
-    def try_to_give(self, connection: ClientConnection) -> bool:
-        if self.give is None or not connection.may_be_given() or not self.give(connection):
-            return False
-        self.drop(connection)
-        connection.given()
-        return True
-
-    @property
-    def limit(self) -> int:
-        """Connections that clients may have here."""
-        others = len(self.proxy.upstream.connections) + self.proxy.upstream.elsewhere
-        return max(self.most // 4, eviction.limit(self.config.sockets, others) - self.elsewhere)
-
-    def follow(self, config: Config) -> None:
-        """Requests to come are read by the classes there are now."""
-        open_ids, self.intake = self.intake.open_ids, Intake(config)
-        self.intake.open_ids = open_ids
-
-    def add(self, connection: ClientConnection) -> None:
-        """Guards against running out of descriptors: what is missed least goes, else new ones hear 503."""
-        if len(self.connections) >= self.limit and not self.make_room():
-            connection.refusing = True
-        self.connections.add(connection)
-        beyond = len(self.connections) - self.limit
-        if beyond > self.turned_away:
-            connection.write(answer_bytes(refused("too many connections"), True, False))
-            if beyond > 2 * self.turned_away:
-                connection.close()  # with what it has sent unread: the reset may overtake the answer
-            else:
-                connection.closing = True
-                connection.linger(TURNED_LINGER_S)
-
-    def make_room(
-        self, up_to: eviction.Standing = eviction.Standing.ASKING, for_memory: bool = False
-    ) -> bool:
-        """Close the connection that is missed least, if one has shown no more than this."""
-        now = self.loop.time()
-        shown = ((c.standing(now, for_memory), c.progress_at, n, c) for n, c in enumerate(self.connections))
-        for standing, _, _, connection in heapq.nsmallest(LOOKED_AT, shown):
-            if standing > up_to:
-                break
-            if connection.may_close:
-                self.drop(connection)
-                connection.make_room()
-                return True
-        return False
-
-    def keep_to_limit(self) -> None:
-        """Hosts have taken what clients had, or bodies and heads more memory than there is for them."""
-        excess = len(self.connections) - self.limit
-        while excess > 0 and self.make_room(eviction.Standing.NEW):
-            excess -= 1
-        if self.budget.used > self.budget.total:
-            self.make_room(eviction.Standing.STALLED, for_memory=True)
-
-    def drop(self, connection: ClientConnection) -> None:
-        self.connections.discard(connection)
-        self.resting.pop(connection, None)
-
-    def rest(self, connection: ClientConnection) -> None:
-        """Guards against clients that ask once and stay: others, held to a number by a front, find no place.
-
-        They would wait for a connection while this side, below its own limit, has no cause to make room.
-        """
-        if self.give is not None:
-            self.loop.call_soon(self.try_to_give, connection)  # once its answer is on the way
-        self.resting[connection] = None
-        if len(self.resting) > self.most_resting:
-            oldest = next(iter(self.resting))
-            del self.resting[oldest]
-            if oldest.may_close:
-                oldest.close()
-
-    @property
-    def ends_connections(self) -> bool:
-        """Whether each answer is its connection's last. Not where another process takes them over."""
-        return (self.draining and self.give is None) or bool(self.lame)
-
-    def send_away(self, since_s: float = 0.0) -> bool:
-        """Drain the gateway, which stays; it has gone on for `since_s`. Returns whether it is new."""
-        new = self.lame.begin(self.loop.time() - since_s)
-        if self.looking is None:
-            self.look()
-        for tell in self.on_lame if new else ():
-            tell(True)
-        return new
-
-    def rejoin(self) -> bool:
-        """The end of such a drain. Returns whether there was one."""
-        was = self.lame.end()
-        for tell in self.on_lame if was else ():
-            tell(False)
-        return was
-
-    def look(self) -> None:
-        self.looking = self.loop.call_later(LOOK_S, self.look) if self.lame else None
-        now = self.loop.time()
-        for connection in list(self.connections):
-            connection.send_away(now)
-
-    def sweep(self) -> None:
-        """Close connections that have been idle for long, and answer those whose request does not end."""
-        now = self.loop.time()
-        self.keep_to_limit()
-        for connection in list(self.connections):
-            if not self.try_to_give(connection):
-                connection.check_time(now)
-        self.loop.call_later(SWEEP_S, self.sweep)
-
-    async def drain(self) -> None:
-        """Planned end: take what still comes, answer everything, then close."""
-        self.draining = True
-        self.proxy.end_within(eviction.killed_s(self.longest_s) - eviction.LAST_ANSWER_S)
-        if self.give is None:
-            await asyncio.sleep(LAST_ACCEPT_S)
-            await self.take_last()
-            await asyncio.sleep(LAST_REQUEST_S - LAST_ACCEPT_S)
-        await self.finish()
-
-    async def take_last(self) -> None:
-        """Listen no more, and take what has been accepted for this process already.
-
-        Guards against connections that stand in the queue of the listener, with their requests, while the
-        loop is busy: at its close they would be reset. It is closed here, not only the loop's copy: else new
-        ones would go on queueing for a process that takes none.
-        """
-        self.stop_listening()
-        listener, self.socket = self.socket, None
-        if listener is None or self.give is not None:
-            self.socket = listener  # another process listens on it too
-            return
-        last: list[socket.socket] = []
-        with contextlib.suppress(OSError):  # none is left, or no descriptor
-            while len(last) < BACKLOG:
-                last.append(listener.accept()[0])
-        listener.close()
-        for sock in last:
-            sock.setblocking(False)
-            with contextlib.suppress(OSError):
-                await self.loop.connect_accepted_socket(lambda: ClientConnection(self), sock)
-
-    def stop_listening(self) -> None:
-        if self.listener is not None:
-            self.listener.close()
-            self.listener = None
-
-    async def finish(self) -> None:
-        """Wait for the last answers. Only connections that are owed none are closed."""
-        began = self.loop.time()
-        while self.connections:
-            waited_s = self.loop.time() - began
-            for connection in [c for c in self.connections if not c.owed]:
-                if self.try_to_give(connection) or (self.give is not None and waited_s < GIVE_S):
-                    continue
-                standing = connection.standing(self.loop.time())
-                if (standing < eviction.Standing.NEW and connection.may_close) or waited_s > self.half_sent_s:
-                    connection.close()
-                if waited_s > UNREAD_DRAIN_S:
-                    connection.abort()
-            await asyncio.sleep(FINISH_POLL_S)
-
-
-def listening(address: Address, shared: bool) -> socket.socket:
-    """A bound socket. `shared`: another process of this gateway may be bound there. Raises OSError."""
-    found = socket.getaddrinfo(*address, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
-    family, kind, protocol, _, where = found[0]
-    sock = socket.socket(family, kind, protocol)
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.setblocking(False)
-        sock.bind(where)
-    except OSError:
-        sock.close()
-        raise
-    return sock
-
-
-def is_failure(status: int) -> bool:
-    """The platform's hosts serve with 200 and nothing else."""
-    return status != 200
-
-
-def head_of(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
-    lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
-    lines += [b"%b: %b" % header for header in headers if header[0] not in HOP_HEADERS]
-    if last:
-        lines.append(b"connection: close")
-    elif version == "1.0":
-        lines.append(b"connection: keep-alive")
-    return lines
-
-
-def answer_bytes(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
-    lines = head_of(answer.status, answer.headers, last, version)
-    lines.append(b"content-length: %d" % len(answer.body))
-    return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if head_only else answer.body)
--- /dev/null
+++ b/badgergap/proxy/downstream/response.py
@@ -0,0 +1,39 @@
+"""Responses as HTTP/1.1 bytes: the status line, the header fields, a complete response."""
+
+from __future__ import annotations
+
+from badgergap.proxy.body_streams import Headers
+from badgergap.proxy.downstream.response_writer import REASONS
+from badgergap.proxy.upstream.connection_pool import Answer
+
+# Of a host's answer: between two machines only, or written anew by the gateway.
+HOP_HEADERS = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"not-started",
+        b"server-load",
+    )
+)
+
+
+def head_of(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
+    lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
+    lines += [b"%b: %b" % header for header in headers if header[0] not in HOP_HEADERS]
+    if last:
+        lines.append(b"connection: close")
+    elif version == "1.0":
+        lines.append(b"connection: keep-alive")
+    return lines
+
+
+def answer_bytes(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
+    lines = head_of(answer.status, answer.headers, last, version)
+    lines.append(b"content-length: %d" % len(answer.body))
+    return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if head_only else answer.body)
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -17,7 +17,7 @@
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
-from badgergap.proxy.downstream.client_connection import Downstream
+from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.proxy import Observer, Proxy
 
 log = logging.getLogger(__name__)
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -14,7 +14,7 @@
 from badgergap.etcd import EtcdRoom, EtcdSource, Options, Times
 from badgergap.proxy.upstream.stream_exchange import BoxConnection
 from badgergap.proxy.lifecycle.config import Config, parse_config
-from badgergap.proxy.downstream.client_connection import Downstream
+from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.upstream.connection_pool import Exchange
 from badgergap.balancing.interface import EndpointStatus
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -17,7 +17,7 @@
 import pytest
 
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import listener
 from badgergap.balancing.interface import AttemptEnded, PeerMessage, SendPeerMessage
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
@@ -187,7 +187,7 @@
 
 
 def test_a_client_that_reads_nothing_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "UNREAD_DRAIN_S", 0.0)
+    monkeypatch.setattr(listener, "UNREAD_DRAIN_S", 0.0)
 
     async def test() -> None:
         async with gateway() as it:
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import client_connection, listener
 from badgergap.proxy.limits.eviction import Standing
 from badgergap.balancing.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
@@ -193,7 +193,7 @@
                 ours.progress_at -= 15.0
                 came = ours.progress_at
                 for _ in range(3):  # looks of the end at its connections
-                    await asyncio.sleep(client_connection.FINISH_POLL_S)
+                    await asyncio.sleep(listener.FINISH_POLL_S)
                 slow.send(whole[place : place + 50])
                 while ours.progress_at == came and not end.done():
                     await asyncio.sleep(0.001)
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -14,7 +14,7 @@
 import pytest
 
 from badgergap.proxy.upstream import stream_exchange
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import client_connection, forwarding
 from badgergap.proxy.limits.memory import LEAST, Budget
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.body_streams import HOLD
@@ -528,7 +528,8 @@
     end: bytes, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Too long, or its framing lost, with most of it at a host already: that host never has it whole."""
-    monkeypatch.setattr(client_connection, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
+    for module in (client_connection, forwarding):
+        monkeypatch.setattr(module, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
 
     async def test() -> None:
         host = Echo(with_length)
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -21,7 +21,7 @@
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy import unread_input
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import client_connection, listener
 from badgergap.proxy.proxy import Books
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.upstream.connection_pool import Upstream
@@ -120,7 +120,7 @@
     body: int, reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end stands behind a body that nobody takes yet, or behind requests sent ahead."""
-    monkeypatch.setattr(client_connection, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
 
     async def test() -> None:
         async with gateway() as it:
@@ -981,8 +981,8 @@
     beyond: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What it had sent stood unread as it was closed: the reset could overtake the 503."""
-    monkeypatch.setattr(client_connection.Downstream, "limit", 0)
-    monkeypatch.setattr(client_connection.Downstream, "make_room", lambda *_, **__: False)
+    monkeypatch.setattr(listener.Downstream, "limit", 0)
+    monkeypatch.setattr(listener.Downstream, "make_room", lambda *_, **__: False)
 
     async def test() -> None:
         async with gateway() as it:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -14,7 +14,8 @@
 import uvloop
 
 from badgergap.proxy.lifecycle.config import parse_config
-from badgergap.proxy.downstream.client_connection import ClientConnection, Downstream
+from badgergap.proxy.downstream.client_connection import ClientConnection
+from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.proxy import Proxy
 from badgergap.balancing.interface import Action, Event
 from badgergap.standins.net import Head, Server, read_head, read_message, small_socket
