--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -8,9 +8,6 @@
 
 import asyncio
 import logging
-import socket
-import struct
-from collections import deque
 from functools import partial
 from typing import Protocol, cast
 
@@ -19,6 +16,12 @@
 from badgergap.proxy import unread_input
 from badgergap.proxy.body_streams import AnswerHead, Upload
 from badgergap.proxy.downstream.forwarding import exchange_spec
+from badgergap.proxy.downstream.http_connection import (
+    AFTER_BEGIN,
+    AFTER_END,
+    AFTER_FRAMING_LOST,
+    HttpConnection,
+)
 from badgergap.proxy.downstream.incoming_request import Incoming
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest, Intake
 from badgergap.proxy.downstream.response import answer_bytes, head_of
@@ -49,7 +52,6 @@
 FIRST_S = 1.0  # for the first of it, behind a head that took its time
 UNREAD_S = 10.0  # a client that takes nothing of its answer for so long is cut
 HOST_QUIET_S = 10.0  # a host that has begun to answer and says nothing for so long
-LINGER_S = 1.0
 LAME_LINGER_S = 0.3
 
 
@@ -75,30 +77,16 @@
         """It has no request in hand."""
 
 
-class ClientConnection(asyncio.BufferedProtocol):
+class ClientConnection(HttpConnection[Incoming], asyncio.BufferedProtocol):
     """One connection from a client of the platform: requests in, one response to each, in their order."""
 
     def __init__(self, server: ListenerContext, asked: bool = False) -> None:
         """`asked`: another process of this gateway has served it before."""
+        super().__init__(server.loop, Incoming())
         self.server = server
-        self.loop = server.loop
-        self.transport: asyncio.Transport | None = None
-        self.parser = httptools.HttpRequestParser(self)
-        self.incoming = Incoming()
-        self.reading = False  # between a request's first byte and its last
-        self.waiting: deque[Incoming] = deque()
-        self.current: Incoming | None = None
         self.request: Request | None = None  # the current one, once the proxy has taken it
         self.asked = 2 * asked  # requests that could be read
-        self.closing = False  # the framing is lost, or this was the last request: nothing more is read
-        self.refusing = False  # over the limit: every request hears 503
-        self.blocked = False  # the client takes no more for now
-        self.upload_paused = False  # nobody takes more of the body that is being read
-        self.paused = False  # not read
-        self.unsent = 0  # bytes that the client had not taken at the last look
-        self.counted = 0  # what the budget knows of: held of a body, and not taken of an answer
-        self.since = self.loop.time()  # its accept, last answer, or the first byte of what is being read
-        self.progress_at = self.since  # when the client last sent or took something
+        self.accounted_bytes = 0  # what the budget knows of: held of a body, and not taken of an answer
         self.due_at = 0.0  # of a body: when more of it has to have come
 
     # Transport
@@ -115,11 +103,11 @@
         self.data_received(self.server.reads.taken(nbytes))
 
     def data_received(self, data: bytes) -> None:
-        if self.closing:
+        if self.is_closing:
             return
         self.progress_at = self.loop.time()
         self.server.resting.pop(self, None)
-        if not self.reading:
+        if not self.is_receiving:
             self.begin()
         self.incoming.raw += len(data)
         try:
@@ -128,13 +116,13 @@
             self.last_of_all()  # the request stands; what follows it is no HTTP
         except httptools.HttpParserError:
             self.lose_framing(BadRequest(400, "malformed request"))
-        if self.reading and not self.closing:
+        if self.is_receiving and not self.is_closing:
             incoming = self.incoming
             if not incoming.head_read:
                 if incoming.raw > HEAD_LIMIT:
                     self.lose_framing(BadRequest(431, "head too long"))
                 elif incoming.raw > COUNTED:
-                    self.count()
+                    self.account_memory()
             elif incoming.raw > RAW_LIMIT + FRAMING_SHARE * incoming.size:
                 self.lose_framing(BadRequest(413, "request too long"))
         self.next()
@@ -142,9 +130,9 @@
     def begin(self) -> None:
         """The first byte of a request, also one that the parser skips."""
         self.incoming = Incoming()
-        self.reading = True
+        self.state = AFTER_BEGIN[self.state]
         if self.asked:
-            self.since = self.loop.time()
+            self.phase_began_at = self.loop.time()
 
     def upload_flow(self, incoming: Incoming, on: bool) -> None:
         """The body's taker takes more, or no more for now."""
@@ -155,70 +143,35 @@
             self.due_at = self.loop.time() + STALL_S  # what was not read is not the client's delay
         self.check_flow()
 
-    def check_flow(self) -> None:
-        """Read on, or not.
+    def must_pause_reading(self) -> bool:
+        """Whether nothing more can be taken from the client for now.
 
         Guards against a client that asks and asks but reads no answers: they would pile up in memory. What
         the request in hand still needs is read all the same: it may be sent whole before its client reads.
         """
-        unread = self.blocked and not (self.reading and self.incoming is self.current)
-        pause = not self.closing and (self.upload_paused or unread)
-        if self.transport is None or pause is self.paused or self.transport.is_closing():
-            return
-        self.paused = pause
-        (self.transport.pause_reading if pause else self.transport.resume_reading)()
+        unread = self.write_paused and not (self.is_receiving and self.incoming is self.current)
+        return not self.is_closing and (self.upload_paused or unread)
 
-    def pause_writing(self) -> None:
-        self.blocked = True
-        self.progress_at = self.loop.time()
-        self.count()
-        if self.current is not None and self.current.source is not None:
-            self.current.source.flow(False)
-        self.check_flow()
-
-    def resume_writing(self) -> None:
-        self.blocked = False
-        self.progress_at = self.loop.time()
-        self.count()
-        if self.current is not None and self.current.source is not None:
-            self.current.source.flow(True)
-        self.check_flow()
-
-    def count(self) -> None:
+    def account_memory(self) -> None:
         """Tell the budget what is held here."""
         held = 0
-        if self.transport is not None and self.blocked:
+        if self.transport is not None and self.write_paused:
             held += self.transport.get_write_buffer_size()
         if self.incoming.upload.is_held:
             held += self.incoming.upload.size
-        if self.reading and not self.incoming.head_read:
+        if self.is_receiving and not self.incoming.head_read:
             held += self.incoming.raw
-        self.server.budget.change(held - self.counted)
-        self.counted = held
-
-    def eof_received(self) -> bool:
-        """The client has gone: the transport closes.
-
-        Guards against an answer on its way to it: until that is sent the transport does not call its
-        connection lost, and what stood behind it went on to hosts.
-        """
-        self.forgo()
-        return False
+        self.server.budget.change(held - self.accounted_bytes)
+        self.accounted_bytes = held
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.drop(self)
-        self.blocked = False
-        self.forgo()
+        self.write_paused = False
+        self.abandon_all()
         self.incoming = Incoming()
-        self.count()
+        self.account_memory()
 
-    def forgo(self) -> None:
-        """The client has gone: nothing of what it has asked is wanted, and nothing more is read."""
-        self.closing = True
-        self.waiting.clear()
-        self.abandon()
-
-    def abandon(self) -> None:
+    def abandon_current(self) -> None:
         """Nothing of the current request is wanted any more."""
         current, request, self.current, self.request = self.current, self.request, None, None
         if current is None:
@@ -232,41 +185,34 @@
 
     def lose_framing(self, refusal: BadRequest) -> None:
         """Where the next request begins is unknown: answer this one in its turn, then close."""
-        if self.closing:
+        if self.is_closing:
             return
-        self.closing, self.reading = True, False
+        self.state = AFTER_FRAMING_LOST[self.state]
         incoming = self.incoming
         if incoming is self.current and not incoming.upload.complete:
             # Its head was good and its body is not: it ends here, whatever has become of it.
             if incoming.source is not None:
                 self.reset()
                 return
-            self.abandon()
+            self.abandon_current()
             self.current = incoming
             incoming.keep_alive, incoming.refusal = False, refusal
             self.answer(incoming, refusal.answer)
         elif incoming.queued and not incoming.upload.complete:
             incoming.keep_alive, incoming.refusal = False, refusal  # it waits for its turn
         else:
-            self.waiting.append(Incoming(keep_alive=False, refusal=refusal))
+            self.pipeline.append(Incoming(keep_alive=False, refusal=refusal))
 
     def last_of_all(self) -> None:
         """Nothing after the newest request is read: its answer is the connection's last."""
-        self.closing = True
+        self.stop_reading()
         self.incoming.keep_alive = False
 
     # Parser
 
-    def on_message_begin(self) -> None:
-        if not self.reading:  # a further one in the same data
-            self.begin()
-
-    def on_url(self, url: bytes) -> None:
-        self.incoming.target += url
-
     def on_header(self, name: bytes, value: bytes) -> None:
         incoming = self.incoming
-        if self.closing or incoming.head_read:  # trailers say nothing that counts
+        if self.is_closing or incoming.head_read:  # trailers say nothing that counts
             return
         incoming.size += len(name) + len(value) + 4
         try:
@@ -277,7 +223,7 @@
     def on_headers_complete(self) -> None:
         incoming = self.incoming
         incoming.method = self.parser.get_method()
-        if self.closing:
+        if self.is_closing:
             return
         try:
             if incoming.size + len(incoming.target) > HEAD_LIMIT:
@@ -291,7 +237,7 @@
             return
         incoming.keep_alive = self.parser.should_keep_alive()
         incoming.upload = Upload(partial(self.upload_flow, incoming), hold=self.server.budget.hold)
-        self.due_at = max(self.since + REQUEST_S, self.loop.time() + FIRST_S)
+        self.due_at = max(self.phase_began_at + REQUEST_S, self.loop.time() + FIRST_S)
         if incoming.version == "1.1" and incoming.headers.get(b"expect", b"").lower() == b"100-continue":
             incoming.wants_word = True
             self.say_go_on()
@@ -299,7 +245,7 @@
     def say_go_on(self) -> None:
         """Once it is its turn: before that an answer to another request would come behind it."""
         incoming = self.incoming
-        if incoming.wants_word and self.reading and self.current is None and not self.waiting:
+        if incoming.wants_word and self.is_receiving and self.current is None and not self.pipeline:
             incoming.wants_word = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -308,17 +254,17 @@
         incoming.size += len(body)
         if incoming.size > BODY_LIMIT:
             self.lose_framing(BadRequest(413, f"body over {BODY_LIMIT} bytes"))
-        elif not self.closing and incoming.refusal is None:
+        elif not self.is_closing and incoming.refusal is None:
             now = self.loop.time()
             self.due_at = max(self.due_at, min(self.due_at + len(body) / SLOWEST, now + STALL_S))
             incoming.upload.put(body)
-            self.count()
+            self.account_memory()
             if incoming.upload.ready:
                 self.queue(incoming)
 
     def on_message_complete(self) -> None:
-        self.reading = False
-        if self.closing:
+        self.state = AFTER_END[self.state]
+        if self.is_closing:
             return
         incoming = self.incoming
         incoming.came_at = self.loop.time()
@@ -329,51 +275,42 @@
                 self.server.proxy.body_came(self.request)
         self.queue(incoming)
         if not incoming.keep_alive:
-            self.closing = True
-        elif len(self.waiting) > PIPELINED:
+            self.stop_reading()
+        elif len(self.pipeline) > PIPELINED:
             self.turn_away()
 
     def queue(self, incoming: Incoming) -> None:
         """It is whole, or as much of it is here as is held."""
         if not incoming.queued:
             incoming.queued = True
-            self.waiting.append(incoming)
+            self.pipeline.append(incoming)
 
     def turn_away(self) -> None:
         """Far more asked at once than clients do: answered once, now, and no more of it carried out.
 
         Guards against one connection whose requests would be answered one after another for many seconds.
         """
-        self.waiting.clear()
+        self.pipeline.clear()
         if self.current is not None and self.current.source is not None:
-            self.closing = True
+            self.stop_reading()
             self.reset()  # in the midst of an answer there is nothing to say
             return
-        self.abandon()
+        self.abandon_current()
         self.lose_framing(BadRequest(400, "too many requests ahead of their turn"))
 
     # Requests, one at a time
 
-    @property
-    def owed(self) -> bool:
-        """Whether a request that has been read waits for its answer."""
-        return self.current is not None or bool(self.waiting)
-
-    @property
-    def idle(self) -> bool:
-        return not self.owed and not self.reading
-
     def next(self) -> None:
         """Take up the next request unless one is in hand."""
-        while self.current is None and self.waiting:
-            incoming = self.current = self.waiting.popleft()
+        while self.current is None and self.pipeline:
+            incoming = self.current = self.pipeline.popleft()
             try:
                 self.take(incoming)
             except BadRequest as refusal:
                 # What it asked for could not be read: it is not trusted with the connection either.
                 incoming.refusal = refusal
                 incoming.keep_alive = False
-                self.waiting.clear()
+                self.pipeline.clear()
                 self.answer(incoming, refusal.answer)
             except Exception:
                 log.exception("failed on a request")
@@ -389,7 +326,7 @@
             self.asked += 1
             self.answer(incoming, plain(200, "ready") if ready else plain(503, "not ready"))
             return
-        if self.refusing:
+        if self.over_limit:
             raise BadRequest(503, "too many connections", (b"retry-after", RETRY_AFTER))
         if not server.lame.takes(now):
             self.answer(incoming, refused("this gateway sends its clients away"))
@@ -418,9 +355,6 @@
 
     # Answers
 
-    def serves(self, incoming: Written) -> bool:
-        return self.current is incoming
-
     def answer(self, incoming: Written, answer: Answer) -> None:
         """A whole one."""
         if incoming is not self.current or not isinstance(incoming, Incoming):
@@ -433,7 +367,7 @@
         # A connection is never closed on a request that has been read and not answered.
         if not incoming.keep_alive or not incoming.upload.complete:
             return True
-        return (self.refusing or self.server.ends_connections) and not self.waiting
+        return (self.over_limit or self.server.ends_connections) and not self.pipeline
 
     def head_lines(self, incoming: Written, head: AnswerHead) -> bytes:
         """Of an answer that is passed on as it comes."""
@@ -451,25 +385,21 @@
         assert isinstance(incoming, Incoming)
         self.let_go(incoming)
         self.current = self.request = incoming.source = None
-        self.since = self.progress_at = self.loop.time()
+        self.phase_began_at = self.progress_at = self.loop.time()
         if incoming.last:
-            self.closing = True
-            self.waiting.clear()
-            if (
-                incoming.refusal is None
-                and incoming.upload.complete
-                and unread_input.is_quiet(self.transport)
-            ):
+            self.stop_reading()
+            self.pipeline.clear()
+            if incoming.refusal is None and incoming.upload.complete and self.closes_cleanly:
                 self.close()
             else:
                 self.linger()
-        elif self.waiting:
+        elif self.pipeline:
             self.loop.call_soon(self.next)
-        elif not self.reading:
+        elif not self.is_receiving:
             self.server.rest(self)
         else:
             self.say_go_on()
-        if self.paused:
+        if self.read_paused:
             self.check_flow()
 
     def cut(self, incoming: Written) -> None:
@@ -484,49 +414,15 @@
         self.server.intake.close_id(incoming.request_id)
         if incoming.upload.size:
             incoming.upload.let_go()
-        if self.counted:
-            self.count()
-
-    def write(self, data: bytes) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(data)
-
-    def linger(self, for_s: float = LINGER_S) -> None:
-        """Close for sending, and drop for a while what the client is still sending.
-
-        Guards against the reset that closing on unread bytes sends: it can overtake the answer, and takes
-        with it what the system still holds of one.
-        """
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write_eof()
-            self.loop.call_later(for_s, self.transport.abort)
-            self.upload_paused = False
-            self.check_flow()
-
-    def close(self) -> None:
-        """Closed once what has been written is sent; a client that takes nothing is cut by `check_time`."""
-        self.closing = True
-        if self.transport is not None:
-            self.transport.close()
-
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-    def reset(self) -> None:
-        """End with a reset: where only the connection's end tells, a close would tell of a whole body."""
-        self.closing = True
-        if self.transport is not None and not self.transport.is_closing():
-            sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.abort()
+        if self.accounted_bytes:
+            self.account_memory()
 
     def has_left(self) -> bool:
         """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on.
 
         Of a first try of a client that is read, the loop tells soon enough.
         """
-        if not self.paused and (self.current is None or self.current.exchange is None):
+        if not self.read_paused and (self.current is None or self.current.exchange is None):
             return False
         if not unread_input.has_left(self.transport):
             return False
@@ -535,22 +431,19 @@
 
     def gone(self) -> None:
         """The client's end, which has not been read."""
-        self.forgo()
+        self.abandon_all()
         self.abort()
 
-    @property
-    def may_close(self) -> bool:
-        """Whether a close crosses nothing that the client has sent, as far as it has come.
-
-        Also where all of that is dropped: the reset would take the last answer with it.
-        """
-        transport = self.transport
-        return transport is None or transport.is_closing() or unread_input.is_quiet(transport)
-
     def may_be_given(self) -> bool:
         """Whether nothing of it is in this process: no part of a request, and no answer unsent."""
         transport = self.transport
-        if transport is None or transport.is_closing() or not self.idle or self.closing or self.refusing:
+        if (
+            transport is None
+            or transport.is_closing()
+            or not self.is_idle
+            or self.is_closing
+            or self.over_limit
+        ):
             return False
         return not transport.get_write_buffer_size()
 
@@ -560,18 +453,17 @@
 
     def make_room(self) -> None:
         """Close now: its descriptor is wanted."""
-        self.closing = True
         self.abort()
 
     def standing(self, now: float, for_memory: bool = False) -> eviction.Standing:
         """What it has shown. Guards against floods: who has shown least gives way."""
         return eviction.standing(
             now,
-            closing=self.closing,
-            owed=self.owed,
+            closing=self.is_closing,
+            owed=self.has_open_requests,
             asked=self.asked,
-            reading=self.reading,
-            since=self.since,
+            reading=self.is_receiving,
+            since=self.phase_began_at,
             progress_at=self.progress_at,
             unsent=self.transport is not None and self.transport.get_write_buffer_size() > 0,
             for_memory=for_memory,
@@ -579,36 +471,37 @@
 
     def send_away(self, now: float) -> None:
         """The gateway sends its clients away: what that means for this one."""
-        if self.closing:
+        if self.is_closing:
             return
-        match self.server.lame.fate(now, self.owed, self.reading, self.since):
+        match self.server.lame.fate(now, self.has_open_requests, self.is_receiving, self.phase_began_at):
             case Fate.CLOSE if self.may_close:
                 self.close()
             case Fate.REFUSE:
-                self.closing = True
+                self.stop_reading()
                 self.write(answer_bytes(refused("this gateway sends its clients away"), True, False))
                 self.linger(LAME_LINGER_S)
 
     def check_time(self, now: float) -> None:
         if self.current is not None and self.current.exchange is not None:
             self.current.exchange.check_time(now, HOST_QUIET_S, HOST_QUIET_S)
-        if self.paused and self.has_left():
+        if self.read_paused and self.has_left():
             return
-        unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
-        if unsent < self.unsent:
-            self.progress_at = now
-        self.unsent = unsent
-        if unsent and now - self.progress_at > UNREAD_S:
+        self.update_write_progress(now)
+        if self.unsent_bytes and now - self.progress_at > UNREAD_S:
             self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
-        elif self.closing:
+        elif self.is_closing:
             return
-        elif self.reading and not self.incoming.head_read:
-            if not self.owed and now - self.since > REQUEST_S:
+        elif self.is_receiving and not self.incoming.head_read:
+            if not self.has_open_requests and now - self.phase_began_at > REQUEST_S:
                 self.lose_framing(BadRequest(408, "the rest of the request has not come"))
                 self.next()
-        elif self.reading:
-            if not self.paused and now > self.due_at:
+        elif self.is_receiving:
+            if not self.read_paused and now > self.due_at:
                 self.lose_framing(BadRequest(408, "the rest of the request has not come"))
                 self.next()
-        elif not self.owed and now - self.since > (IDLE_S if self.asked else REQUEST_S) and self.may_close:
+        elif (
+            not self.has_open_requests
+            and now - self.phase_began_at > (IDLE_S if self.asked else REQUEST_S)
+            and self.may_close
+        ):
             self.close()
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -111,7 +111,7 @@
     def add(self, connection: ClientConnection) -> None:
         """Guards against running out of descriptors: what is missed least goes, else new ones hear 503."""
         if len(self.connections) >= self.limit and not self.make_room():
-            connection.refusing = True
+            connection.over_limit = True
         self.connections.add(connection)
         beyond = len(self.connections) - self.limit
         if beyond > self.turned_away:
@@ -119,7 +119,7 @@
             if beyond > 2 * self.turned_away:
                 connection.close()  # with what it has sent unread: the reset may overtake the answer
             else:
-                connection.closing = True
+                connection.stop_reading()
                 connection.linger(TURNED_LINGER_S)
 
     def make_room(
@@ -241,7 +241,7 @@
         began = self.loop.time()
         while self.connections:
             waited_s = self.loop.time() - began
-            for connection in [c for c in self.connections if not c.owed]:
+            for connection in [c for c in self.connections if not c.has_open_requests]:
                 if self.try_to_give(connection) or (self.give is not None and waited_s < GIVE_S):
                     continue
                 standing = connection.standing(self.loop.time())
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -25,7 +25,7 @@
     """A client's connection."""
 
     loop: asyncio.AbstractEventLoop
-    blocked: bool  # the client takes no more for now
+    write_paused: bool  # the client takes no more for now
     progress_at: float  # loop time when the client last sent or took something
 
     def serves(self, incoming: Written) -> bool:
@@ -77,13 +77,13 @@
             incoming.keep_alive = False  # only the connection's end tells
         writer.progress_at = writer.loop.time()
         writer.write(writer.head_lines(incoming, head))
-        if writer.blocked:
+        if writer.write_paused:
             source.flow(False)
 
     def data(self, data: bytes) -> None:
         if self.open and data:
             writer = self.writer
-            if not writer.blocked:
+            if not writer.write_paused:
                 writer.progress_at = writer.loop.time()
             writer.write(b"%x\r\n%b\r\n" % (len(data), data) if self.incoming.chunked else data)
 
--- a/badgergap/web/door.py
+++ b/badgergap/web/door.py
@@ -132,7 +132,7 @@
         """Guards against running out of descriptors: who is missed least goes, else new ones hear 503."""
         limit = self.plan.limits.connections
         if self.held >= limit and not self.make_room():
-            front.refusing = True
+            front.over_limit = True
         self.connections.add(front)
         if self.held > limit + TURNED_AWAY:
             front.abort()
@@ -227,7 +227,7 @@
             for connection in list(self.connections):
                 # After a hand-over nobody waits for this process: who rests over TLS may ask once more.
                 rests = connection.may_close and self.give is None
-                if connection.idle and (rests or late):
+                if connection.is_idle and (rests or late):
                     connection.close()
                 elif late:
                     connection.reset()
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -9,17 +9,20 @@
 
 import asyncio
 import logging
-import socket
-import struct
-from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 import httptools
 
 from badgergap.proxy import unread_input
-from badgergap.proxy.downstream.client_connection import LINGER_S
+from badgergap.proxy.downstream.http_connection import (
+    AFTER_BEGIN,
+    AFTER_END,
+    AFTER_FRAMING_LOST,
+    HttpConnection,
+)
 from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 from badgergap.proxy.proxy import plain, refused
@@ -27,10 +30,9 @@
 from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.proxy.header_fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, own_answer
+from badgergap.ordinary.plan import Limits
 from badgergap.ordinary.turn import Turn
-
-if TYPE_CHECKING:
-    from badgergap.web.door import Door
+from badgergap.ordinary.ways import Ways
 
 log = logging.getLogger(__name__)
 
@@ -52,31 +54,37 @@
     last: bool = False  # the client was told that the connection ends with this answer
 
 
-class Front(asyncio.Protocol):
+class WebListener(Protocol):
+    """What a connection needs of the listener that accepted it."""
+
+    loop: asyncio.AbstractEventLoop
+    ways: Ways
+    resting: dict[Front, None]  # between requests, the one used last comes last
+    draining: bool
+    give: Callable[[int], bool] | None  # hands a descriptor over to the process that takes over
+
+    @property
+    def limits(self) -> Limits:
+        """The time limits of connections."""
+
+    def peer_of(self, transport: asyncio.Transport) -> Peer: ...
+    def add(self, front: Front) -> None: ...
+    def drop(self, front: Front) -> None: ...
+    def rest(self, front: Front) -> None:
+        """It has no request in hand."""
+
+
+class Front(HttpConnection[Incoming], asyncio.Protocol):
     """One connection from a client."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: WebListener) -> None:
+        super().__init__(door.loop, Incoming())
         self.door = door
-        self.loop = door.loop
-        self.transport: asyncio.Transport | None = None
         self.peer = Peer("")
-        self.parser = httptools.HttpRequestParser(self)
-        self.incoming = Incoming()
-        self.reading = False  # between a request's first byte and its last
-        self.waiting: deque[Incoming] = deque()
-        self.current: Incoming | None = None
         self.asked = False
-        self.closing = False  # nothing more is read
-        self.refusing = False  # over the limit
         self.rest = b""  # what came behind a request that may end in a tunnel
         self.left = 0  # of a body of known length, which is read without the parser
         self.tunnel = False
-        self.blocked = False  # the client takes no more for now
-        self.paused = False  # not read
-        self.upload_paused = False
-        self.unsent = 0  # bytes that the client had not taken at the last look
-        self.since = self.loop.time()
-        self.progress_at = self.since  # when the client last sent or took something
 
     # Transport
 
@@ -90,7 +98,7 @@
         self.progress_at = self.loop.time()
         if self.tunnel and self.current is not None and self.current.source is not None:
             self.current.source.more(data)
-        elif self.closing:
+        elif self.is_closing:
             return
         elif self.rest or self.may_switch:
             self.rest += data
@@ -104,11 +112,11 @@
         return self.current is not None and self.current.upgrade and self.current is self.incoming
 
     def read(self, data: bytes) -> None:
-        while data and not self.closing:
+        while data and not self.is_closing:
             if self.left:
                 data = self.pass_on(data)
                 continue
-            if not self.reading:
+            if not self.is_receiving:
                 self.begin()
             rest = b""
             try:
@@ -121,7 +129,7 @@
             except httptools.HttpParserError:
                 self.lose_framing(plain(400, "malformed request"))
             incoming = self.incoming
-            if not incoming.head_read and not self.closing:
+            if not incoming.head_read and not self.is_closing:
                 incoming.raw += len(data)
                 if incoming.raw > HEAD_LIMIT:
                     self.lose_framing(plain(431, "head too long"))
@@ -133,7 +141,7 @@
     def go_direct(self) -> None:
         """The rest of a body of known length needs no parser, which would read every byte of it."""
         incoming = self.incoming
-        if self.reading and incoming.head_read and incoming.length is not None and not self.closing:
+        if self.is_receiving and incoming.head_read and incoming.length is not None and not self.is_closing:
             self.left = incoming.length - incoming.upload.size
             self.parser = httptools.HttpRequestParser(self)
 
@@ -149,10 +157,10 @@
     def begin(self) -> None:
         self.incoming = Incoming(peer=self.peer)
         self.incoming.upload.flow = partial(self.upload_flow, self.incoming)
-        self.reading = True
+        self.state = AFTER_BEGIN[self.state]
         self.door.resting.pop(self, None)
         if self.asked:
-            self.since = self.loop.time()
+            self.phase_began_at = self.loop.time()
 
     def upload_flow(self, incoming: Incoming, on: bool) -> None:
         if incoming is self.incoming:
@@ -160,51 +168,23 @@
             self.progress_at = self.loop.time()
             self.check_flow()
 
-    def check_flow(self) -> None:
-        """Read on, or not: never much ahead of what can be passed on or answered.
+    def must_pause_reading(self) -> bool:
+        """Whether nothing more can be taken for now: never much ahead of what can be passed on or answered.
 
         A client that takes no answers is not read either, but for what a request in hand still needs: it may
         send all of a body before it reads.
         """
-        unread = self.blocked and not self.tunnel and not (self.reading and self.incoming is self.current)
-        pause = not self.closing and (
-            self.upload_paused or bool(self.waiting) or len(self.rest) > HEAD_LIMIT or unread
+        receives_current = self.is_receiving and self.incoming is self.current
+        unread = self.write_paused and not self.tunnel and not receives_current
+        return not self.is_closing and (
+            self.upload_paused or bool(self.pipeline) or len(self.rest) > HEAD_LIMIT or unread
         )
-        if self.transport is None or pause is self.paused or self.transport.is_closing():
-            return
-        self.paused = pause
-        (self.transport.pause_reading if pause else self.transport.resume_reading)()
-
-    def pause_writing(self) -> None:
-        self.blocked = True
-        self.progress_at = self.loop.time()
-        if self.current is not None and self.current.source is not None:
-            self.current.source.flow(False)
-        self.check_flow()
-
-    def resume_writing(self) -> None:
-        self.blocked = False
-        self.progress_at = self.loop.time()
-        if self.current is not None and self.current.source is not None:
-            self.current.source.flow(True)
-        self.check_flow()
-
-    def eof_received(self) -> bool:
-        """The client has gone: the transport closes, but only once an answer on its way is sent."""
-        self.forgo()
-        return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.door.drop(self)
-        self.forgo()
+        self.abandon_all()
 
-    def forgo(self) -> None:
-        """The client has gone: nothing of what it has asked is wanted, and nothing more is read."""
-        self.closing = True
-        self.waiting.clear()
-        self.abandon()
-
-    def abandon(self) -> None:
+    def abandon_current(self) -> None:
         """Nothing of the current request is wanted any more."""
         current, self.current = self.current, None
         if current is None:
@@ -213,9 +193,9 @@
 
     def lose_framing(self, answer: Answer) -> None:
         """Where the next request begins is unknown: answer this one in its turn, then close."""
-        if self.closing:
+        if self.is_closing:
             return
-        self.closing, self.reading = True, False
+        self.state = AFTER_FRAMING_LOST[self.state]
         if self.incoming.upload.complete:
             self.incoming = Incoming()  # it stands, and what is wrong came behind it
         incoming = self.incoming
@@ -224,26 +204,19 @@
             if incoming.source is not None:
                 self.reset()
                 return
-            self.abandon()
+            self.abandon_current()
             self.current = incoming
             self.answer(incoming, answer)
         else:
             incoming.refusal = answer
-            if not self.waiting or self.waiting[-1] is not incoming:
-                self.waiting.append(incoming)
+            if not self.pipeline or self.pipeline[-1] is not incoming:
+                self.pipeline.append(incoming)
 
     # Parser
 
-    def on_message_begin(self) -> None:
-        if not self.reading:  # a further one in the same data
-            self.begin()
-
-    def on_url(self, url: bytes) -> None:
-        self.incoming.target += url
-
     def on_header(self, name: bytes, value: bytes) -> None:
         incoming = self.incoming
-        if self.closing:
+        if self.is_closing:
             return
         incoming.size += len(name) + len(value) + 4
         if incoming.size > HEAD_LIMIT:
@@ -259,7 +232,7 @@
 
     def on_headers_complete(self) -> None:
         incoming = self.incoming
-        if self.closing:
+        if self.is_closing:
             return
         incoming.method = self.parser.get_method()
         incoming.version = self.parser.get_http_version()
@@ -273,16 +246,16 @@
             return
         incoming.head_read, incoming.size = True, 0
         incoming.began_at = self.loop.time()
-        if len(self.waiting) >= PIPELINED:
+        if len(self.pipeline) >= PIPELINED:
             self.lose_framing(plain(400, "too many requests ahead of their turn"))
         else:
             incoming.upload.complete = incoming.length == 0
-            self.waiting.append(incoming)
+            self.pipeline.append(incoming)
             self.next()
 
     def on_body(self, body: bytes) -> None:
         incoming = self.incoming
-        if self.closing or incoming.refusal is not None:
+        if self.is_closing or incoming.refusal is not None:
             return
         limit = incoming.upload.limit
         if limit is not None and incoming.upload.size + len(body) > limit:
@@ -291,34 +264,28 @@
             incoming.upload.put(body)
 
     def on_message_complete(self) -> None:
-        self.reading = False
-        if not self.closing:
+        self.state = AFTER_END[self.state]
+        if not self.is_closing:
             if not self.incoming.keep_alive:
-                self.closing = True  # its answer is the connection's last
+                self.stop_reading()  # its answer is the connection's last
             if not self.incoming.upload.complete:
                 self.incoming.upload.end(trailers(self.incoming.fields))
             self.settled()
 
     # Requests, one at a time
 
-    @property
-    def owed(self) -> bool:
-        return self.current is not None or bool(self.waiting)
-
-    @property
-    def idle(self) -> bool:
-        return not self.owed and not self.reading
-
     def next(self) -> None:
         """Take up the next request unless one is in hand."""
-        while self.current is None and self.waiting:
-            incoming = self.current = self.waiting.popleft()
+        while self.current is None and self.pipeline:
+            incoming = self.current = self.pipeline.popleft()
             if incoming.refusal is not None:
                 self.answer(incoming, incoming.refusal)
                 continue
             self.asked = True
             try:
-                refusal = refused("too many connections") if self.refusing else self.door.ways.take(incoming)
+                refusal = (
+                    refused("too many connections") if self.over_limit else self.door.ways.take(incoming)
+                )
             except Exception:
                 log.exception("failed on a request")
                 refusal = plain(500, "internal error")
@@ -329,9 +296,6 @@
 
     # Answers
 
-    def serves(self, incoming: Written) -> bool:
-        return self.current is incoming
-
     def cut(self, incoming: Written) -> None:
         self.current = None
         self.reset()
@@ -352,7 +316,7 @@
         if not incoming.upload.complete:
             return True
         leaves = self.door.draining or (self.door.give is not None and self.peer.scheme == b"https")
-        return (self.closing or self.refusing or leaves) and not self.waiting
+        return (self.is_closing or self.over_limit or leaves) and not self.pipeline
 
     def head_lines(self, incoming: Written, head: AnswerHead) -> bytes:
         assert isinstance(incoming, Incoming)
@@ -375,11 +339,11 @@
         last = self.tunnel or self.is_last(incoming)
         self.current = None
         incoming.source = None
-        self.since = self.progress_at = self.loop.time()
+        self.phase_began_at = self.progress_at = self.loop.time()
         if last:
-            self.closing = True
-            self.waiting.clear()
-            if incoming.upload.complete and incoming.refusal is None and self.closes_well:
+            self.stop_reading()
+            self.pipeline.clear()
+            if incoming.upload.complete and incoming.refusal is None and self.closes_cleanly:
                 self.close()
             else:
                 self.linger()
@@ -388,45 +352,24 @@
             # It might have ended in a tunnel and has not: what follows is HTTP after all.
             rest, self.rest = self.rest, b""
             self.loop.call_soon(self.read, rest)
-        elif self.waiting:
+        elif self.pipeline:
             self.loop.call_soon(self.next_and_flow)
         else:
             self.settled()
         self.check_flow()
 
     def settled(self) -> None:
-        if self.idle and not self.closing:
+        if self.is_idle and not self.is_closing:
             self.door.rest(self)
 
     def next_and_flow(self) -> None:
         self.next()
         self.check_flow()
 
-    def write(self, data: bytes) -> None:
+    def linger(self, for_s: float | None = None) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(data)
-
-    def linger(self) -> None:
-        """Close for sending, and drop for a while what still comes: a reset would overtake the answer."""
-        transport = self.transport
-        if transport is not None and not transport.is_closing():
-            if transport.can_write_eof():
-                transport.write_eof()
-            self.loop.call_later(LINGER_S, transport.abort)
-            self.upload_paused = self.blocked = False
-            self.check_flow()
-
-    @property
-    def closes_well(self) -> bool:
-        """Whether a close resets nothing. The end of TLS reads on by itself until the client has ended."""
-        transport = self.transport
-        return transport is None or not transport.can_write_eof() or unread_input.is_quiet(transport)
-
-    @property
-    def may_close(self) -> bool:
-        """Whether a close crosses nothing that the client has sent, as far as it has come."""
-        transport = self.transport
-        return transport is None or transport.is_closing() or unread_input.is_quiet(transport)
+            self.write_paused = False
+            super().linger(for_s)
 
     @property
     def may_be_given(self) -> bool:
@@ -434,8 +377,8 @@
         transport = self.transport
         if transport is None or transport.is_closing() or self.peer.scheme == b"https":
             return False
-        here = self.closing or self.refusing or self.tunnel or self.left or self.rest
-        return self.idle and not here and not transport.get_write_buffer_size()
+        here = self.is_closing or self.over_limit or self.tunnel or self.left or self.rest
+        return self.is_idle and not here and not transport.get_write_buffer_size()
 
     @property
     def gives_way(self) -> bool:
@@ -447,73 +390,52 @@
         """Whether its client has kept it from going on for so long. One that a box keeps waiting has not."""
         if now - self.progress_at <= for_s:
             return False
-        brings = self.reading and not self.upload_paused and self.current in (None, self.incoming)
-        return self.blocked or brings or not (self.asked or self.owed)
+        brings = self.is_receiving and not self.upload_paused and self.current in (None, self.incoming)
+        return self.write_paused or brings or not (self.asked or self.has_open_requests)
 
     def notice_end(self) -> bool:
         """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on."""
-        if not self.paused or self.tunnel or not unread_input.has_left(self.transport):
+        if not self.read_paused or self.tunnel or not unread_input.has_left(self.transport):
             return False
-        self.forgo()
+        self.abandon_all()
         self.abort()
         return True
 
-    def close(self) -> None:
-        """Closed once what has been written is sent; a client that takes nothing is cut by `check_time`."""
-        self.closing = True
-        if self.transport is not None:
-            self.transport.close()
-
-    def abort(self) -> None:
-        self.closing = True
-        if self.transport is not None:
-            self.transport.abort()
-
     def out_of_time(self, current: Incoming) -> None:
         """The route's whole time is over: an answer on its way ends in a reset, and no box is to blame."""
         if current.source is not None:
-            self.abandon()
+            self.abandon_current()
             self.reset()
         else:
-            self.abandon()
+            self.abandon_current()
             self.current = current
             current.keep_alive = False
             self.answer(current, plain(504, "out of time"))
 
-    def reset(self) -> None:
-        """End with a reset: where only the connection's end tells, a close would tell of a whole body."""
-        if self.transport is not None and not self.transport.is_closing():
-            sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.abort()
-
     def check_time(self, now: float) -> None:
         if self.notice_end():
             return
         limits, current = self.door.limits, self.current
-        unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
-        if unsent < self.unsent:
-            self.progress_at = now
-        self.unsent = unsent
+        self.update_write_progress(now)
         quiet_s = now - self.progress_at
         if current is not None and current.is_out_of_time(now, limits.tunnel_s if self.tunnel else None):
             self.out_of_time(current)
             return
-        if unsent and quiet_s > limits.unread_s:
+        if self.unsent_bytes and quiet_s > limits.unread_s:
             self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
-        elif self.tunnel or self.closing:
+        elif self.tunnel or self.is_closing:
             return
-        elif self.reading and not self.incoming.head_read:
-            if now - self.since > limits.head_s:
+        elif self.is_receiving and not self.incoming.head_read:
+            if now - self.phase_began_at > limits.head_s:
                 self.lose_framing(plain(408, "the rest of the head has not come"))
                 self.next()
-        elif self.reading and not self.paused:
+        elif self.is_receiving and not self.read_paused:
             if quiet_s > limits.between_s or now - self.incoming.began_at > limits.body_s:
                 self.lose_framing(plain(408, "the rest of the body has not come"))
                 self.next()
         elif (
-            self.idle
-            and now - self.since > (limits.idle_s if self.asked else limits.head_s)
+            self.is_idle
+            and now - self.phase_began_at > (limits.idle_s if self.asked else limits.head_s)
             and self.may_close
         ):
             self.close()
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -152,7 +152,7 @@
             late.send(ask())
             taken = await it.host.taken.get()
             idle.send(ask()[:20])
-            while not any(connection.reading for connection in it.downstream.connections):
+            while not any(connection.is_receiving for connection in it.downstream.connections):
                 await asyncio.sleep(0.001)
             it.downstream.stop_listening()
             finish = asyncio.create_task(it.downstream.finish())
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -109,7 +109,7 @@
                     most = max(most, len(it.downstream.connections))
                 await asyncio.sleep(0.01)  # what has come is read
                 for connection in it.downstream.connections - {ours}:
-                    connection.since -= 31.0
+                    connection.phase_began_at -= 31.0
                     connection.progress_at -= 31.0
             assert (await slow.answer())[0] == 200
             assert most <= it.downstream.most + 2 * it.downstream.turned_away
@@ -153,7 +153,7 @@
             while len(it.downstream.connections) < len(resting):
                 await asyncio.sleep(0.001)
             for connection in it.downstream.connections:
-                connection.since -= 1.0
+                connection.phase_began_at -= 1.0
             busy = await it.client()
             it.proxy.upstream.elsewhere = 30
             assert (await busy.ask(ask("buy", body=b"x")))[2] == b"x"
@@ -175,7 +175,7 @@
             whole = ask("buy", body=b"x" * 300)
             slow.send(whole[:10])
             stalled.send(whole[:10])
-            while sum(c.reading for c in it.downstream.connections) < 2:
+            while sum(c.is_receiving for c in it.downstream.connections) < 2:
                 await asyncio.sleep(0.001)
             sides = {
                 c.transport.get_extra_info("peername"): c
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -205,7 +205,7 @@
                 assert status == 200 and said == hashlib.sha256(body).digest()
             assert len(host.bodies) == len(SIZES)
             (connection,) = it.downstream.connections
-            assert it.proxy.upstream.budget.used == connection.counted == 0
+            assert it.proxy.upstream.budget.used == connection.accounted_bytes == 0
 
     run(test())
 
@@ -268,7 +268,7 @@
             slow.send(ask())
             await it.event(StreamStarted)
             connection = next(c for c in it.downstream.connections if c.current is not None)
-            while not connection.blocked:
+            while not connection.write_paused:
                 await asyncio.sleep(0.001)
             for _ in range(20):
                 quick.send(ask("buy", body=b"x"))
@@ -424,12 +424,12 @@
             client.send(ask())
             await it.event(StreamStarted)
             (connection,) = it.downstream.connections
-            while not connection.blocked:
+            while not connection.write_paused:
                 await asyncio.sleep(0.001)
             now = connection.loop.time()
             connection.check_time(now)
             connection.check_time(now + 0.9 * client_connection.UNREAD_S)
-            assert not connection.closing
+            assert not connection.is_closing
             connection.check_time(now + 1.1 * client_connection.UNREAD_S)
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -131,7 +131,7 @@
             await it.event(RequestArrived)
             (connection,) = it.downstream.connections
             if body:
-                await until(lambda: connection.paused)
+                await until(lambda: connection.read_paused)
                 client.send(data[-20_000:])
                 await client.writer.drain()
             if reset:
@@ -323,7 +323,7 @@
 
             def crossed(incoming: Any) -> None:
                 finished(incoming)
-                assert connection.current is None and connection.waiting
+                assert connection.current is None and connection.pipeline
                 end = it.downstream.finish()
                 end.send(None)  # as far as its first wait, in just this moment
                 end.close()
@@ -839,7 +839,7 @@
             taken.answer(body=bytes(60_000))
             await settled(it)
             assert connection.transport is not None and connection.transport.get_write_buffer_size()
-            assert not connection.owed and not it.downstream.make_room()
+            assert not connection.has_open_requests and not it.downstream.make_room()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert (await client.answer())[::2] == (200, bytes(60_000))
             await until(lambda: not it.downstream.budget.used)
@@ -932,7 +932,7 @@
             first.answer(body=bytes(30_000))
             second = await it.host.taken.get()
             transport = connection.transport
-            assert transport is not None and transport.get_write_buffer_size() and not connection.paused
+            assert transport is not None and transport.get_write_buffer_size() and not connection.read_paused
             client.writer.write_eof()
             await it.event(ClientDisconnected)
             assert transport.get_write_buffer_size()
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -11,7 +11,7 @@
 
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.upstream import connection_pool
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import client_connection, http_connection
 from badgergap.proxy.endpoints.sources import host_id
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
 from badgergap.proxy.body_streams import HOLD
@@ -452,7 +452,7 @@
 
 def test_what_a_client_sends_after_a_refusal_resets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closed at once, the connection is reset by the rest of a body, which can overtake the 413."""
-    monkeypatch.setattr(client_connection, "LINGER_S", 2 * PATIENCE_S)
+    monkeypatch.setattr(http_connection, "LINGER_S", 2 * PATIENCE_S)
 
     async def test() -> None:
         async with gateway() as it:
@@ -543,11 +543,11 @@
             client = await it.client()
             client.send(start)
             (connection,) = [await connected(it)]
-            while start and not connection.reading:
+            while start and not connection.is_receiving:
                 await asyncio.sleep(0.001)
-            connection.check_time(connection.since + 0.9 * client_connection.REQUEST_S)
-            assert not connection.closing
-            at = connection.since
+            connection.check_time(connection.phase_began_at + 0.9 * client_connection.REQUEST_S)
+            assert not connection.is_closing
+            at = connection.phase_began_at
             if start:
                 client.send(start[-1:])
                 await asyncio.sleep(0.01)
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -57,14 +57,14 @@
             if waits == "pipelined":
                 client.send(data)
             if waits != "connection":
-                await until(lambda: front.paused)
+                await until(lambda: front.read_paused)
             client.send(data[HOLD + 10_000 :])
             await client.writer.drain()
             client.writer.close()
             await until(lambda: it.proxy.open == 0)
             free.set()
             await until(lambda: not it.proxy.requests and not it.proxy.balancer.requests)
-            assert it.runs() == 0 and not front.waiting and front.current is None
+            assert it.runs() == 0 and not front.pipeline and front.current is None
             assert it.web.door is not None
             await until(lambda: it.web.door is not None and not it.web.door.connections)
             assert it.proxy.balancer.out == 0 and it.proxy.upstream.budget.used == 0
@@ -85,7 +85,7 @@
             await until(lambda: not unread_input.is_quiet(front.transport))
             ending = None
             if close == "time":
-                front.check_time(front.since + 1e6)
+                front.check_time(front.phase_began_at + 1e6)
             elif close == "rest":
                 for _ in range(door.plan.limits.connections):
                     door.resting[Front(door)] = None
@@ -158,7 +158,7 @@
             client.send(request("GET", "/wait?ms=300") + request("GET")[:-5])
             await until(lambda: it.runs() == 1)
             front, door = front_of(it), it.web.door
-            await until(lambda: front.reading)
+            await until(lambda: front.is_receiving)
             front.progress_at -= 100.0
             assert door is not None and not door.make_room()
             assert (await client.answer())[0] == 200
@@ -197,7 +197,7 @@
             take_little(front, client)
             client.send(request("GET", "/file?n=60000") + request("GET", "/wait?ms=60000"))
             await until(lambda: it.runs() == 3)
-            assert unsent(front) and not front.paused
+            assert unsent(front) and not front.read_paused
             client.writer.write_eof()
             await until(lambda: it.proxy.open == 0)
             assert it.web.door is not None and front in it.web.door.connections  # nor was it cut
