--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -1,7 +1,21 @@
-"""A connection from a client: requests in, one response to each in their order, /health/ready.
-
-The order of its concerns: what its transport reports, what the parser reports, the requests in their turn,
-the responses, the end of the connection, and the time limits.
+"""A connection from a client: each request in its turn, one response to each, /health/ready.
+
+`http_connection.py` holds its state and flow control, `request_reader.py` how it reads requests.
+
+What ends a request, and who answers:
+
+| what ends it | who answers | the connection |
+| --- | --- | --- |
+| the endpoint's response, complete | `Final`, as it comes, or `answer` | goes on, unless it was its last |
+| the endpoint's response breaks off once it was begun | nobody: `cut` | reset |
+| the balancer rejects it, or its time is over | the proxy, by `answer` | goes on |
+| it is malformed, or too long | `lose_framing`, in its turn | closed behind the response |
+| its body goes wrong, and its response was begun | nobody: `lose_framing` | reset |
+| too many are read ahead | `turn_away`: one response to all | closed behind the response |
+| the client brings no more of it | `check_time`, by `lose_framing` (408) | closed behind the response |
+| the client takes nothing of its response | nobody: `check_time` | reset |
+| the client has left | nobody: `abandon_all` | closed |
+| the gateway sends its clients away | `send_away`, or `take` | closed behind the response |
 """
 
 from __future__ import annotations
@@ -11,61 +25,38 @@
 from functools import partial
 from typing import Protocol, cast
 
-import httptools
-
 from badgergap.proxy import unread_input
-from badgergap.proxy.body_streams import AnswerHead, Upload
+from badgergap.proxy.body_streams import AnswerHead
+from badgergap.proxy.downstream import request_reader
 from badgergap.proxy.downstream.forwarding import exchange_spec
-from badgergap.proxy.downstream.http_connection import (
-    AFTER_BEGIN,
-    AFTER_END,
-    AFTER_FRAMING_LOST,
-    HttpConnection,
-)
+from badgergap.proxy.downstream.http_connection import AFTER_FRAMING_LOST
 from badgergap.proxy.downstream.incoming_request import Incoming
-from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest, Intake
+from badgergap.proxy.downstream.request_reader import ReaderContext, RequestReader
+from badgergap.proxy.downstream.request_validation import BadRequest, Intake
 from badgergap.proxy.downstream.response import answer_bytes, head_of
 from badgergap.proxy.downstream.response_writer import Written
 from badgergap.proxy.lifecycle.lame_duck import Fate, LameDuck
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.limits.memory import Budget, Reads
 from badgergap.proxy.proxy import RETRY_AFTER, Books, Proxy, Request, plain, refused
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
 from badgergap.proxy.upstream.stream_attempt import is_early
-from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE, carry
+from badgergap.proxy.upstream.stream_exchange import carry
 
 log = logging.getLogger(__name__)
 
-# What is not body of a request, beside so many times its body. Guards against chunk extensions and trailers
-# that go on without end; a body may come in chunks of one byte.
-RAW_LIMIT = 4 * HEAD_LIMIT
-COUNTED = 2048  # bytes of a head that is not whole, from which on the budget is told
-PIPELINED = 8  # requests read ahead of their turn on one connection
 IDLE_S = 5.0  # a connection between requests
-# For a whole request: the first on a connection from its accept, a later one from its first byte. Guards
-# against clients that say nothing, or say it without end, and hold a descriptor meanwhile.
-REQUEST_S = 2.25
-# Of a body: bytes a second that a client has to bring, and how long it may bring none. A client that brings
-# its body at half the pace of the slowest there are is still read.
-SLOWEST = 32_000
-STALL_S = 2.0
-FIRST_S = 1.0  # for the first of it, behind a head that took its time
 UNREAD_S = 10.0  # a client that takes nothing of its answer for so long is cut
 HOST_QUIET_S = 10.0  # a host that has begun to answer and says nothing for so long
 LAME_LINGER_S = 0.3
 
 
-class ListenerContext(Protocol):
+class ListenerContext(ReaderContext, Protocol):
     """What a connection needs of the listener that accepted it."""
 
-    loop: asyncio.AbstractEventLoop
     proxy: Proxy
     intake: Intake
-    budget: Budget  # bytes of bodies and heads that the process may hold
-    reads: Reads  # the buffer that all connections read into
     lame: LameDuck
     unsent_limit: int  # bytes written to a client and not taken, beyond which its endpoint is not read
-    resting: dict[ClientConnection, None]  # between requests, the one used last comes last
 
     @property
     def ends_connections(self) -> bool:
@@ -77,17 +68,15 @@
         """It has no request in hand."""
 
 
-class ClientConnection(HttpConnection[Incoming], asyncio.BufferedProtocol):
+class ClientConnection(RequestReader):
     """One connection from a client of the platform: requests in, one response to each, in their order."""
 
+    server: ListenerContext
+
     def __init__(self, server: ListenerContext, asked: bool = False) -> None:
         """`asked`: another process of this gateway has served it before."""
-        super().__init__(server.loop, Incoming())
-        self.server = server
+        super().__init__(server, asked=2 * asked)
         self.request: Request | None = None  # the current one, once the proxy has taken it
-        self.asked = 2 * asked  # requests that could be read
-        self.accounted_bytes = 0  # what the budget knows of: held of a body, and not taken of an answer
-        self.due_at = 0.0  # of a body: when more of it has to have come
 
     # Transport
 
@@ -96,74 +85,6 @@
         self.transport.set_write_buffer_limits(high=self.server.unsent_limit)
         self.server.add(self)
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        return self.server.reads.buffer()
-
-    def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(self.server.reads.taken(nbytes))
-
-    def data_received(self, data: bytes) -> None:
-        if self.is_closing:
-            return
-        self.progress_at = self.loop.time()
-        self.server.resting.pop(self, None)
-        if not self.is_receiving:
-            self.begin()
-        self.incoming.raw += len(data)
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            self.last_of_all()  # the request stands; what follows it is no HTTP
-        except httptools.HttpParserError:
-            self.lose_framing(BadRequest(400, "malformed request"))
-        if self.is_receiving and not self.is_closing:
-            incoming = self.incoming
-            if not incoming.head_read:
-                if incoming.raw > HEAD_LIMIT:
-                    self.lose_framing(BadRequest(431, "head too long"))
-                elif incoming.raw > COUNTED:
-                    self.account_memory()
-            elif incoming.raw > RAW_LIMIT + FRAMING_SHARE * incoming.size:
-                self.lose_framing(BadRequest(413, "request too long"))
-        self.next()
-
-    def begin(self) -> None:
-        """The first byte of a request, also one that the parser skips."""
-        self.incoming = Incoming()
-        self.state = AFTER_BEGIN[self.state]
-        if self.asked:
-            self.phase_began_at = self.loop.time()
-
-    def upload_flow(self, incoming: Incoming, on: bool) -> None:
-        """The body's taker takes more, or no more for now."""
-        if incoming is not self.incoming or self.upload_paused is not on:
-            return
-        self.upload_paused = not on
-        if on:
-            self.due_at = self.loop.time() + STALL_S  # what was not read is not the client's delay
-        self.check_flow()
-
-    def must_pause_reading(self) -> bool:
-        """Whether nothing more can be taken from the client for now.
-
-        Guards against a client that asks and asks but reads no answers: they would pile up in memory. What
-        the request in hand still needs is read all the same: it may be sent whole before its client reads.
-        """
-        unread = self.write_paused and not (self.is_receiving and self.incoming is self.current)
-        return not self.is_closing and (self.upload_paused or unread)
-
-    def account_memory(self) -> None:
-        """Tell the budget what is held here."""
-        held = 0
-        if self.transport is not None and self.write_paused:
-            held += self.transport.get_write_buffer_size()
-        if self.incoming.upload.is_held:
-            held += self.incoming.upload.size
-        if self.is_receiving and not self.incoming.head_read:
-            held += self.incoming.raw
-        self.server.budget.change(held - self.accounted_bytes)
-        self.accounted_bytes = held
-
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.drop(self)
         self.write_paused = False
@@ -203,44 +124,11 @@
         else:
             self.pipeline.append(Incoming(keep_alive=False, refusal=refusal))
 
-    def last_of_all(self) -> None:
-        """Nothing after the newest request is read: its answer is the connection's last."""
-        self.stop_reading()
-        self.incoming.keep_alive = False
-
-    # Parser
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        incoming = self.incoming
-        if self.is_closing or incoming.head_read:  # trailers say nothing that counts
-            return
-        incoming.size += len(name) + len(value) + 4
-        try:
-            incoming.add_header(name, value)
-        except BadRequest as refusal:
-            self.lose_framing(refusal)
+    # Requests, one at a time
 
-    def on_headers_complete(self) -> None:
-        incoming = self.incoming
-        incoming.method = self.parser.get_method()
-        if self.is_closing:
-            return
-        try:
-            if incoming.size + len(incoming.target) > HEAD_LIMIT:
-                raise BadRequest(431, "head too long")
-            incoming.check_head(self.parser.get_http_version())
-        except BadRequest as refusal:
-            self.lose_framing(refusal)
-            return
-        incoming.head_read, incoming.size = True, 0
-        if incoming.length == 0:
-            return
-        incoming.keep_alive = self.parser.should_keep_alive()
-        incoming.upload = Upload(partial(self.upload_flow, incoming), hold=self.server.budget.hold)
-        self.due_at = max(self.phase_began_at + REQUEST_S, self.loop.time() + FIRST_S)
-        if incoming.version == "1.1" and incoming.headers.get(b"expect", b"").lower() == b"100-continue":
-            incoming.wants_word = True
-            self.say_go_on()
+    def body_complete(self, incoming: Incoming) -> None:
+        if incoming is self.current and self.request is not None:
+            self.server.proxy.body_came(self.request)
 
     def say_go_on(self) -> None:
         """Once it is its turn: before that an answer to another request would come behind it."""
@@ -249,42 +137,6 @@
             incoming.wants_word = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def on_body(self, body: bytes) -> None:
-        incoming = self.incoming
-        incoming.size += len(body)
-        if incoming.size > BODY_LIMIT:
-            self.lose_framing(BadRequest(413, f"body over {BODY_LIMIT} bytes"))
-        elif not self.is_closing and incoming.refusal is None:
-            now = self.loop.time()
-            self.due_at = max(self.due_at, min(self.due_at + len(body) / SLOWEST, now + STALL_S))
-            incoming.upload.put(body)
-            self.account_memory()
-            if incoming.upload.ready:
-                self.queue(incoming)
-
-    def on_message_complete(self) -> None:
-        self.state = AFTER_END[self.state]
-        if self.is_closing:
-            return
-        incoming = self.incoming
-        incoming.came_at = self.loop.time()
-        incoming.keep_alive = self.parser.should_keep_alive()
-        if not incoming.upload.complete:
-            incoming.upload.end([])
-            if incoming is self.current and self.request is not None:
-                self.server.proxy.body_came(self.request)
-        self.queue(incoming)
-        if not incoming.keep_alive:
-            self.stop_reading()
-        elif len(self.pipeline) > PIPELINED:
-            self.turn_away()
-
-    def queue(self, incoming: Incoming) -> None:
-        """It is whole, or as much of it is here as is held."""
-        if not incoming.queued:
-            incoming.queued = True
-            self.pipeline.append(incoming)
-
     def turn_away(self) -> None:
         """Far more asked at once than clients do: answered once, now, and no more of it carried out.
 
@@ -298,8 +150,6 @@
         self.abandon_current()
         self.lose_framing(BadRequest(400, "too many requests ahead of their turn"))
 
-    # Requests, one at a time
-
     def next(self) -> None:
         """Take up the next request unless one is in hand."""
         while self.current is None and self.pipeline:
@@ -492,7 +342,7 @@
         elif self.is_closing:
             return
         elif self.is_receiving and not self.incoming.head_read:
-            if not self.has_open_requests and now - self.phase_began_at > REQUEST_S:
+            if not self.has_open_requests and now - self.phase_began_at > request_reader.REQUEST_S:
                 self.lose_framing(BadRequest(408, "the rest of the request has not come"))
                 self.next()
         elif self.is_receiving:
@@ -501,7 +351,7 @@
                 self.next()
         elif (
             not self.has_open_requests
-            and now - self.phase_began_at > (IDLE_S if self.asked else REQUEST_S)
+            and now - self.phase_began_at > (IDLE_S if self.asked else request_reader.REQUEST_S)
             and self.may_close
         ):
             self.close()
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -9,6 +9,8 @@
 from collections.abc import Callable
 
 from badgergap.proxy.downstream.client_connection import ClientConnection
+from badgergap.proxy.downstream.http_connection import HttpConnection
+from badgergap.proxy.downstream.incoming_request import Incoming
 from badgergap.proxy.downstream.request_validation import Intake
 from badgergap.proxy.downstream.response import answer_bytes
 from badgergap.proxy.lifecycle.config import Address, Config
@@ -48,7 +50,9 @@
         self.unsent_limit = min(LARGEST, max(LEAST, self.budget.total // (4 * self.most)))
         self.elsewhere = 0  # of them, those that another process of this gateway holds
         self.connections: set[ClientConnection] = set()
-        self.resting: dict[ClientConnection, None] = {}  # between requests, the one used last comes last
+        self.resting: dict[
+            HttpConnection[Incoming], None
+        ] = {}  # between requests, the one used last comes last
         self.most_resting = int(eviction.half(config.sockets) * RESTING_SHARE)
         self.draining = False
         self.socket: socket.socket | None = None  # that listens; another process may listen on it too
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.downstream import client_connection, listener
+from badgergap.proxy.downstream import client_connection, listener, request_reader
 from badgergap.proxy.limits.eviction import Standing
 from badgergap.balancing.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
@@ -85,7 +85,7 @@
     """
     monkeypatch.setattr(eviction, "STALLED_S", 30.0)
     monkeypatch.setattr(eviction, "SILENT_S", 30.0)
-    monkeypatch.setattr(client_connection, "REQUEST_S", 1e6)
+    monkeypatch.setattr(request_reader, "REQUEST_S", 1e6)
     monkeypatch.setattr(client_connection, "IDLE_S", 1e6)
 
     async def test() -> None:
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -14,7 +14,7 @@
 import pytest
 
 from badgergap.proxy.upstream import stream_exchange
-from badgergap.proxy.downstream import client_connection, forwarding
+from badgergap.proxy.downstream import client_connection, forwarding, request_reader
 from badgergap.proxy.limits.memory import LEAST, Budget
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.body_streams import HOLD
@@ -508,14 +508,12 @@
     loop = Clockwork()
     connection = ClientConnection.__new__(ClientConnection)
     connection.loop = loop  # type: ignore[assignment]
-    due_at = client_connection.REQUEST_S
+    due_at = request_reader.REQUEST_S
     for number in itertools.count():
         loop.now = number * 0.1
         if number * 6400 >= got or loop.now > due_at:
             break
-        due_at = max(
-            due_at, min(due_at + 6400 / client_connection.SLOWEST, loop.now + client_connection.STALL_S)
-        )
+        due_at = max(due_at, min(due_at + 6400 / request_reader.SLOWEST, loop.now + request_reader.STALL_S))
     assert (after_s > due_at) is late
 
 
@@ -528,7 +526,7 @@
     end: bytes, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Too long, or its framing lost, with most of it at a host already: that host never has it whole."""
-    for module in (client_connection, forwarding):
+    for module in (request_reader, forwarding):
         monkeypatch.setattr(module, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
 
     async def test() -> None:
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -11,7 +11,7 @@
 
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.upstream import connection_pool
-from badgergap.proxy.downstream import client_connection, http_connection
+from badgergap.proxy.downstream import client_connection, http_connection, request_reader
 from badgergap.proxy.endpoints.sources import host_id
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
 from badgergap.proxy.body_streams import HOLD
@@ -425,7 +425,7 @@
     (ask("buy", Content_Length="9" * 30), 400),
     (ask("buy", Content_Length="3").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n") + b"abc", 400),
     (ask("buy", Content_Length="60000000"), 413),
-    (ask("buy", Transfer_Encoding="chunked") + b"1;" + b"x" * client_connection.RAW_LIMIT, 413),
+    (ask("buy", Transfer_Encoding="chunked") + b"1;" + b"x" * request_reader.RAW_LIMIT, 413),
     (ask("buy", Content_Length=str(BODY_LIMIT + 1)) + bytes(70_000), 413),
     (ask(X="x" * HEAD_LIMIT), 431),
     (b"GET /look HTTP/1.1\r\nX: " + b"x" * (HEAD_LIMIT + 1), 431),
@@ -545,14 +545,14 @@
             (connection,) = [await connected(it)]
             while start and not connection.is_receiving:
                 await asyncio.sleep(0.001)
-            connection.check_time(connection.phase_began_at + 0.9 * client_connection.REQUEST_S)
+            connection.check_time(connection.phase_began_at + 0.9 * request_reader.REQUEST_S)
             assert not connection.is_closing
             at = connection.phase_began_at
             if start:
                 client.send(start[-1:])
                 await asyncio.sleep(0.01)
             connection.check_time(
-                at + client_connection.REQUEST_S + 0.01
+                at + request_reader.REQUEST_S + 0.01
             )  # from the accept, not from the last byte
             if start:
                 assert (await client.answer())[0] == 408
