--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import client_connection, listener, request_reader
 from badgergap.proxy.limits.eviction import Standing
 from badgergap.balancing.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
@@ -85,7 +85,7 @@
     """
     monkeypatch.setattr(eviction, "STALLED_S", 30.0)
     monkeypatch.setattr(eviction, "SILENT_S", 30.0)
-    monkeypatch.setattr(client_connection, "REQUEST_S", 1e6)
+    monkeypatch.setattr(request_reader, "REQUEST_S", 1e6)
     monkeypatch.setattr(client_connection, "IDLE_S", 1e6)
 
     async def test() -> None:
@@ -109,7 +109,7 @@
                     most = max(most, len(it.downstream.connections))
                 await asyncio.sleep(0.01)  # what has come is read
                 for connection in it.downstream.connections - {ours}:
-                    connection.since -= 31.0
+                    connection.phase_began_at -= 31.0
                     connection.progress_at -= 31.0
             assert (await slow.answer())[0] == 200
             assert most <= it.downstream.most + 2 * it.downstream.turned_away
@@ -153,7 +153,7 @@
             while len(it.downstream.connections) < len(resting):
                 await asyncio.sleep(0.001)
             for connection in it.downstream.connections:
-                connection.since -= 1.0
+                connection.phase_began_at -= 1.0
             busy = await it.client()
             it.proxy.upstream.connections_elsewhere = 30
             assert (await busy.ask(ask("buy", body=b"x")))[2] == b"x"
@@ -175,7 +175,7 @@
             whole = ask("buy", body=b"x" * 300)
             slow.send(whole[:10])
             stalled.send(whole[:10])
-            while sum(c.reading for c in it.downstream.connections) < 2:
+            while sum(c.is_receiving for c in it.downstream.connections) < 2:
                 await asyncio.sleep(0.001)
             sides = {
                 c.transport.get_extra_info("peername"): c
@@ -193,7 +193,7 @@
                 ours.progress_at -= 15.0
                 came = ours.progress_at
                 for _ in range(3):  # looks of the end at its connections
-                    await asyncio.sleep(client_connection.FINISH_POLL_S)
+                    await asyncio.sleep(listener.FINISH_POLL_S)
                 slow.send(whole[place : place + 50])
                 while ours.progress_at == came and not end.done():
                     await asyncio.sleep(0.001)
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -14,7 +14,7 @@
 import pytest
 
 from badgergap.proxy.upstream import stream_exchange
-from badgergap.proxy.downstream import client_connection
+from badgergap.proxy.downstream import client_connection, forwarding, request_reader
 from badgergap.proxy.limits.memory import LEAST, Budget
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.body_streams import HOLD
@@ -205,7 +205,7 @@
                 assert status == 200 and said == hashlib.sha256(body).digest()
             assert len(host.bodies) == len(SIZES)
             (connection,) = it.downstream.connections
-            assert it.proxy.upstream.budget.used == connection.counted == 0
+            assert it.proxy.upstream.budget.used == connection.accounted_bytes == 0
 
     run(test())
 
@@ -268,7 +268,7 @@
             slow.send(ask())
             await it.event(StreamStarted)
             connection = next(c for c in it.downstream.connections if c.current is not None)
-            while not connection.blocked:
+            while not connection.write_paused:
                 await asyncio.sleep(0.001)
             for _ in range(20):
                 quick.send(ask("buy", body=b"x"))
@@ -424,12 +424,12 @@
             client.send(ask())
             await it.event(StreamStarted)
             (connection,) = it.downstream.connections
-            while not connection.blocked:
+            while not connection.write_paused:
                 await asyncio.sleep(0.001)
             now = connection.loop.time()
             connection.check_time(now)
             connection.check_time(now + 0.9 * client_connection.UNREAD_S)
-            assert not connection.closing
+            assert not connection.is_closing
             connection.check_time(now + 1.1 * client_connection.UNREAD_S)
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
 
@@ -508,14 +508,12 @@
     loop = Clockwork()
     connection = ClientConnection.__new__(ClientConnection)
     connection.loop = loop  # type: ignore[assignment]
-    due_at = client_connection.REQUEST_S
+    due_at = request_reader.REQUEST_S
     for number in itertools.count():
         loop.now = number * 0.1
         if number * 6400 >= got or loop.now > due_at:
             break
-        due_at = max(
-            due_at, min(due_at + 6400 / client_connection.SLOWEST, loop.now + client_connection.STALL_S)
-        )
+        due_at = max(due_at, min(due_at + 6400 / request_reader.SLOWEST, loop.now + request_reader.STALL_S))
     assert (after_s > due_at) is late
 
 
@@ -528,7 +526,8 @@
     end: bytes, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Too long, or its framing lost, with most of it at a host already: that host never has it whole."""
-    monkeypatch.setattr(client_connection, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
+    for module in (request_reader, forwarding):
+        monkeypatch.setattr(module, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
 
     async def test() -> None:
         host = Echo(with_length)
