--- a/badgergap/__init__.py
+++ b/badgergap/__init__.py
@@ -1,6 +1,6 @@
 """badgergap: the decisions of a load-balancing proxy for fleets of HTTP servers."""
 
-from badgergap.balancing.choice import Balancer
+from badgergap.balancing.balancer import Balancer
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Protocol
 
-from badgergap.balancing.choice import Balancer
+from badgergap.balancing.balancer import Balancer
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import Budget, total_of
 from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
--- a/badgergap/simulator/adapter.py
+++ b/badgergap/simulator/adapter.py
@@ -11,7 +11,7 @@
 from typing import TextIO
 
 from badgergap.balancing.interface import Event, ListedEndpoint, EndpointListKind, EndpointList
-from badgergap.balancing.choice import Balancer
+from badgergap.balancing.balancer import Balancer
 from badgergap.simulator.codec import (
     LIST_KINDS,
     PARSERS,
--- a/tests/balancing/test_bounds.py
+++ b/tests/balancing/test_bounds.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parents[2] / "badgergap" / "balancing" / "choice.py"
+MODULE = Path(__file__).parents[2] / "badgergap" / "balancing" / "balancer.py"
 
 
 def test_the_module_holds_at_most_1200_lines_of_110_characters() -> None:
--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -2,7 +2,7 @@
 
 from tests.helpers import Driver, sends, trip
 from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, Outcome
-from badgergap.balancing.choice import (
+from badgergap.balancing.balancer import (
     CEILING,
     COOLDOWN_US,
     CUT,
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -28,7 +28,7 @@
     TimerFired,
     WatchEndpoints,
 )
-from badgergap.balancing.choice import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, Attempt, rendezvous
+from badgergap.balancing.balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, Attempt, rendezvous
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -33,7 +33,7 @@
     Settings,
     TimerFired,
 )
-from badgergap.balancing.choice import Balancer
+from badgergap.balancing.balancer import Balancer
 
 GROUP = {n: n // 3 for n in range(6)}
 
--- a/tests/balancing/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgergap.balancing.choice import OVERDUE, State
+from badgergap.balancing.balancer import OVERDUE, State
 from badgergap.balancing.interface import AttemptEnded, Outcome, ClientDisconnected, StreamStarted
 from tests.helpers import SAFE, SETTINGS, UNSAFE, Driver, finals, sends
 
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from badgergap.balancing.choice import COOLDOWN_US, Balancer
+from badgergap.balancing.balancer import COOLDOWN_US, Balancer
 from badgergap.balancing.interface import (
     ListedEndpoint,
     EndpointListKind,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,7 +22,7 @@
     SetTimer,
     Settings,
 )
-from badgergap.balancing.choice import MINIMUM, Balancer, Breaker, State
+from badgergap.balancing.balancer import MINIMUM, Balancer, Breaker, State
 
 SAFE = RequestClass(
     objective_us=200_000,
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.balancing.choice import Balancer
+from badgergap.balancing.balancer import Balancer
 from badgergap.proxy.lifecycle.config import Names
 from badgergap.proxy.endpoints.discovery import parse_list
 from badgergap.proxy.endpoints.registry import HandDrain
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.balancing.choice import CEILING, FLOOR, RING, State
+from badgergap.balancing.balancer import CEILING, FLOOR, RING, State
 from badgergap.replication import learned_state
 from badgergap.replication.learned_state import BadLesson, Have, Keep, Kept, Lesson
 from badgergap.replication.learned_state_service import LessonsRoom
@@ -35,7 +35,7 @@
     for _ in range(20):
         name, actions = driver.arrive()
         driver.now_us += 10_000
-        driver.end(name, actions[0].server)  # type: ignore[union-attr]
+        driver.end(name, actions[0].endpoint_id)  # type: ignore[union-attr]
     return driver
 
 
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from badgergap.admin import Figures
-from badgergap.balancing.choice import Breaker
+from badgergap.balancing.balancer import Breaker
 from badgergap.cli.serve import fleet_tls
 from badgergap.cli.setup import Setup
 from badgergap.cli.tls import ClientTls
