--- a/badgergap/balancing/balancer.py
+++ b/badgergap/balancing/balancer.py
@@ -10,34 +10,58 @@
 
 import math
 import random
-from collections import deque
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field, replace
-from enum import Enum
+from dataclasses import replace
 from functools import partial
 from operator import attrgetter
 from typing import Any
 
+from badgergap.balancing.circuit_breaker import (
+    FIRST_COOLDOWN_US,
+    MAX_COOLDOWN_US,
+    BreakerState,
+    CircuitBreaker,
+    common_failure_share,
+)
+from badgergap.balancing.records import Attempt, Endpoint, KeyQueue, Request
+from badgergap.balancing.weight_controller import (
+    MAX_WEIGHT,
+    MIN_WEIGHT,
+    SLOW_ANSWER_MULTIPLE,
+    is_slow,
+    next_weight,
+)
 from badgergap.balancing.interface import (
-    MAY_STILL_RUN, NEVER_RAN, Action, AttemptEnded, Cancel, Idempotency, Event, ExtendTimeout, Fail,
-    ListedEndpoint, EndpointListKind, Log, Outcome, Reject, RequestArrived, RequestClass,
-    ClientDisconnected, RequestCoalesced, DeduplicationScope, Send, EndpointList, EndpointStatus,
-    EndpointView, SetTimer, Settings, StreamStarted, TimerFired, WatchEndpoints,
+    MAY_STILL_RUN,
+    NEVER_RAN,
+    Action,
+    AttemptEnded,
+    Cancel,
+    Idempotency,
+    Event,
+    ExtendTimeout,
+    Fail,
+    ListedEndpoint,
+    EndpointListKind,
+    Log,
+    Outcome,
+    Reject,
+    RequestArrived,
+    RequestClass,
+    ClientDisconnected,
+    RequestCoalesced,
+    DeduplicationScope,
+    Send,
+    EndpointList,
+    EndpointStatus,
+    EndpointView,
+    SetTimer,
+    Settings,
+    StreamStarted,
+    TimerFired,
+    WatchEndpoints,
 )
 
-# The breaker
-RING = 10  # outcomes: a second or less of one proxy's traffic to one server
-MINIMUM = 5  # outcomes before a verdict: fewer convict on chance
-THRESHOLD = 0.5  # failure share that opens, beyond what all servers fail in common
-TRIALS = 3  # outcomes that decide in half-open
-OPEN_MOST = 1 / 3  # of the servers, on the evidence of rings that hold good answers too
-COOLDOWN_US = 1_000_000  # first cooldown; doubles with each reopening from half-open
-LONGEST_COOLDOWN_US = 8_000_000
-# The weight controller
-FLOOR, CEILING = 0.05, 1.0  # of the controller's weight
-STEP = 0.02  # added by a good answer
-CUT = 0.7  # factor of a failure or a slow reply
-SLOW = 2.0  # times the smoothed latency: a slow reply
 SMOOTHING = 0.05  # share of the newest sample in smoothed values
 # The draw
 SUBSET = 3  # servers a proxy spreads over at the least: few fill their rings, enough outlive a bad third
@@ -79,186 +103,40 @@
 
 # What a proxy has learnt that another process of its may go on with; beside it stand the servers
 LEARNT = (
-    "smoothed", "unhindered", "recent", "answers", "mean_work", "patience", "asked", "served", "shed",
-    "shed_at_us", "retry_tokens", "reach", "mean_out",
+    "smoothed",
+    "unhindered",
+    "recent",
+    "answers",
+    "mean_work",
+    "patience",
+    "asked",
+    "served",
+    "shed",
+    "shed_at_us",
+    "retry_tokens",
+    "reach",
+    "mean_out",
 )
 
 LOG_GAP_US = 100_000  # between two log lines
 FIRST_CALL_SHARE = 0.1  # of the time the rules give: the first call to the list service falls within it
 
 
-class State(Enum):
-    CLOSED = "closed"
-    OPEN = "open"
-    HALF_OPEN = "half-open"
-
-
-class Breaker:
-    """Ring of the last outcomes of one server, over all classes or of one, and what follows from it."""
-
-    __slots__ = (
-        "cooldown_us", "episode", "failures", "open_until_us", "ring", "state", "trial_results", "trials_out"
-    )
-
-    def __init__(self) -> None:
-        self.ring: deque[bool] = deque(maxlen=RING)
-        self.failures = 0
-        self.state = State.CLOSED
-        self.open_until_us = 0
-        self.cooldown_us = COOLDOWN_US
-        self.episode = 0  # half-open spells so far: an outcome is a trial's if it was sent in the present one
-        self.trials_out = 0
-        self.trial_results: list[bool] = []
+def encode_breaker(breaker: CircuitBreaker) -> list[Any]:
+    until_us = 0 if breaker.state is BreakerState.CLOSED else breaker.open_until_us
+    return [breaker.state.value, until_us, breaker.cooldown_us, [int(failed) for failed in breaker.ring]]
 
-    def lets_through(self, now_us: int) -> bool:
-        """True if closed, or half-open with trials left to give; ends a cooldown that is over."""
-        if self.state is State.CLOSED:
-            return True
-        if self.state is State.OPEN:
-            if now_us < self.open_until_us:
-                return False
-            self.state = State.HALF_OPEN
-            self.episode += 1
-            self.trials_out = 0
-            self.trial_results = []
-        return self.trials_out + len(self.trial_results) < TRIALS
-
-    def take_trial(self) -> int:
-        """The episode an attempt is a trial of, or 0 for an ordinary attempt."""
-        if self.state is not State.HALF_OPEN:
-            return 0
-        self.trials_out += 1
-        return self.episode
-
-    def record(self, now_us: int, failed: bool, trial_of: int, common: float) -> State | None:
-        """Enter an outcome; returns the new state if it opened or closed the breaker."""
-        if self.state is State.HALF_OPEN:
-            if trial_of != self.episode:
-                return None  # in half-open only the trials' outcomes count
-            self.trials_out -= 1
-            self.trial_results.append(failed)
-            bad = sum(self.trial_results)
-            if bad / TRIALS >= THRESHOLD:  # the rest cannot save it
-                self.cooldown_us = min(2 * self.cooldown_us, LONGEST_COOLDOWN_US)
-                return self.open(now_us)
-            return self.close() if len(self.trial_results) == TRIALS else None
-        if len(self.ring) == RING:
-            self.failures -= self.ring[0]
-        self.ring.append(failed)
-        self.failures += failed
-        limit = len(self.ring) * (common + (1.0 - common) * THRESHOLD)
-        if failed and len(self.ring) >= MINIMUM and self.failures >= limit:
-            return self.open(now_us)
-        return None
 
-    def take_back(self, now_us: int) -> State | None:
-        """An answer that was entered as good has broken off since: it was a failure all along."""
-        if self.state is State.CLOSED and False in self.ring:
-            self.ring[len(self.ring) - 1 - list(reversed(self.ring)).index(False)] = True
-            self.failures += 1
-            if len(self.ring) >= MINIMUM and self.failures >= len(self.ring) * THRESHOLD:
-                return self.open(now_us)
-        return None
-
-    def forgo_trial(self, trial_of: int) -> None:
-        """A trial that proved nothing gives its place back."""
-        if self.state is State.HALF_OPEN and trial_of == self.episode:
-            self.trials_out -= 1
-
-    def open(self, now_us: int) -> State:
-        self.state = State.OPEN
-        self.open_until_us = now_us + self.cooldown_us
-        return self.state
-
-    def snapshot(self) -> list[Any]:
-        until_us = 0 if self.state is State.CLOSED else self.open_until_us
-        return [self.state.value, until_us, self.cooldown_us, [int(failed) for failed in self.ring]]
-
-    def restore(self, now_us: int, raw: list[Any]) -> None:
-        """What `snapshot` gave, in another process. One on trial owes them anew. Raises for nonsense."""
-        state, open_until_us, cooldown_us, ring = State(raw[0]), int(raw[1]), int(raw[2]), raw[3]
-        self.cooldown_us = min(max(cooldown_us, COOLDOWN_US), LONGEST_COOLDOWN_US)
-        self.ring.extend(map(bool, ring))
-        self.failures = sum(self.ring)
-        if state is not State.CLOSED:
-            self.state = State.OPEN
-            until_us = open_until_us if state is State.OPEN else now_us
-            self.open_until_us = min(until_us, now_us + LONGEST_COOLDOWN_US)
-
-    def close(self) -> State:
-        self.state = State.CLOSED
-        self.ring.clear()
-        self.failures = 0
-        self.cooldown_us = COOLDOWN_US
-        return self.state
-
-
-@dataclass(slots=True, eq=False)
-class Server:
-    """What this proxy knows of one server since it last started."""
-
-    entry: ListedEndpoint
-    weight: float  # of the controller
-    rank: float  # rendezvous hash of this proxy and the server: its place in the subset, lowest first
-    breakers: list[Breaker]  # the first judges all its outcomes; then one a class, in their order
-    out: dict[Attempt, int] = field(default_factory=dict)  # attempts and when they were sent, oldest first
-    start_us: int = 0  # since when it runs, as far as that shows; 0: long ago
-    out_us: int = 0  # since when it was last out by hand
-    back_us: int = 0  # when it was put back; 0: never out
-    used: bool = False  # this proxy has sent it something at some time
-    streams: int = 0  # attempts that their clients own
-    answered_us: int = 0  # when its last answer began
-    spent_us: float = 0.0  # cold only: work sent and not yet paid off
-    spent_at_us: int = 0
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    server: Server
-    sent_us: int
-    trials_of: list[int]  # the half-open spells of its two breakers that it is a trial of
-    ended: bool = False
-    may_have_run: bool = True
-    overdue: bool = False
-    due_us: int = 0  # from then on it is overdue
-    owned: bool = False  # by its client: no load of the server's that passes, and no sign of silence
-    answered: bool = False  # an answer has begun, and was judged
-
-
-@dataclass(slots=True, eq=False)
-class Line:
-    """Requests of ordered classes with one key, in order of arrival; the first has the turn."""
-
-    key: int
-    queue: deque[Request] = field(default_factory=deque)
-    rest_until_us: int = 0  # an attempt that may still be running holds up those behind it
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    id: str
-    klass: int
-    key: int | None
-    deadline_us: int
-    aim_us: int  # absolute
-    size: float  # expected work over the class's mean
-    first_try: bool
-    line: Line | None = None
-    attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0
-    done: bool = False
-    streaming: bool = False
-    members: int = 1  # clients that wait for its answer
-    only: tuple[int, ...] = ()  # servers that may have it; empty: all
-
-
-def judges(server: Server, klass: int) -> tuple[Breaker, Breaker]:
-    """The breakers that must let a request through.
-
-    Guards against a server that fails one class only: in one ring its failures drown in what it serves, and
-    it is kept for all or lost to all.
-    """
-    return server.breakers[0], server.breakers[klass + 1]
+def restore_breaker(breaker: CircuitBreaker, now_us: int, raw: list[Any]) -> None:
+    """What `encode_breaker` gave, in another process. One on trial owes them anew. Raises for nonsense."""
+    state, open_until_us, cooldown_us, ring = BreakerState(raw[0]), int(raw[1]), int(raw[2]), raw[3]
+    breaker.cooldown_us = min(max(cooldown_us, FIRST_COOLDOWN_US), MAX_COOLDOWN_US)
+    breaker.ring.extend(map(bool, ring))
+    breaker.failures = sum(breaker.ring)
+    if state is not BreakerState.CLOSED:
+        breaker.state = BreakerState.OPEN
+        until_us = open_until_us if state is BreakerState.OPEN else now_us
+        breaker.open_until_us = min(until_us, now_us + MAX_COOLDOWN_US)
 
 
 def rendezvous(key: int, server: int, weight: float) -> float:
@@ -290,16 +168,16 @@
         self.random = random.Random(seed)
         self.now_us = 0
         self.actions: list[Action] = []
-        self.servers: dict[int, Server] = {}
-        self.ranked: list[Server] = []  # the same by rank: the subset is the first of them that may be used
-        self.returned: list[Server] = []  # put back by hand, used before, and not used since
+        self.servers: dict[int, Endpoint] = {}
+        self.ranked: list[Endpoint] = []  # the same by rank: the subset is the first of them that may be used
+        self.returned: list[Endpoint] = []  # put back by hand, used before, and not used since
         self.sizes: dict[int, float] = {}  # largest listed weight of each kind: live ones sink from it
         self.reach = float(SUBSET)
         self.out = 0  # attempts out everywhere
         self.mean_out = 0.0  # the same over the last while
         self.requests: dict[str, Request] = {}
-        self.lines: dict[int, Line] = {}  # by key
-        self.freed: list[Line] = []  # those whose turn may pass on after this event
+        self.lines: dict[int, KeyQueue] = {}  # by key
+        self.freed: list[KeyQueue] = []  # those whose turn may pass on after this event
         self.never_ran = NEVER_RAN - ({Outcome.REJECTED} if settings.rejected_may_have_run else set())
         self.timers: dict[int, Callable[[], None]] = {}
         self.next_token = 1
@@ -354,13 +232,18 @@
         self.now_us = before_us  # the time between two events is reckoned in `handle`
         return views
 
-    def view(self, server: Server) -> EndpointView:
+    def view(self, server: Endpoint) -> EndpointView:
         breaker = server.breakers[0]
-        is_open = breaker.state is State.OPEN and self.now_us < breaker.open_until_us
+        is_open = breaker.state is BreakerState.OPEN and self.now_us < breaker.open_until_us
         return EndpointView(
-            server.entry.endpoint_id, breaker.open_until_us if is_open else 0,
-            breaker.state is not State.CLOSED and not is_open, self.is_silent(server),
-            self.cold_share(server), server.weight, len(server.out), server.streams,
+            server.entry.endpoint_id,
+            breaker.open_until_us if is_open else 0,
+            breaker.state is not BreakerState.CLOSED and not is_open,
+            self.is_silent(server),
+            self.cold_share(server),
+            server.weight,
+            len(server.in_flight),
+            server.streams,
         )
 
     # Another process of this proxy
@@ -368,8 +251,17 @@
     def snapshot(self) -> dict[str, Any]:
         """What was learnt, as plain data. Times are readings of the clock."""
         servers = [
-            [s.entry.endpoint_id, s.weight, s.spent_us, s.spent_at_us, s.start_us, s.out_us, s.back_us,
-             s.used + (s in self.returned), [b.snapshot() for b in s.breakers]]
+            [
+                s.entry.endpoint_id,
+                s.weight,
+                s.spent_us,
+                s.spent_at_us,
+                s.start_us,
+                s.taken_out_us,
+                s.reinstated_us,
+                s.used + (s in self.returned),
+                [encode_breaker(b) for b in s.breakers],
+            ]
             for s in self.servers.values()
         ]
         return {"servers": servers, **{name: getattr(self, name) for name in LEARNT}}
@@ -396,20 +288,26 @@
             self.returned += [server] * owed
         self.ranked = sorted(self.servers.values(), key=attrgetter("rank"))
 
-    def restored(self, raw: list[Any]) -> tuple[Server, bool]:
+    def restored(self, raw: list[Any]) -> tuple[Endpoint, bool]:
         """A server, and whether it was put back by hand and waits for its first request."""
         number, weight, spent_us, spent_at_us, start_us, out_us, back_us, used, breakers = raw
         known = self.servers[number]
         like([weight, spent_us, spent_at_us, start_us, out_us, back_us, used], [0] * 7)
         server = replace(
-            known, weight=min(max(FLOOR, weight), CEILING), breakers=[Breaker() for _ in known.breakers],
-            spent_us=max(0.0, spent_us), spent_at_us=min(int(spent_at_us), self.now_us), out={},
-            out_us=int(out_us), back_us=int(back_us), used=bool(used),
+            known,
+            weight=min(max(MIN_WEIGHT, weight), MAX_WEIGHT),
+            breakers=[CircuitBreaker() for _ in known.breakers],
+            spent_us=max(0.0, spent_us),
+            spent_at_us=min(int(spent_at_us), self.now_us),
+            in_flight={},
+            taken_out_us=int(out_us),
+            reinstated_us=int(back_us),
+            used=bool(used),
         )
         if known.entry.started_us <= back_us:  # else the list knows of a later start
             server.start_us = max(known.start_us, int(start_us))
         for breaker, each in zip(server.breakers, breakers, strict=True):
-            breaker.restore(self.now_us, each)
+            restore_breaker(breaker, self.now_us, each)
         return server, used > 1
 
     def add_classes(self, classes: tuple[RequestClass, ...], like: tuple[int | None, ...]) -> None:
@@ -428,7 +326,7 @@
             self.asked.append(0.0)
             self.served.append(0.0)
             for server in self.servers.values():
-                server.breakers.append(Breaker())
+                server.breakers.append(CircuitBreaker())
         total = sum(each.priority_weight for each in self.settings.classes)
         self.keen = [c.priority_weight * len(self.settings.classes) > total for c in self.settings.classes]
 
@@ -443,7 +341,7 @@
             self.actions.append(Fail(event.request_id))
             return
         request = self.admit(event)
-        self.requests[request.id] = request
+        self.requests[request.request_id] = request
         if self.is_shed(request) or not (self.await_turn(request) or self.try_send(request)):
             self.answer_unserved(request)
 
@@ -463,8 +361,15 @@
                 self.asked = [n / 2 for n in self.asked]
                 self.served = [n / 2 for n in self.served]
         return Request(
-            event.request_id, event.request_class, event.key, self.now_us + event.client_timeout_us,
-            self.now_us + max(0, klass.objective_us - used_us), size, first_try, only=event.allowed_endpoints,
+            event.request_id,
+            event.request_class,
+            klass,
+            event.key,
+            self.now_us + event.client_timeout_us,
+            self.now_us + max(0, klass.objective_us - used_us),
+            size,
+            first_try,
+            allowed_endpoints=event.allowed_endpoints,
         )
 
     def used_us(self, event: RequestArrived) -> int:
@@ -496,11 +401,11 @@
         if shed <= 0.0:
             return False
         worths = self.worths()
-        mine = worths[request.klass] * request.members
+        mine = worths[request.request_class] * request.clients
         shares = [a * u for a, u in zip(self.asked, self.unhindered, strict=True)]
         total = sum(shares) or 1.0
         below = sum(share for share, worth in zip(shares, worths, strict=True) if worth < mine) / total
-        point = below + shares[request.klass] / total * self.random.random()
+        point = below + shares[request.request_class] / total * self.random.random()
         return point < shed
 
     def crowding(self) -> float:
@@ -521,7 +426,7 @@
     def held(self, out: float) -> float:
         """Requests held by each server in use, if every proxy has as many out as this one."""
         ready = [s for s in self.ranked if s.entry.status is EndpointStatus.READY]
-        used = sum(s.breakers[0].state is State.CLOSED for s in ready)
+        used = sum(s.breakers[0].state is BreakerState.CLOSED for s in ready)
         return out * self.settings.proxy_count / (max(1, used) * self.settings.endpoint_concurrency)
 
     def worths(self) -> list[float]:
@@ -544,11 +449,13 @@
         classes = self.settings.classes
         if event.outcome not in (Outcome.SUCCESS, Outcome.TIMEOUT):
             return
-        slack = classes[request.klass].objective_us - self.unhindered[request.klass]
-        waited = event.latency_us - self.unhindered[request.klass] * request.size
+        slack = classes[request.request_class].objective_us - self.unhindered[request.request_class]
+        waited = event.latency_us - self.unhindered[request.request_class] * request.size
         # No less than what makes a reply slow: work that varies by itself must not pass for a queue.
-        tolerated = slack * (TOLERATED + (1.0 - TOLERATED) * classes[request.klass].late_weight)
-        tolerated = max(tolerated, (SLOW - 1.0) * self.unhindered[request.klass] * request.size)
+        tolerated = slack * (TOLERATED + (1.0 - TOLERATED) * classes[request.request_class].late_weight)
+        tolerated = max(
+            tolerated, (SLOW_ANSWER_MULTIPLE - 1.0) * self.unhindered[request.request_class] * request.size
+        )
         self.step_shed(event.outcome is not Outcome.SUCCESS or waited > tolerated)
 
     def step_shed(self, long: bool) -> None:
@@ -574,49 +481,49 @@
         return self.held(self.mean_out) > CROWD
 
     def expected_us(self, request: Request) -> float:
-        return self.smoothed[request.klass] * request.size
+        return self.smoothed[request.request_class] * request.size
 
     def answer_unserved(self, request: Request) -> None:
         """The final answer when no attempt is out and none is to come."""
         if request.done:
             return
-        klass = self.settings.classes[request.klass]
+        klass = self.settings.classes[request.request_class]
         ran = any(a.may_have_run for a in request.attempts)
         keyed = klass.idempotency is Idempotency.KEYED
         dropped_anywhere = keyed and klass.deduplication_scope is DeduplicationScope.ALL
         if not ran or klass.idempotency is Idempotency.SAFE or dropped_anywhere:
-            self.actions.append(Reject(request.id, self.retry_after_us()))
+            self.actions.append(Reject(request.request_id, self.retry_after_us()))
         else:
-            self.actions.append(Fail(request.id))
+            self.actions.append(Fail(request.request_id))
         self.finish(request)
 
     def retry_after_us(self) -> int:
         """The shortest cooldown left where every server is open, else none."""
         breakers = [s.breakers[0] for s in self.servers.values()]
-        if not breakers or any(b.state is not State.OPEN for b in breakers):
+        if not breakers or any(b.state is not BreakerState.OPEN for b in breakers):
             return 0
         wait_us = min(b.open_until_us for b in breakers) - self.now_us
         return max(0, min(wait_us, self.settings.max_retry_after_us))
 
     def finish(self, request: Request) -> None:
         request.done = True
-        if request.out == 0:
+        if request.in_flight == 0:
             self.forget(request)
         elif not any(attempt.answered for attempt in request.attempts):  # whoever owns that one ends it
             self.call_off(request)
 
     def forget(self, request: Request) -> None:
         """Nothing of it is out any more, and its turn, if it had one, passes on."""
-        self.requests.pop(request.id, None)
-        if request.line is not None:
-            request.line.queue.remove(request)
-            self.freed.append(request.line)
+        self.requests.pop(request.request_id, None)
+        if request.queue is not None:
+            request.queue.requests.remove(request)
+            self.freed.append(request.queue)
 
     def call_off(self, request: Request, spared: int | None = None) -> None:
         """Cancel what is still out, but for one attempt that is wanted."""
         for number, attempt in enumerate(request.attempts if self.settings.may_cancel else ()):
             if not attempt.ended and number != spared:
-                self.actions.append(Cancel(request.id, number))
+                self.actions.append(Cancel(request.request_id, number))
 
     def on_gone(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.request_id)
@@ -624,7 +531,7 @@
             for attempt in request.attempts[-1:]:
                 # Its client had the patience for an unhindered answer and left all the same: as good as a
                 # time-out. Many impatient clients would otherwise hide a jam that they make.
-                least_us = self.unhindered[request.klass] * request.size
+                least_us = self.unhindered[request.request_class] * request.size
                 if not attempt.ended and self.now_us - attempt.sent_us > least_us:
                     self.step_shed(True)
             self.finish(request)
@@ -637,15 +544,15 @@
         request = self.requests.get(event.request_id)
         if request is None or request.done:
             return
-        klass = self.settings.classes[request.klass]
-        request.members += 1
-        self.asked[request.klass] += 1
+        klass = self.settings.classes[request.request_class]
+        request.clients += 1
+        self.asked[request.request_class] += 1
         request.deadline_us = max(request.deadline_us, self.now_us + event.client_timeout_us)
-        request.aim_us = max(request.aim_us, self.now_us + klass.objective_us)
+        request.objective_at_us = max(request.objective_at_us, self.now_us + klass.objective_us)
         for number, attempt in enumerate(request.attempts):
             if not attempt.ended and not attempt.answered:
                 left_us = max(1, self.end_us(request) - self.now_us)
-                self.actions.append(ExtendTimeout(request.id, number, left_us))
+                self.actions.append(ExtendTimeout(request.request_id, number, left_us))
 
     def on_stream(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -656,39 +563,41 @@
         self.call_off(request, spared=event.attempt_number)
         if attempt.ended or attempt.answered:
             return
-        if not attempt.owned:
+        if not attempt.is_stream:
             # Guards against streams that last: a thousand slow readers are no crowd, and a server that sends
             # to one for an hour is not silent.
-            attempt.owned = True
-            attempt.server.streams += 1
-            attempt.server.out.pop(attempt, None)
+            attempt.is_stream = True
+            attempt.endpoint.streams += 1
+            attempt.endpoint.in_flight.pop(attempt, None)
             self.out -= 1
         if event.answered:
             attempt.answered = True
             latency_us = event.latency_us if event.latency_us >= 0 else self.now_us - attempt.sent_us
-            number = attempt.server.entry.endpoint_id
-            begun = AttemptEnded(request.id, event.attempt_number, number, Outcome.SUCCESS, latency_us)
+            number = attempt.endpoint.entry.endpoint_id
+            begun = AttemptEnded(
+                request.request_id, event.attempt_number, number, Outcome.SUCCESS, latency_us
+            )
             self.judge(request, attempt, begun)
-            if self.now_us <= request.aim_us:
-                self.served[request.klass] += request.members
+            if self.now_us <= request.objective_at_us:
+                self.served[request.request_class] += request.clients
 
     # Order
 
     def await_turn(self, request: Request) -> bool:
-        """Line up behind the earlier requests with the same key; False if the request may go at once.
+        """KeyQueue up behind the earlier requests with the same key; False if the request may go at once.
 
         Guards against two of one key running at once or out of turn: the next goes only when nothing of those
         before it is out, after a rest where that may still be running. What can't run in time any more is
         turned away, while its client can still try again.
         """
-        if request.key is None or not self.settings.classes[request.klass].in_order:
+        if request.key is None or not self.settings.classes[request.request_class].in_order:
             return False
-        line = request.line = self.lines.setdefault(request.key, Line(request.key))
-        line.queue.append(request)
-        if line.queue[0] is request and self.now_us >= line.rest_until_us:
+        line = request.queue = self.lines.setdefault(request.key, KeyQueue(request.key))
+        line.requests.append(request)
+        if line.requests[0] is request and self.now_us >= line.quiet_until_us:
             return False
-        least_us = int(self.unhindered[request.klass] * request.size)
-        ready_us = max(self.now_us + (len(line.queue) - 1) * least_us, line.rest_until_us)
+        least_us = int(self.unhindered[request.request_class] * request.size)
+        ready_us = max(self.now_us + (len(line.requests) - 1) * least_us, line.quiet_until_us)
         if ready_us + least_us > self.end_us(request):
             self.answer_unserved(request)
         else:
@@ -699,12 +608,12 @@
         if not request.attempts:
             self.answer_unserved(request)
 
-    def pass_turn(self, line: Line) -> None:
+    def pass_turn(self, line: KeyQueue) -> None:
         """Let the first of a line go, unless it is out already or its key must rest."""
-        while self.now_us >= line.rest_until_us and line.queue and not line.queue[0].attempts:
-            if not self.try_send(line.queue[0]):
-                self.answer_unserved(line.queue[0])
-        if not line.queue and self.now_us >= line.rest_until_us and self.lines.get(line.key) is line:
+        while self.now_us >= line.quiet_until_us and line.requests and not line.requests[0].attempts:
+            if not self.try_send(line.requests[0]):
+                self.answer_unserved(line.requests[0])
+        if not line.requests and self.now_us >= line.quiet_until_us and self.lines.get(line.key) is line:
             del self.lines[line.key]
 
     def set_timer(self, due_us: int, action: Callable[[], None]) -> None:
@@ -724,11 +633,12 @@
         server = self.pick(request)
         if server is None:
             return False
-        klass = self.settings.classes[request.klass]
-        attempt = Attempt(server, self.now_us, [b.take_trial() for b in judges(server, request.klass)])
+        klass = self.settings.classes[request.request_class]
+        over_all, of_class = server.breakers_of(request.request_class)
+        attempt = Attempt(server, self.now_us, (over_all.take_trial(), of_class.take_trial()))
         request.attempts.append(attempt)
-        request.out += 1
-        server.out[attempt] = self.now_us
+        request.in_flight += 1
+        server.in_flight[attempt] = self.now_us
         server.used = True
         if server in self.returned:
             self.returned.remove(server)
@@ -737,18 +647,22 @@
         if self.cold_share(server) < 1.0:
             server.spent_us += self.cold_cost_us(request)
         timeout_us = max(1, self.end_us(request) - self.now_us)
-        self.actions.append(Send(request.id, server.entry.endpoint_id, timeout_us))
+        self.actions.append(Send(request.request_id, server.entry.endpoint_id, timeout_us))
         overdue_us = self.now_us + int(OVERDUE * self.expected_us(request))
-        attempt.due_us = max(overdue_us, request.aim_us) if self.settings.work_varies else overdue_us
+        attempt.overdue_at_us = (
+            max(overdue_us, request.objective_at_us) if self.settings.work_varies else overdue_us
+        )
         if klass.idempotency is not Idempotency.UNSAFE and overdue_us < request.deadline_us:
             self.set_timer(overdue_us, partial(self.on_overdue, request, attempt))
         return True
 
     def end_us(self, request: Request) -> int:
         """When an attempt stops being worth waiting for."""
-        if self.settings.classes[request.klass].late_weight > 0.0:
+        if self.settings.classes[request.request_class].late_weight > 0.0:
             return request.deadline_us
-        return min(request.deadline_us, self.now_us + int(AIM_SHARE * (request.aim_us - self.now_us)))
+        return min(
+            request.deadline_us, self.now_us + int(AIM_SHARE * (request.objective_at_us - self.now_us))
+        )
 
     def on_overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt should have been answered by now: where the class allows, try another server too.
@@ -788,35 +702,35 @@
             return
         attempt.ended = True
         attempt.may_have_run = event.outcome not in self.never_ran
-        request.out -= 1
-        if attempt.owned:
-            attempt.server.streams -= 1
+        request.in_flight -= 1
+        if attempt.is_stream:
+            attempt.endpoint.streams -= 1
         else:
-            attempt.server.out.pop(attempt, None)
+            attempt.endpoint.in_flight.pop(attempt, None)
             self.out -= 1
-        if request.line is not None and event.outcome in MAY_STILL_RUN:
-            request.line.rest_until_us = self.now_us + self.settings.ordered_key_quiet_us
-            self.set_timer(request.line.rest_until_us, partial(self.pass_turn, request.line))
+        if request.queue is not None and event.outcome in MAY_STILL_RUN:
+            request.queue.quiet_until_us = self.now_us + self.settings.ordered_key_quiet_us
+            self.set_timer(request.queue.quiet_until_us, partial(self.pass_turn, request.queue))
         if attempt.answered:
             self.judge_rest(request, attempt, event)
         else:
             self.judge(request, attempt, event)
         if request.done:
-            if request.out == 0:
+            if request.in_flight == 0:
                 self.forget(request)
         elif event.finished or event.outcome is Outcome.SUCCESS:
-            in_time = event.outcome is Outcome.SUCCESS and self.now_us <= request.aim_us
+            in_time = event.outcome is Outcome.SUCCESS and self.now_us <= request.objective_at_us
             if in_time and not attempt.answered:
-                self.served[request.klass] += request.members
+                self.served[request.request_class] += request.clients
             self.finish(request)
-        elif request.out == 0:
+        elif request.in_flight == 0:
             self.try_again(request, event)
 
     def try_again(self, request: Request, event: AttemptEnded) -> None:
         """After the last attempt out has failed: another one, a place in the queue, or the final answer."""
-        klass = self.settings.classes[request.klass]
+        klass = self.settings.classes[request.request_class]
         ran = any(a.may_have_run for a in request.attempts)
-        time_left = self.end_us(request) - self.now_us > self.unhindered[request.klass] * request.size
+        time_left = self.end_us(request) - self.now_us > self.unhindered[request.request_class] * request.size
         allowed = not request.streaming and (not ran or klass.idempotency is not Idempotency.UNSAFE)
         if ran and not (self.may_repeat() or self.may_replace(request, event)):
             allowed = False
@@ -827,7 +741,7 @@
         else:
             self.answer_unserved(request)
 
-    def subset(self, klass: int) -> list[Server]:
+    def subset(self, klass: int) -> list[Endpoint]:
         """The servers that this proxy spreads over: the first in rank that may be used.
 
         Guards against a connection table filled by hundreds of proxies, a handshake for nearly every request,
@@ -835,7 +749,7 @@
         not crush its few servers; an open or silent server gives its place to the next. A cold one is used
         only by those who rank it high enough without that, so that many who step aside never meet on it.
         """
-        subset: list[Server] = []
+        subset: list[Endpoint] = []
         for place, server in enumerate(self.ranked):
             if len(subset) >= self.reach:
                 break
@@ -843,50 +757,54 @@
                 subset.append(server)
         return subset
 
-    def allowed_servers(self, request: Request) -> list[Server]:
+    def allowed_servers(self, request: Request) -> list[Endpoint]:
         """Servers that another attempt may go to."""
-        tried = [a.server for a in request.attempts]
-        klass = self.settings.classes[request.klass]
+        tried = [a.endpoint for a in request.attempts]
+        klass = self.settings.classes[request.request_class]
         ran = [a for a in request.attempts if a.may_have_run]
-        servers = [s for s in self.subset(request.klass) if s not in tried]
+        servers = [s for s in self.subset(request.request_class) if s not in tried]
         if ran and klass.idempotency is Idempotency.UNSAFE:
             return []
         if ran and klass.idempotency is Idempotency.KEYED:
             if self.now_us - ran[0].sent_us >= klass.deduplication_window_us:
                 return []
-            servers = [s for s in self.ranked if s not in tried and self.is_eligible(s, request.klass)]
+            servers = [
+                s for s in self.ranked if s not in tried and self.is_eligible(s, request.request_class)
+            ]
             reached = self.ranked[: math.ceil(self.reach)]
             servers = [s for s in servers if s in reached or self.cold_share(s) >= 1.0]
             if klass.deduplication_scope is DeduplicationScope.ZONE:
-                servers = [s for s in servers if all(s.entry.zone == a.server.entry.zone for a in ran)]
+                servers = [s for s in servers if all(s.entry.zone == a.endpoint.entry.zone for a in ran)]
             elif klass.deduplication_scope is DeduplicationScope.GROUP:
-                servers = [s for s in servers if all(s.entry.group == a.server.entry.group for a in ran)]
+                servers = [s for s in servers if all(s.entry.group == a.endpoint.entry.group for a in ran)]
         return servers
 
     # The pick
 
-    def pick(self, request: Request) -> Server | None:
+    def pick(self, request: Request) -> Endpoint | None:
         """Weighted random choice among the servers that may take this request now.
 
         Hardly random for classes worth more than most: chance costs them more than a little unevenness costs
         the rest.
         """
-        first = not request.attempts and not request.only
+        first = not request.attempts and not request.allowed_endpoints
         if self.returned and first and (back := self.returned_server(request)) is not None:
             return back
-        candidates = self.allowed_servers(request) if request.attempts else self.subset(request.klass)
-        if request.only:
-            tried = [a.server for a in request.attempts]
-            named = [s for s in self.ranked if s.entry.endpoint_id in request.only and s not in tried]
-            candidates = [s for s in named if self.is_eligible(s, request.klass)]
-        repeatable = self.settings.classes[request.klass].idempotency is not Idempotency.UNSAFE
-        keenness = KEEN if self.keen[request.klass] else 1.0
-        weights: list[tuple[float, Server]] = []
+        candidates = self.allowed_servers(request) if request.attempts else self.subset(request.request_class)
+        if request.allowed_endpoints:
+            tried = [a.endpoint for a in request.attempts]
+            named = [
+                s for s in self.ranked if s.entry.endpoint_id in request.allowed_endpoints and s not in tried
+            ]
+            candidates = [s for s in named if self.is_eligible(s, request.request_class)]
+        repeatable = self.settings.classes[request.request_class].idempotency is not Idempotency.UNSAFE
+        keenness = KEEN if self.keen[request.request_class] else 1.0
+        weights: list[tuple[float, Endpoint]] = []
         total = 0.0
         for server in candidates:
             weight = self.draw_weight(server, request) ** keenness
             # Trials risk their request, so one that could not be repeated goes to closed servers.
-            if weight > 0.0 and (repeatable or server.breakers[0].state is State.CLOSED):
+            if weight > 0.0 and (repeatable or server.breakers[0].state is BreakerState.CLOSED):
                 weights.append((weight, server))
                 total += weight
         if not weights:
@@ -900,19 +818,23 @@
                 return server
         return weights[-1][1]
 
-    def returned_server(self, request: Request) -> Server | None:
+    def returned_server(self, request: Request) -> Endpoint | None:
         """A server put back by hand, if this request may be its first; one that is worth little, if it can.
 
         Guards against a server that a cold start keeps out of the draw for many seconds: who put it back
         looks for it, and takes the silence for a fault.
         """
         for server in self.returned:
-            spared = self.keen[request.klass] and self.now_us - server.back_us < BACK_US / 2
-            if not spared and self.is_eligible(server, request.klass) and self.cold_room(server, request):
+            spared = self.keen[request.request_class] and self.now_us - server.reinstated_us < BACK_US / 2
+            if (
+                not spared
+                and self.is_eligible(server, request.request_class)
+                and self.cold_room(server, request)
+            ):
                 return server
         return None
 
-    def favour_home(self, key: int, weights: list[tuple[float, Server]]) -> float:
+    def favour_home(self, key: int, weights: list[tuple[float, Endpoint]]) -> float:
         """Raise the weight of the key's home among the candidates; returns by how much."""
         ranks = [rendezvous(key, server.entry.endpoint_id, 1.0) for _, server in weights]
         home = ranks.index(min(ranks))
@@ -920,11 +842,11 @@
         weights[home] = (weights[home][0] + raised, weights[home][1])
         return raised
 
-    def draw_weight(self, server: Server, request: Request) -> float:
+    def draw_weight(self, server: Endpoint, request: Request) -> float:
         """A server's weight in the draw; 0 for one that is not eligible."""
         if not self.cold_room(server, request):
             return 0.0
-        free = 1.0 / ((1.0 + len(server.out)) ** FREE * (1.0 + server.streams))
+        free = 1.0 / ((1.0 + len(server.in_flight)) ** FREE * (1.0 + server.streams))
         share = self.cold_share(server)  # slow start
         return server.entry.weight * server.weight * free * self.nearness(server.entry) * share
 
@@ -932,70 +854,79 @@
         """1 in this proxy's zone, less in others the more a crossing costs."""
         return 1.0 / (1.0 + AWAY * self.settings.prices.cross_zone * (entry.zone != self.settings.zone))
 
-    def is_eligible(self, server: Server, klass: int) -> bool:
+    def is_eligible(self, server: Endpoint, klass: int) -> bool:
         if server.entry.status is not EndpointStatus.READY or self.is_silent(server):
             return False
-        over_all, of_class = judges(server, klass)
-        return over_all.lets_through(self.now_us) and of_class.lets_through(self.now_us)
+        over_all, of_class = server.breakers_of(klass)
+        return over_all.allows(self.now_us) and of_class.allows(self.now_us)
 
     def is_able(self, now_us: int, klass: int) -> bool:
         """Whether any server may be sent a request of this class: else another pool may serve it."""
         self.now_us = max(now_us, self.now_us)
         return any(self.is_eligible(server, klass) for server in self.ranked)
 
-    def is_silent(self, server: Server) -> bool:
+    def is_silent(self, server: Endpoint) -> bool:
         """True while the oldest attempt out is overdue: nothing more until it is answered or times out."""
-        if not server.out:
+        if not server.in_flight:
             return False
         if self.settings.work_varies:
             return self.is_mute(server)
-        sent_us = next(iter(server.out.values()))
+        sent_us = next(iter(server.in_flight.values()))
         return self.now_us - sent_us > OVERDUE * max(self.smoothed)
 
-    def is_mute(self, server: Server) -> bool:
+    def is_mute(self, server: Endpoint) -> bool:
         """The same where work varies by itself: two attempts are overdue, and nothing was answered meanwhile.
 
         Guards against one long report that would keep a server from everybody; a server that takes requests
         and answers none is given two.
         """
-        return sum(a.due_us < self.now_us and server.answered_us <= a.sent_us for a in server.out) > 1
+        return (
+            sum(a.overdue_at_us < self.now_us and server.answered_us <= a.sent_us for a in server.in_flight)
+            > 1
+        )
 
     # Judging servers
 
     def judge(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        server, outcome = attempt.server, event.outcome
+        server, outcome = attempt.endpoint, event.outcome
         if outcome is Outcome.NEVER_SENT or (outcome is Outcome.CANCELLED and not attempt.overdue):
-            for breaker, trial_of in zip(judges(server, request.klass), attempt.trials_of, strict=True):
-                breaker.forgo_trial(trial_of)
+            for breaker, trial_of in zip(
+                server.breakers_of(request.request_class), attempt.trial_episodes, strict=True
+            ):
+                breaker.cancel_trial(trial_of)
             return
         failed = outcome is not Outcome.SUCCESS
-        ratio = 0.0 if failed else event.latency_us / max(1.0, self.expected_us(request))
+        bad = failed or is_slow(event.latency_us, self.expected_us(request))  # by what was usual before it
         if not failed:
             server.answered_us = self.now_us
             self.learn_latency(request, event.latency_us)
-        if server.breakers[0].state is State.CLOSED:  # else it keeps the weight it had when it tripped
-            self.adjust_weight(server, failed or ratio > SLOW)
+        if server.breakers[0].state is BreakerState.CLOSED:  # else it keeps the weight it had when it tripped
+            server.weight = next_weight(server.weight, bad)
         self.adjust_shed(request, event)
-        for place, trial_of in zip((0, request.klass + 1), attempt.trials_of, strict=True):
+        for place, trial_of in zip((0, request.request_class + 1), attempt.trial_episodes, strict=True):
             breaker = server.breakers[place]
-            common = self.common_share(server, place) if failed else 0.0
+            common = 0.0
+            if failed:
+                common = common_failure_share(
+                    [s.breakers[place] for s in self.servers.values() if s is not server]
+                )
             changed = breaker.record(self.now_us, failed, trial_of, common)
             if changed is not None:
-                what = f"breaker of class {request.klass}" if place else "breaker"
-                span = f" for {breaker.cooldown_us / 1e6:g} s" if changed is State.OPEN else ""
+                what = f"breaker of class {request.request_class}" if place else "breaker"
+                span = f" for {breaker.cooldown_us / 1e6:g} s" if changed is BreakerState.OPEN else ""
                 self.log(f"server {server.entry.endpoint_id}: {what} {changed.value}{span}")
 
     def judge_rest(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """The rest of an answer whose beginning was judged: that a server broke it off says something."""
         if event.outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR):
-            self.adjust_weight(attempt.server, True)
-            for breaker in judges(attempt.server, request.klass):
-                if breaker.take_back(self.now_us) is State.OPEN:
-                    number = attempt.server.entry.endpoint_id
+            attempt.endpoint.weight = next_weight(attempt.endpoint.weight, True)
+            for breaker in attempt.endpoint.breakers_of(request.request_class):
+                if breaker.retract_success(self.now_us) is BreakerState.OPEN:
+                    number = attempt.endpoint.entry.endpoint_id
                     self.log(f"server {number}: breaker open, its answers break off")
 
     def learn_latency(self, request: Request, latency_us: int) -> None:
-        index, latency = request.klass, latency_us / request.size
+        index, latency = request.request_class, latency_us / request.size
         self.smoothed[index] += SMOOTHING * (latency - self.smoothed[index])
         floor = self.unhindered[index]
         # It begins above what is likely and follows the first answers faster: a proxy that has just started
@@ -1007,29 +938,9 @@
         down = max(UNHINDERED_DOWN, 1.0 / (FEW + self.answers[index]))
         self.unhindered[index] += down * min(0.0, self.recent[index] - floor) + UNHINDERED_UP * floor
 
-    def adjust_weight(self, server: Server, bad: bool) -> None:
-        """The controller: a small step up for a good answer, a cut for a failure or a slow one."""
-        if bad:
-            server.weight = max(FLOOR, server.weight * CUT)
-        else:
-            server.weight = min(CEILING, server.weight + STEP)
-
-    def common_share(self, server: Server, place: int) -> float:
-        """Failure share of the other servers' rings: what no single server is to blame for.
-
-        Those that are open count too, and all is common once OPEN_MOST of them are: then a breaker opens only
-        on nothing but failures. Guards against a jam that opens one after the other, each of which leaves its
-        work to the rest, until none is left and everything is refused.
-        """
-        others = [s.breakers[place] for s in self.servers.values() if s is not server]
-        if sum(b.state is not State.CLOSED for b in others) >= OPEN_MOST * len(others) > 0:
-            return 1.0
-        entries = sum(len(b.ring) for b in others)
-        return sum(b.failures for b in others) / entries if entries else 0.0
-
     # Cold servers
 
-    def cold_room(self, server: Server, request: Request) -> bool:
+    def cold_room(self, server: Endpoint, request: Request) -> bool:
         """Whether this proxy's part of a cold server's fall budget has room for one more request."""
         share = self.cold_share(server)
         if share >= 1.0:
@@ -1060,9 +971,9 @@
         Guards against cold servers that stand idle in a jam: the usual replies have waited, and counted as
         work they left a cold server less than half of what it can do while half of all was refused.
         """
-        return self.unhindered[request.klass] * request.size
+        return self.unhindered[request.request_class] * request.size
 
-    def cold_share(self, server: Server) -> float:
+    def cold_share(self, server: Endpoint) -> float:
         """Share of its capacity that a server surely has by now."""
         age_us = self.now_us - server.start_us
         if server.start_us == 0 or age_us >= self.settings.warm_up_us:
@@ -1091,7 +1002,7 @@
             self.servers = {number: s for number, s in self.servers.items() if number in named}
         # Once for the list and not for each that comes: of ten thousand, each would look at all the others.
         weights = [server.weight for server in self.servers.values()]
-        mean = sum(weights) / len(weights) if weights else CEILING
+        mean = sum(weights) / len(weights) if weights else MAX_WEIGHT
         for entry in event.endpoints:
             self.list_server(entry, mean)
         self.returned = [s for s in self.returned if self.servers.get(s.entry.endpoint_id) is s]
@@ -1107,7 +1018,9 @@
 
         Guards against the seconds that a proxy with few answers needs to notice a crowd, while servers choke.
         """
-        held = sum(self.sizes[s.entry.kind] / max(FLOOR, s.entry.weight) - 1.0 for s in self.servers.values())
+        held = sum(
+            self.sizes[s.entry.kind] / max(MIN_WEIGHT, s.entry.weight) - 1.0 for s in self.servers.values()
+        )
         over = held / len(self.servers) / HELD_PER_CORE - 1.0
         self.shed = min(SHED_MOST, max(0.0, self.shed + SHED_STEP * min(2.0, over)))
 
@@ -1124,10 +1037,10 @@
             self.servers.pop(entry.endpoint_id, None)
         elif known is None or (was_out and not is_out) or self.has_restarted(known, entry):
             rank = rendezvous(self.settings.proxy_index, entry.endpoint_id, self.nearness(entry))
-            breakers = [Breaker() for _ in range(len(self.settings.classes) + 1)]
-            server = Server(entry, mean, rank, breakers, spent_at_us=self.now_us, start_us=entry.started_us)
+            breakers = [CircuitBreaker() for _ in range(len(self.settings.classes) + 1)]
+            server = Endpoint(entry, mean, rank, breakers, spent_at_us=self.now_us, start_us=entry.started_us)
             if known is not None:
-                server.out_us, server.used = known.out_us, known.used
+                server.taken_out_us, server.used = known.taken_out_us, known.used
             # Hundreds of proxies hear of a cold server at once and each may send one request at the least:
             # each begins with a random part of that spent, so that these firsts do not come together.
             usual_us, soon_us = max(self.smoothed), FALL_BURST * self.fall_budget_us()
@@ -1140,21 +1053,21 @@
         else:
             known.entry = entry
         if is_out and not was_out:
-            self.servers[entry.endpoint_id].out_us = self.now_us
-        self.sizes[entry.kind] = max(entry.weight, self.sizes.get(entry.kind, FLOOR))
+            self.servers[entry.endpoint_id].taken_out_us = self.now_us
+        self.sizes[entry.kind] = max(entry.weight, self.sizes.get(entry.kind, MIN_WEIGHT))
 
-    def has_restarted(self, known: Server, entry: ListedEndpoint) -> bool:
+    def has_restarted(self, known: Endpoint, entry: ListedEndpoint) -> bool:
         """Whether a list tells of a start that is not known of. One of before it was put back by hand is."""
-        return known.entry.started_us != entry.started_us and not 0 < entry.started_us <= known.back_us
+        return known.entry.started_us != entry.started_us and not 0 < entry.started_us <= known.reinstated_us
 
-    def put_back(self, server: Server) -> None:
+    def put_back(self, server: Endpoint) -> None:
         """By hand: what was done to it meanwhile is not known, so that it counts as started just now.
 
         Unless the list tells a start since it was taken out. Guards against pushing over a server that was
         restarted while it was out, where the list is late with its new start or never tells it.
         """
-        server.back_us = self.now_us
-        if server.start_us <= server.out_us:
+        server.reinstated_us = self.now_us
+        if server.start_us <= server.taken_out_us:
             server.start_us = self.now_us
         if server.used:
             self.returned.append(server)
@@ -1164,4 +1077,3 @@
         if self.now_us - self.logged_us >= LOG_GAP_US:
             self.logged_us = self.now_us
             self.actions.append(Log(line))
-
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -28,7 +28,8 @@
     TimerFired,
     WatchEndpoints,
 )
-from badgergap.balancing.balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, Attempt, rendezvous
+from badgergap.balancing.balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, rendezvous
+from badgergap.balancing.records import Attempt
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
@@ -428,7 +429,7 @@
         driver = Driver(replace(SETTINGS, proxy_count=1), servers=3)
         busy, free, _ = driver.balancer.ranked
         for server, out in ((busy, 2), (driver.balancer.ranked[2], 2), (free, 1)):
-            server.out = {Attempt(server, driver.now_us, [0, 0]): driver.now_us for _ in range(out)}
+            server.in_flight = {Attempt(server, driver.now_us, (0, 0)): driver.now_us for _ in range(out)}
         request = driver.balancer.admit(RequestArrived("r", klass, 400_000))
         spared.append(sum(driver.balancer.pick(request) is free for _ in range(1_000)))
     assert spared[0] < 850 and spared[1] > 985
--- a/tests/balancing/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from badgergap.balancing.balancer import OVERDUE, State
+from badgergap.balancing.balancer import OVERDUE
+from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.interface import AttemptEnded, Outcome, ClientDisconnected, StreamStarted
 from tests.helpers import SAFE, SETTINGS, UNSAFE, Driver, finals, sends
 
@@ -30,7 +31,7 @@
         driver.handle(StreamStarted(name, 0, latency_us=10_000))
     balancer = driver.balancer
     (server,) = balancer.servers.values()
-    assert balancer.out == 0 and server.streams == 5 and not server.out
+    assert balancer.out == 0 and server.streams == 5 and not server.in_flight
     driver.now_us += 3_600_000_000
     assert not balancer.is_silent(server) and driver.arrive()[1]
     for name, number in names:
@@ -49,7 +50,7 @@
         ended = AttemptEnded(name, 0, number, outcome, 1_000_000, finished=True)
         assert not finals(driver.handle(ended))  # its client has had what it gets
     (server,) = driver.balancer.servers.values()
-    opened = server.breakers[0].state is State.OPEN
+    opened = server.breakers[0].state is BreakerState.OPEN
     assert opened is (outcome in (Outcome.RESET, Outcome.TIMEOUT))
 
 
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from badgergap.balancing.balancer import COOLDOWN_US, Balancer
+from badgergap.balancing.balancer import Balancer
+from badgergap.balancing.circuit_breaker import FIRST_COOLDOWN_US
 from badgergap.balancing.interface import (
     ListedEndpoint,
     EndpointListKind,
@@ -25,7 +26,7 @@
     assert views[send.endpoint_id].overdue and views[send.endpoint_id].in_flight == 1
     assert views[0].half_open and views[0].open_until_us == 0  # its rest would be over by then
     now = {view.endpoint_id: view for view in driver.balancer.look(START_US)}
-    assert now[0].open_until_us == START_US + COOLDOWN_US and not now[0].half_open
+    assert now[0].open_until_us == START_US + FIRST_COOLDOWN_US and not now[0].half_open
     assert not now[send.endpoint_id].overdue
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,7 +22,8 @@
     SetTimer,
     Settings,
 )
-from badgergap.balancing.balancer import MINIMUM, Balancer, Breaker, State
+from badgergap.balancing.balancer import Balancer
+from badgergap.balancing.circuit_breaker import BreakerState, CircuitBreaker, MINIMUM_OUTCOMES
 
 SAFE = RequestClass(
     objective_us=200_000,
@@ -109,8 +110,8 @@
     return [action for action in actions if isinstance(action, SetTimer)]
 
 
-def trip(breaker: Breaker, now_us: int) -> None:
+def trip(breaker: CircuitBreaker, now_us: int) -> None:
     """Open a fresh breaker with the fewest failures that can."""
-    for _ in range(MINIMUM):
+    for _ in range(MINIMUM_OUTCOMES):
         breaker.record(now_us, True, 0, 0.0)
-    assert breaker.state is State.OPEN
+    assert breaker.state is BreakerState.OPEN
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -156,10 +156,10 @@
     driver = worked()
     driver.now_us = driver.balancer.look(driver.now_us, [1])[0].open_until_us + 1
     breaker = driver.balancer.servers[1].breakers[0]
-    assert breaker.lets_through(driver.now_us) and breaker.take_trial() and breaker.trials_out
+    assert breaker.allows(driver.now_us) and breaker.take_trial() and breaker.trials_in_flight
     heir = heir_of(driver)
     (view,) = heir.balancer.look(heir.now_us, [1])
-    assert view.half_open and not heir.balancer.servers[1].breakers[0].trials_out
+    assert view.half_open and not heir.balancer.servers[1].breakers[0].trials_in_flight
 
 
 def test_a_host_put_back_stays_cold_for_the_next_process() -> None:
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -13,7 +13,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.balancing.balancer import CEILING, FLOOR, RING, State
+from badgergap.balancing.circuit_breaker import BreakerState, RING_SIZE
+from badgergap.balancing.weight_controller import MAX_WEIGHT, MIN_WEIGHT
 from badgergap.replication import learned_state
 from badgergap.replication.learned_state import BadLesson, Have, Keep, Kept, Lesson
 from badgergap.replication.learned_state_service import LessonsRoom
@@ -30,7 +31,7 @@
     """Box 0 has failed until its breaker opened; box 1 has served."""
     driver = Driver()
     server = driver.balancer.servers[0]
-    server.weight = FLOOR
+    server.weight = MIN_WEIGHT
     trip(server.breakers[0], driver.now_us)
     for _ in range(20):
         name, actions = driver.arrive()
@@ -59,7 +60,7 @@
     new.balancer.restore(now_us, older)
     new.now_us = now_us
     breaker = new.balancer.servers[0].breakers[0]
-    assert breaker.state is State.OPEN and breaker.open_until_us - now_us == left_us - age_us
+    assert breaker.state is BreakerState.OPEN and breaker.open_until_us - now_us == left_us - age_us
     assert {a.server for _ in range(40) for a in new.arrive()[1] if hasattr(a, "server")} <= {1, 2}
     assert new.balancer.smoothed == old.balancer.smoothed
 
@@ -69,8 +70,8 @@
     raw = experienced().balancer.snapshot()
     older = learned_state.aged(raw, age_us, shift_us)
     for before, after in zip(raw["servers"], older["servers"], strict=True):
-        assert before[1] <= after[1] <= CEILING
-        assert all(len(a[3]) <= len(b[3]) <= RING for a, b in zip(after[8], before[8], strict=True))
+        assert before[1] <= after[1] <= MAX_WEIGHT
+        assert all(len(a[3]) <= len(b[3]) <= RING_SIZE for a, b in zip(after[8], before[8], strict=True))
         assert all(a[3] == b[3][len(b[3]) - len(a[3]) :] for a, b in zip(after[8], before[8], strict=True))
     if age_us >= 10 * learned_state.HALF_LIFE_US:
         assert older["servers"][0][1] > 0.99 and not older["servers"][0][8][0][3]
@@ -134,7 +135,7 @@
     assert room_of(Driver(servers=0)).take_back("g1", Have(good, S)) is False  # until there is a list
     room = room_of(taken := Driver())
     assert room.take_back("g1", Have(good, S)) and room.taken_back == 3
-    assert taken.balancer.servers[0].breakers[0].state is State.OPEN
+    assert taken.balancer.servers[0].breakers[0].state is BreakerState.OPEN
     for room, have in (
         (room_of(Driver(), ("b",)), Have(good, S)),
         (room_of(Driver()), Have(good, learned_state.OLDEST_US + 1)),
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from badgergap.admin import Figures
-from badgergap.balancing.balancer import Breaker
+from badgergap.balancing.circuit_breaker import CircuitBreaker
 from badgergap.cli.serve import fleet_tls
 from badgergap.cli.setup import Setup
 from badgergap.cli.tls import ClientTls
@@ -158,7 +158,7 @@
         """Every breaker is as at the start: a test that breaks one box again and again means the gateway."""
         for proxy in [self.proxy, *(self.web.pools.proxies().values() if self.web.pools else ())]:
             for server in proxy.balancer.servers.values():
-                server.breakers = [Breaker() for _ in server.breakers]
+                server.breakers = [CircuitBreaker() for _ in server.breakers]
 
     def runs(self, path: str = "") -> int:
         return sum(run.path == path or not path for app in self.apps for run in app.runs)
