--- a/badgergap/balancing/request_lifecycle.py
+++ b/badgergap/balancing/request_lifecycle.py
@@ -57,7 +57,7 @@
         self.retry_budget = RetryBudget()
         self.classes = settings.classes
         self._settings = settings
-        self._policy = RetryPolicy.from_settings(settings)
+        self.policy = RetryPolicy.from_settings(settings)
         self._context = context
         self._latency = latency
         self._admission = admission
@@ -198,11 +198,11 @@
         if attempt.ended or request.done:
             return
         attempt.overdue = True
-        if not self._policy.may_hedge(request):
+        if not self.policy.may_hedge(request):
             return
         if not self.retry_budget.allows_repeat(self._admission.shed_fraction):
             return
-        if self._policy.has_attempts_left(request) and self._try_send(request):
+        if self.policy.has_attempts_left(request) and self._try_send(request):
             self.retry_budget.spend()
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -230,7 +230,7 @@
 
     def _end_attempt(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         attempt.ended = True
-        attempt.may_have_run = outcome not in self._policy.never_ran
+        attempt.may_have_run = outcome not in self.policy.never_ran
         request.in_flight -= 1
         if attempt.is_stream:
             attempt.endpoint.streams -= 1
@@ -250,7 +250,7 @@
         allowed = not request.streaming and (not may_have_run or is_repeatable(request.rules))
         if may_have_run and not self._can_afford_retry(request, outcome):
             allowed = False
-        if not allowed or not has_time or not self._policy.has_attempts_left(request):
+        if not allowed or not has_time or not self.policy.has_attempts_left(request):
             self._answer_unserved(request)
             return
         if not self._try_send(request):
