--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -33,7 +33,7 @@
     Settings,
     TimerFired,
 )
-from badgergap.balancing.choice import Balancer
+from badgergap.balancing.balancer import Balancer
 
 GROUP = {n: n // 3 for n in range(6)}
 
@@ -239,8 +239,8 @@
     for case in world.cases.values():
         assert case.done, "a request was left without its final answer"
     balancer = world.balancer
-    assert not balancer.requests and not balancer.timers and not balancer.lines
-    assert all(not s.out for s in balancer.servers.values())
+    assert not balancer.requests and not balancer.context.timers and not balancer.lifecycle.ordering.queues
+    assert all(not s.in_flight for s in balancer.servers.values())
 
 
 @pytest.mark.parametrize("seed", [1, 7])
@@ -270,7 +270,7 @@
         (unsafe,), cold_capacity=0.25, warm_up_us=8_000_000, overload_multiple=multiple, proxy_count=proxies
     )
     balancer = Balancer(cold, 3)
-    balancer.smoothed, balancer.unhindered = [10_000.0], [10_000.0]
+    balancer.latency.smoothed_us, balancer.latency.baseline_us = [10_000.0], [10_000.0]
     now_us = START_US
     entries = (ListedEndpoint(1, started_us=now_us), ListedEndpoint(2, weight=0.001))
     balancer.handle(now_us, EndpointList(EndpointListKind.FULL, entries))
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -25,6 +25,7 @@
 from badgergap.proxy.proxy import AttemptListener
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.balancing.retry_policy import RetryPolicy
 from badgergap.balancing.interface import (
     AttemptEnded,
     Outcome,
@@ -717,17 +718,15 @@
 def test_no_second_copy_for_a_client_that_has_left(leaves: bool) -> None:
     async def test() -> None:
         async with gateway(hosts=3, settings=lanes(aimUs=200_000) | {"caps": {"mayCancel": False}}) as it:
-            it.proxy.balancer.settings = replace(
-                it.proxy.balancer.settings, hedging_allowed=True, max_attempts=4
-            )
-            it.proxy.settings = it.proxy.balancer.settings
+            it.proxy.settings = replace(it.proxy.settings, hedging_allowed=True, max_attempts=4)
+            it.proxy.balancer.lifecycle.policy = RetryPolicy.from_settings(it.proxy.settings)
             client = await it.client()
             client.send(ask())
             first = await it.host.taken.get()
             if leaves:
                 client.writer.close()
                 await it.event(ClientDisconnected)
-            overdue = it.proxy.balancer.next_token - 1
+            overdue = it.proxy.balancer.context.next_token - 1
             await it.event(TimerFired, lambda e: e.token == overdue)
             if leaves:
                 first.answer()
@@ -768,7 +767,7 @@
             last.answer()
             assert (await three.answer())[0] == 200
             await settled(it)
-            assert it.host.taken.empty() and not it.proxy.balancer.lines
+            assert it.host.taken.empty() and not it.proxy.balancer.lifecycle.ordering.queues
             nothing_left(it)
 
     run(test())
@@ -788,14 +787,21 @@
             client = await it.client()
             await it.served(client)
             (server,) = it.proxy.balancer.servers.values()
-            assert it.proxy.balancer.cold_share(server) == 1.0
+            assert (
+                it.proxy.balancer.slow_start.capacity_fraction(server, it.proxy.balancer.context.now_us)
+                == 1.0
+            )
             now_ms = it.proxy.clock.now_us() // 1000
             watch.write(chunk(news(entry("h0", it.host.address, "left"))))
             watch.write(chunk(news(entry("h0", it.host.address, since_ms=now_ms), index=2)))
             await until(lambda: any(s.start_us for s in it.proxy.balancer.servers.values()))
             await it.host.left.get()
             (again,) = it.proxy.balancer.servers.values()
-            assert again is not server and it.proxy.balancer.cold_share(again) < 1.0
+            assert (
+                again is not server
+                and it.proxy.balancer.slow_start.capacity_fraction(again, it.proxy.balancer.context.now_us)
+                < 1.0
+            )
             again.spent_us = 0.0
             await it.served(client)
             assert it.host.connections == 2
