--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -26,9 +26,9 @@
         return 2
     succeed = None
     if config.console is not None:
-        from badgergap.hot_restart.coordinator import succession_of
+        from badgergap.hot_restart.coordinator import coordinator_from_environment
 
-        succeed = partial(succession_of, os.environ)
+        succeed = partial(coordinator_from_environment, os.environ)
     return run(config, partial(reload_config, os.environ), hung_up=early, succeed=succeed)
 
 
--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -105,7 +105,7 @@
         self.joins: Callable[[], tuple[Mapping[str, int], int, int]] = lambda: ({}, 0, 0)
         self.group: Group | None = None
         self.notices: list[Callable[[], list[str]]] = []  # what else people should know of
-        self.part = ADMIN
+        self.transfer_name = ADMIN
         self.sock: socket.socket | None = None  # that listens; another process may listen on it too
         self.inherited: socket.socket | None = None
         self.gave_way = False
@@ -140,14 +140,14 @@
 
     # A part that goes over to another process
 
-    def bequeath(self) -> Mapping[str, int]:
+    def export_listeners(self) -> Mapping[str, int]:
         return {ADMIN: self.sock.fileno()} if self.sock is not None else {}
 
-    def inherit(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
+    def import_listeners(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
         if ADMIN in found and found[ADMIN].getsockname() == str(self.path):
             self.inherited = found.pop(ADMIN)
 
-    def give_way(self, give: Callable[[int], bool]) -> None:
+    def release_clients(self, export: Callable[[int], bool]) -> None:
         """Whoever watches is to watch the other one; what was asked here is answered here."""
         self.gave_way = True
         if self.listener is not None:
@@ -156,11 +156,11 @@
         for subscriber in list(self.subscribers):
             subscriber.close()
 
-    def take_back(self) -> None:
+    def reclaim_clients(self) -> None:
         self.gave_way = False
         self._spawn(self._accept())
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_client(self, sock: socket.socket) -> None:
         """No caller is given over."""
         sock.close()
 
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -77,17 +77,17 @@
     handover = setup.site.site.handover
     if handover is None and (setup.config.console is None or setup.config.listen is None):
         return None
-    from badgergap.hot_restart.channel import Place
-    from badgergap.hot_restart.coordinator import Succession, succession_of
+    from badgergap.hot_restart.rendezvous import Rendezvous
+    from badgergap.hot_restart.coordinator import HotRestartCoordinator, coordinator_from_environment
 
     if handover is None:
-        return partial(succession_of, environ)
+        return partial(coordinator_from_environment, environ)
     assert setup.store is not None  # the file was checked
     folder, stands_by_s = setup.store.folder, handover / 1e6
 
-    def succeed(config: Config) -> Succession:
+    def succeed(config: Config) -> HotRestartCoordinator:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        return Succession(Place(folder), config, None, stands_by_s)
+        return HotRestartCoordinator(Rendezvous(folder), config, None, stands_by_s)
 
     return succeed
 
--- a/badgergap/h3/room.py
+++ b/badgergap/h3/room.py
@@ -47,7 +47,7 @@
         self.endpoint: Endpoint | None = None
         self.listens: Address | None = None
         self.sweeping: asyncio.TimerHandle | None = None
-        self.part = SOCKET
+        self.transfer_name = SOCKET
         self.inherited: tuple[socket.socket, socket.socket] | None = None
 
     # What its connections need
@@ -88,11 +88,11 @@
 
     # A part that goes over to another process
 
-    def bequeath(self) -> Mapping[str, int]:
+    def export_listeners(self) -> Mapping[str, int]:
         found = self.endpoint.bequeath() if self.endpoint is not None else None
         return {SOCKET: found[0], WAY: found[1]} if found is not None else {}
 
-    def inherit(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
+    def import_listeners(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
         if (
             self.plan is not None
             and {SOCKET, WAY} <= found.keys()
@@ -100,18 +100,18 @@
         ):
             self.inherited = found.pop(SOCKET), found.pop(WAY)
 
-    def give_way(self, give: Callable[[int], bool]) -> None:
+    def release_clients(self, export: Callable[[int], bool]) -> None:
         """Clients are told to open their next connection, which the other process takes."""
         if self.endpoint is not None:
             self.endpoint.give_way()
             for front in self._fronts():
                 front.end_soon()
 
-    def take_back(self) -> None:
+    def reclaim_clients(self) -> None:
         if self.endpoint is not None:
             self.endpoint.take_back()
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_client(self, sock: socket.socket) -> None:
         """No connection can go over."""
         sock.close()
 
--- a/badgergap/hot_restart/channel.py
+++ b/badgergap/hot_restart/channel.py
@@ -1,7 +1,7 @@
-"""Frames and descriptors between two processes of one gateway, over a Unix socket.
+"""The link between two processes of one gateway: messages and descriptors over a Unix socket.
 
-Bounds: PENDING bytes that the other end has not read, beyond which the link is given up; FRAME_LIMIT of a
-message. The other end has to be of the same user. Nothing here blocks.
+Nothing here blocks. The link is closed once the other process leaves more than `PENDING_LIMIT` bytes
+unread.
 """
 
 from __future__ import annotations
@@ -11,112 +11,71 @@
 import logging
 import os
 import socket
-import stat
-import struct
 from collections import deque
-from collections.abc import Callable, Sequence
-from contextlib import suppress
-from pathlib import Path
+from collections.abc import Callable
 from typing import Any
 
-from badgergap.hot_restart.state_transfer import FRAME_LIMIT, Decoder, WillError, encode
+from badgergap.hot_restart.errors import DescriptorsLostError, HotRestartError
+from badgergap.hot_restart.frames import FRAME_LIMIT, FrameDecoder, JsonObject, encode_frame
+from badgergap.hot_restart.messages import Message, decode, encode
 
 log = logging.getLogger(__name__)
 
-NAME = "badgergap.sock"
-PATH_LIMIT = 100  # bytes of a path that a Unix socket takes, with some to spare
-PENDING = 2 * FRAME_LIMIT
-READ = 256 * 1024
+PENDING_LIMIT = 2 * FRAME_LIMIT  # bytes that wait to be sent
+READ_SIZE = 256 * 1024
 FLUSH_POLL_S = 0.005
-DESCRIPTORS = 64  # in one read; a message brings one at the most
+DESCRIPTORS_PER_READ = 64  # a message brings one at the most
+DESCRIPTOR_SIZE = array.array("i").itemsize
+DESCRIPTOR_FLAG = "fd"  # the key of a message that a descriptor belongs to
 
-Heard = Callable[[dict[str, Any], "socket.socket | None"], None]
-
-
-class Place:
-    """Where processes of a gateway meet: a socket in a folder of their own."""
-
-    def __init__(self, folder: Path) -> None:
-        """Raises OSError for a folder that others could put a socket into."""
-        found = folder.stat()
-        if not stat.S_ISDIR(found.st_mode) or found.st_uid != os.geteuid() or found.st_mode & 0o022:
-            raise OSError(None, f"{folder} is no folder of this user alone")
-        self.folder = folder
-        self.path = folder / NAME
-
-    def _with_address(self, use: Callable[[str], None]) -> None:
-        if len(os.fsencode(self.path)) <= PATH_LIMIT:
-            use(str(self.path))
-            return
-        short = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        try:
-            use(f"/proc/self/fd/{short}/{NAME}")
-        finally:
-            os.close(short)
-
-    def listen(self) -> socket.socket:
-        """Raises OSError. Takes the place over from a process before."""
-        sock = socket.socket(socket.AF_UNIX)
-        try:
-            with suppress(FileNotFoundError):
-                self.path.unlink()
-            self._with_address(sock.bind)
-            self.path.chmod(0o600)
-            sock.listen(4)
-            sock.setblocking(False)
-        except OSError:
-            sock.close()
-            raise
-        return sock
-
-    def connect(self) -> socket.socket:
-        """Raises OSError where nobody listens, or not somebody of this user."""
-        sock = socket.socket(socket.AF_UNIX)
-        try:
-            sock.setblocking(False)  # a backlog that is full is as good as nobody
-            self._with_address(sock.connect)
-            check_peer(sock)
-        except OSError:
-            sock.close()
-            raise
-        return sock
-
-
-def check_peer(sock: socket.socket) -> None:
-    """Raises OSError for another end that is of another user."""
-    _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
-    if uid != os.geteuid():
-        raise OSError(None, f"the other end is of user {uid}")
+# A message and the socket whose descriptor came with it, which the receiver has to close.
+OnMessage = Callable[[Message, "socket.socket | None"], None]
 
 
 class Link:
+    """One end of the connection to another process of this gateway."""
+
     def __init__(
-        self, sock: socket.socket, loop: asyncio.AbstractEventLoop, heard: Heard, lost: Callable[[], None]
+        self,
+        sock: socket.socket,
+        loop: asyncio.AbstractEventLoop,
+        on_message: OnMessage,
+        on_lost: Callable[[], None],
     ) -> None:
-        """`heard`: a message and the descriptor that came with it. `lost`: once, at the link's end."""
-        self.sock, self.loop, self.heard, self.lost = sock, loop, heard, lost
-        self.decoder = Decoder()
-        self.arrived: deque[socket.socket] = deque()  # descriptors whose message is not whole yet
-        self.out: deque[tuple[memoryview, int | None]] = deque()
-        self.pending = 0
+        """Owns `sock`, which must not block. `on_lost` is called once, when the link has ended."""
+        self.sock = sock
+        self.loop = loop
+        self.on_message = on_message
+        self.on_lost = on_lost
+        self.decoder = FrameDecoder()
+        self.received_sockets: deque[socket.socket] = deque()  # their message is not complete yet
+        self.outgoing: deque[tuple[memoryview, int | None]] = deque()  # bytes, and the descriptor with them
+        self.pending_bytes = 0
         self.open = True
         loop.add_reader(sock.fileno(), self.read)
 
-    def send(self, message: dict[str, Any], descriptor: int | None = None) -> bool:
-        """False: the link is gone, or has no descriptor to spare. What is sent stays its owner's to close."""
+    def send(self, message: Message, descriptor: int | None = None) -> bool:
+        """Send a message with a copy of a descriptor; the caller keeps its own.
+
+        False: the link has ended, or this process has no descriptor to spare; nothing was sent.
+        """
+        return self.send_json(encode(message), descriptor)
+
+    def send_json(self, raw: JsonObject, descriptor: int | None = None) -> bool:
+        """As `send`, of a message in its form on the wire."""
         if not self.open:
             return False
         copy = None
         if descriptor is not None:
-            message = {**message, "fd": True}
+            raw = {**raw, DESCRIPTOR_FLAG: True}
             try:
                 copy = os.dup(descriptor)
             except OSError:
                 return False
-        data = encode(message)
-        self.out.append((memoryview(data), copy))
-        self.pending += len(data)
-        if self.pending > PENDING:
+        data = encode_frame(raw)
+        self.outgoing.append((memoryview(data), copy))
+        self.pending_bytes += len(data)
+        if self.pending_bytes > PENDING_LIMIT:
             log.warning("another process of this gateway does not read what it is told")
             self.close()
             return False
@@ -124,19 +83,10 @@
         return self.open
 
     def write(self) -> None:
+        """Send as much as the socket takes now, and the rest when it is writable."""
         try:
-            while self.out:
-                data, descriptor = self.out[0]
-                rights = []
-                if descriptor is not None:
-                    rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-                sent = self.sock.sendmsg([data], rights)
-                if descriptor is not None:
-                    os.close(descriptor)
-                self.pending -= sent
-                self.out[0] = data[sent:], None
-                if sent == len(data):
-                    self.out.popleft()
+            while self.outgoing:
+                self._write_first()
         except BlockingIOError:
             self.loop.add_writer(self.sock.fileno(), self.write)
         except OSError as error:
@@ -144,63 +94,84 @@
         else:
             self.loop.remove_writer(self.sock.fileno())
 
+    def _write_first(self) -> None:
+        """Raises BlockingIOError, or another OSError for a link that has ended."""
+        data, descriptor = self.outgoing[0]
+        ancillary = []
+        if descriptor is not None:
+            ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
+        sent = self.sock.sendmsg([data], ancillary)
+        if descriptor is not None:
+            os.close(descriptor)
+        self.pending_bytes -= sent
+        self.outgoing[0] = data[sent:], None
+        if sent == len(data):
+            self.outgoing.popleft()
+
     def read(self) -> None:
+        """Hand on what has arrived; close the link if it has ended or cannot be read."""
         try:
-            size = socket.CMSG_SPACE(DESCRIPTORS * 4)
-            data, rights, flags, _ = self.sock.recvmsg(READ, size, socket.MSG_CMSG_CLOEXEC)
+            ancillary_size = socket.CMSG_SPACE(DESCRIPTORS_PER_READ * DESCRIPTOR_SIZE)
+            data, ancillary, flags, _ = self.sock.recvmsg(READ_SIZE, ancillary_size, socket.MSG_CMSG_CLOEXEC)
         except BlockingIOError:
             return
         except OSError as error:
             self.close(f"it cannot be heard: {error.strerror}")
             return
-        for level, kind, raw in rights:
-            if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
-                numbers = array.array("i")
-                numbers.frombytes(raw[: len(raw) - len(raw) % numbers.itemsize])
-                self.arrived.extend(socket.socket(fileno=number) for number in numbers)
+        self._keep_sockets(ancillary)
         if not data:
             self.close("it has ended")
             return
         try:
             if flags & socket.MSG_CTRUNC:
-                raise WillError("descriptors were lost on the way")
-            for message in self.decoder.feed(data):
-                with_it = self.arrived.popleft() if message.pop("fd", False) and self.arrived else None
-                if self.open:
-                    self.heard(message, with_it)
-                elif with_it is not None:
-                    with_it.close()
-        except WillError as error:
+                raise DescriptorsLostError("descriptors were lost on the way")
+            for raw in self.decoder.feed(data):
+                self._deliver(raw)
+        except HotRestartError as error:
             self.close(str(error))
 
+    def _keep_sockets(self, ancillary: list[tuple[int, int, bytes]]) -> None:
+        for level, kind, raw in ancillary:
+            if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
+                descriptors = array.array("i")
+                descriptors.frombytes(raw[: len(raw) - len(raw) % DESCRIPTOR_SIZE])
+                self.received_sockets.extend(socket.socket(fileno=number) for number in descriptors)
+
+    def _deliver(self, raw: JsonObject) -> None:
+        has_descriptor = raw.pop(DESCRIPTOR_FLAG, False)
+        sock = self.received_sockets.popleft() if has_descriptor and self.received_sockets else None
+        if self.open:
+            self.on_message(decode(raw), sock)
+        elif sock is not None:
+            sock.close()
+
     async def flush(self) -> None:
-        """Returns once all is sent, or the link is gone."""
-        while self.open and self.out:
+        """Wait until all is sent, or the link has ended."""
+        while self.open and self.outgoing:
             await asyncio.sleep(FLUSH_POLL_S)
 
-    def close(self, why: str = "") -> None:
+    def close(self, reason: str = "") -> None:
+        """End the link, and close the descriptors that it still holds. `reason`: for the log."""
         if not self.open:
             return
         self.open = False
         self.loop.remove_reader(self.sock.fileno())
         self.loop.remove_writer(self.sock.fileno())
         self.sock.close()
-        for _, descriptor in self.out:
+        for _, descriptor in self.outgoing:
             if descriptor is not None:
                 os.close(descriptor)
-        self.out.clear()
-        for sock in self.arrived:
+        self.outgoing.clear()
+        for sock in self.received_sockets:
             sock.close()
-        self.arrived.clear()
-        if why:
-            log.info("the other process of this gateway: %s", why)
-        self.lost()
+        self.received_sockets.clear()
+        if reason:
+            log.info("the other process of this gateway: %s", reason)
+        self.on_lost()
 
 
 def descriptor_of(transport: Any) -> int:
+    """The descriptor of an asyncio transport's socket."""
     sock: Any = transport.get_extra_info("socket")
     number: int = sock.fileno()
     return number
-
-
-__all__: Sequence[str] = ("Heard", "Link", "Place", "check_peer", "descriptor_of")
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -1,20 +1,22 @@
-"""A gateway's processes, one after the other, that are one gateway while both live.
-
-What goes over: the platform's listener and its clients, and those of each room that is a `Part`. The rules,
-stated once; "old" and "new" are two processes on one `Place`, and either may be both:
-
-1. The new one asks for a will before it starts. It waits WAIT_S at the most; without one it starts as if
-   alone, with the hosts out by hand that a file beside the place names.
-2. Until the new one says that it takes clients, nothing changes for the old one: it may ask and die.
-3. From then on the old one accepts nothing, sends cold hosts nothing, and gives each client's connection over
-   once nothing is open on it: one that is whole and quiet, so that no byte of it is in either process.
-4. A call by hand at either is told to the other at once, before it is answered.
-5. If the new one is lost the old one takes clients again, unless it is ending. If the old one is lost the new
-   one goes on.
-6. Where an operator file says how long the old one stands by, the new one ends it after that time; and if the
-   new one is told to end before, both end.
-7. What the old one still holds of descriptors counts against the new one's limits, as it is told every
-   HOLDS_S. What is said of an older process still counts with it.
+"""Who does what when one process of a gateway takes over from another, while both live.
+
+What goes over: the main listener and its clients, and those of each `TransferableComponent`. The rules
+below are the protocol. The old process is the predecessor, the new one its successor; a process is often
+both in turn.
+
+1. The successor asks for the state before it starts and waits `STATE_TIMEOUT_S` at the most. Without one it
+   starts as if alone, with the manual drains that the file beside the rendezvous names.
+2. Until the successor says that it takes clients, nothing changes for the predecessor: the successor may
+   ask and die.
+3. From then on the predecessor accepts nothing, sends endpoints that are warming up nothing, and exports
+   each client's connection once nothing is open on it, so that no byte of it is in either process.
+4. An operator's command at either is sent to the other at once, before it is answered.
+5. If the successor is lost, the predecessor takes clients again, unless it is ending. If the predecessor is
+   lost, the successor goes on.
+6. Where an operator file sets the predecessor's standby time, the successor ends it after that; a successor
+   that is told to end before ends both.
+7. The connections that the predecessor still holds count against the successor's limits; they are reported
+   every `CONNECTION_COUNTS_S`, those of still older processes among them.
 """
 
 from __future__ import annotations
@@ -31,250 +33,280 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.proxy.lifecycle.config import Config
+from badgergap.hot_restart import messages
+from badgergap.hot_restart.channel import Link, descriptor_of
+from badgergap.hot_restart.errors import StateTransferError
+from badgergap.hot_restart.frames import JsonObject
+from badgergap.hot_restart.learned_state_import import LearnedStateImport
+from badgergap.hot_restart.listeners import TransferableComponent
+from badgergap.hot_restart.messages import Message
+from badgergap.hot_restart.rendezvous import Rendezvous, check_peer
+from badgergap.hot_restart.state_transfer import (
+    GatewayIdentity,
+    TransferredState,
+    export_endpoint_list,
+    read_state,
+)
 from badgergap.proxy.downstream.client_connection import ClientConnection, Downstream
 from badgergap.proxy.endpoints.manual_drains import DrainStore
-from badgergap.hot_restart.channel import Link, Place, check_peer, descriptor_of
-from badgergap.hot_restart.listeners import Part
-from badgergap.proxy.pools import MAIN, proxy_of
-from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.endpoints.registry import HandDrain, RosterError
-from badgergap.proxy.lifecycle.process import Pooled, Room
 from badgergap.proxy.endpoints.sources import PLATFORM
-from badgergap.hot_restart.state_transfer import Will, WillError, list_of, read_will, whose, write_will
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.lifecycle.process import Pooled, Room
+from badgergap.proxy.pools import MAIN, proxy_of
+from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
-WAIT_S = 2.0  # for a will
-HOLDS_S = 0.1
-FLUSH_S = 0.5  # for the heir to take the last connections
-HEIRS = 4  # that ask at a time
-HOSTS_S = 5.0  # for the new one to hear of hosts in each pool that had some
-HOSTS_POLL_S = 0.02
-LISTENERS = 32  # that a process hands over
-OTHERS_OWN = 24  # descriptors of another process beside connections: loop, log, discovery, second address
+STATE_TIMEOUT_S = 2.0
+CONNECTION_COUNTS_S = 0.1
+FLUSH_TIMEOUT_S = 0.5  # for the successor to read the last exported connections
+SUCCESSORS_LIMIT = 4  # that ask at a time
+LISTENERS_LIMIT = 32  # that are taken over from one process
+OTHER_DESCRIPTORS = 24  # of another process beside connections: loop, log, discovery, second address
 
 
-def succession_of(environ: Mapping[str, str], config: Config) -> Succession | None:
-    """Where operators call there is a $TMPDIR of the gateway's own; else a process has no heir."""
+def coordinator_from_environment(environ: Mapping[str, str], config: Config) -> HotRestartCoordinator | None:
+    """None where there is no second address, no listener, or no $TMPDIR of this user's own."""
     folder = environ.get("TMPDIR")
     if config.console is None or config.listen is None or not folder:
         return None
     try:
-        place = Place(Path(folder))
+        rendezvous = Rendezvous(Path(folder))
     except OSError as error:
         log.warning("no other process can take over from this one: %s", error)
         return None
-    return Succession(place, config, DrainStore(place.folder))
+    return HotRestartCoordinator(rendezvous, config, DrainStore(rendezvous.folder))
 
 
-class Succession:
+class HotRestartCoordinator:
+    """One process's side of the protocol, towards its predecessor and towards its successors."""
+
     def __init__(
-        self, place: Place, config: Config, store: DrainStore | None = None, stands_by_s: float | None = None
+        self,
+        rendezvous: Rendezvous,
+        config: Config,
+        drain_store: DrainStore | None = None,
+        standby_s: float | None = None,
     ) -> None:
-        """`store`: keeps hosts out by hand where nothing else does. No `stands_by_s`: until it is ended."""
-        self.place, self.config, self.store, self.stands_by_s = place, config, store, stands_by_s
+        """`drain_store`: keeps manual drains where nothing else does.
+
+        `standby_s`: when the predecessor is ended; None: an operator ends it.
+        """
+        self.rendezvous = rendezvous
+        self.config = config
+        self.identity = GatewayIdentity(config.name, config.listen)
+        # Without a listener the state has an address that no request for it has: so it has always been sent.
+        self.state_identity = GatewayIdentity(config.name, config.listen or ("", 0))
+        self.drain_store = drain_store
+        self.standby_s = standby_s
         self.loop = asyncio.get_running_loop()
-        self.disk = ThreadPoolExecutor(1)  # one save after the other
-        self.parts: dict[str, Part] = {}
+        self.drain_writer = ThreadPoolExecutor(1)  # one save after the other
+        self.components: dict[str, TransferableComponent] = {}
         self.rooms: Sequence[Room] = ()
-        self.will: Will | None = None
-        self.listener: socket.socket | None = None  # of clients, handed over
-        self.listeners: dict[str, socket.socket] = {}  # of the parts, handed over and not taken yet
-        self.taught: set[Proxy] = set()
-        self.before: Link | None = None  # to the process that serves, and then ends
-        self.willed = asyncio.Event()
-        self.at_place: socket.socket | None = None  # listens for heirs
-        self.heirs: set[Link] = set()  # that have asked
-        self.heir: Link | None = None  # that takes clients
-        self.serves = self.ending = False
-        self.hearing: Link | None = None  # whose word is being carried out
-        self.told_holds = (0, 0)  # of the processes before
-        self.tasks: set[asyncio.Task[Any]] = set()
         self.proxy: Proxy
         self.downstream: Downstream
+        self.serving = False
+        self.ending = False
+        self.origin: Link | None = None  # of the message that is being handled; it is not sent back there
+        self.tasks: set[asyncio.Task[Any]] = set()
+        # The predecessor
+        self.predecessor: Link | None = None
+        self.state: TransferredState | None = None
+        self.state_received = asyncio.Event()  # or it is certain that none will come
+        self.learned_state: LearnedStateImport | None = None
+        self.listener: socket.socket | None = None  # the main listener
+        self.component_listeners: dict[str, socket.socket] = {}  # that no component has taken yet
+        self.counts = messages.ConnectionCounts()  # of the processes before this one
+        # Successors
+        self.rendezvous_socket: socket.socket | None = None
+        self.candidates: set[Link] = set()  # processes that may become the successor
+        self.successor: Link | None = None  # the one that takes clients
 
     def proxies(self) -> Mapping[str, Proxy]:
-        """Of all pools there are by now. Read with suspicion: a room may have none yet."""
+        """The proxy of each pool that there is by now; a room may have none yet."""
         pools = {
-            name: p for room in self.rooms if isinstance(room, Pooled) for name, p in room.proxies().items()
+            name: proxy
+            for room in self.rooms
+            if isinstance(room, Pooled)
+            for name, proxy in room.proxies().items()
         }
         return {MAIN: self.proxy, **pools}
 
-    # As the new one
+    # As the successor
 
-    async def inherit(self) -> Will | None:
-        """What the process that serves hands over, or None where there is none."""
+    async def inherit(self) -> TransferredState | None:
+        """The state of the process that serves, or None where there is none to take over from."""
         try:
-            link = self.before = Link(self.place.connect(), self.loop, self.heard_before, self.lost_before)
+            sock = self.rendezvous.connect()
         except OSError as error:
             log.info("no other process of this gateway: %s", error.strerror or error)
             return None
-        link.send({"ask": whose(self.config.name, self.config.listen)})
+        link = self.predecessor = Link(sock, self.loop, self.on_predecessor_message, self.on_predecessor_lost)
+        link.send(messages.RequestState(self.identity))
         try:
-            async with asyncio.timeout(WAIT_S):
-                await self.willed.wait()
+            async with asyncio.timeout(STATE_TIMEOUT_S):
+                await self.state_received.wait()
         except TimeoutError:
             log.warning("another process of this gateway listens and hands nothing over")
-        if self.will is None or (self.listener is None and self.config.listen is not None):
-            self.will = None
-            self.drop_listeners()
+        if self.state is None or (self.listener is None and self.config.listen is not None):
+            self.state = None
+            self.close_unused_listeners()
             link.close()
             return None
-        log.info(
-            "takes over %d hosts, %d out by hand", len(self.will.known["endpoints"]), len(self.will.drains)
-        )
-        for each in self.will.missing:
-            log.warning("could not be taken over: %s", each)
-        return self.will
-
-    def heard_before(self, message: dict[str, Any], sock: socket.socket | None) -> None:
-        if "listener" in message:
-            if sock is not None and len(self.listeners) < LISTENERS and not self.willed.is_set():
-                self.listeners[str(message["listener"])] = sock
+        self._log_state(self.state)
+        self.learned_state = LearnedStateImport(self.state, self.proxies)
+        return self.state
+
+    def _log_state(self, state: TransferredState) -> None:
+        endpoints = len(state.endpoint_list["endpoints"])
+        log.info("takes over %d hosts, %d out by hand", endpoints, len(state.drains))
+        for field in state.missing:
+            log.warning("could not be taken over: %s", field)
+
+    def on_predecessor_message(self, message: Message, sock: socket.socket | None) -> None:
+        """Handle a message of the predecessor; a socket that nobody takes is closed."""
+        match message:
+            case messages.ExportListener(name):
+                has_room = len(self.component_listeners) < LISTENERS_LIMIT
+                if sock is not None and has_room and not self.state_received.is_set():
+                    self.component_listeners[name] = sock
+                    return
+            case messages.ReceivedState(raw):
+                if self._import_state(raw, sock):
+                    return
+            case messages.ExportClient(component) if sock is not None and self.serving:
+                self._adopt_client(component, sock)
                 return
-        elif "will" in message:
-            try:
-                self.will = read_will(message, self.config.name, self.config.listen or ("", 0))
-                self.listener, sock = sock, None
-            except WillError as error:
-                log.warning("what another process hands over is not taken: %s", error)
-            self.willed.set()
-        elif "client" in message and sock is not None and self.serves:
-            sock.setblocking(False)
-            part = self.parts.get(str(message["client"]))
-            self.adopt(sock) if part is None else part.adopt(sock)
-            return
-        elif self.serves and self.before is not None:
-            self.heard(self.before, message)
+            case _ if self.serving and self.predecessor is not None:
+                self.on_shared_message(self.predecessor, message)
         if sock is not None:
             sock.close()
 
-    def lost_before(self) -> None:
-        self.willed.set()
-        self.before = None
-        if self.serves:
-            self.count((0, 0))
-
-    def drop_listeners(self) -> None:
-        """What was handed over and nobody has taken: it may be of an address that is not served any more."""
-        for name, sock in self.listeners.items():
+    def _import_state(self, raw: JsonObject, listener: socket.socket | None) -> bool:
+        """Whether the state could be read, and with it the listener was taken."""
+        try:
+            self.state = read_state(raw, self.state_identity)
+        except StateTransferError as error:
+            log.warning("what another process hands over is not taken: %s", error)
+            return False
+        else:
+            self.listener = listener
+            return True
+        finally:
+            self.state_received.set()
+
+    def on_predecessor_lost(self) -> None:
+        """Its link has ended: what it held counts no more."""
+        self.state_received.set()
+        self.predecessor = None
+        if self.serving:
+            self.update_counts(messages.ConnectionCounts())
+
+    def close_unused_listeners(self) -> None:
+        """Those that no component has taken: their address may not be served any more."""
+        for name, sock in self.component_listeners.items():
             log.info("%s is not listened on any more, as it was handed over", name)
             sock.close()
-        self.listeners.clear()
+        self.component_listeners.clear()
 
     def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room] = ()) -> None:
-        """Before anything has started: what the will says of hosts out by hand, and of a drain."""
-        self.proxy, self.downstream, self.rooms = proxy, downstream, rooms
-        self.parts = {room.part: room for room in rooms if isinstance(room, Part)}
-        will = self.will
-        if will is not None:
-            for part in self.parts.values():
-                part.inherit(self.listeners, self.ready)
-        kept = self.store.load() if self.store is not None else []
-        proxy.roster.restore(will.drains if will is not None else kept)
-        if will is not None and will.lame_s is not None:
-            downstream.send_away(will.lame_s)
-        proxy.by_hand.append(self.changed_by_hand)
-        downstream.on_lame.append(self.changed_lame)
-
-    def teach(self) -> None:
-        """Go on with what was learnt of hosts, in pools that have some by now and have not used them."""
-        will = self.will
-        if will is None:
-            return
-        for name, proxy in self.proxies().items():
-            learnt = will.learnt if name == MAIN else will.pools.get(name)
-            servers = proxy.balancer.servers.values()
-            if proxy in self.taught or learnt is None or not servers or any(s.used for s in servers):
-                continue
-            self.taught.add(proxy)
-            if will.classes and will.classes != proxy.filed.names.classes:
-                log.warning("what was learnt is not taken over: the classes are others")
-                continue
-            try:
-                proxy.balancer.restore(proxy.clock.now_us(), learnt)
-            except ValueError as error:
-                log.warning("what was learnt could not be taken over: %s", error)
+        """Before anything has started: restore the manual drains and a drain of the gateway."""
+        self.proxy = proxy
+        self.downstream = downstream
+        self.rooms = rooms
+        self.components = {
+            room.transfer_name: room for room in rooms if isinstance(room, TransferableComponent)
+        }
+        stored = self.drain_store.load() if self.drain_store is not None else []
+        state = self.state
+        if state is None:
+            proxy.roster.restore(stored)
+        else:
+            for component in self.components.values():
+                component.import_listeners(self.component_listeners, self.ready)
+            proxy.roster.restore(state.drains)
+            if state.lame_duck_age_s is not None:
+                downstream.send_away(state.lame_duck_age_s)
+        proxy.by_hand.append(self.on_manual_drain)
+        downstream.on_lame.append(self.on_lame_duck)
+
+    def restore_learned_state(self) -> None:
+        """In pools that have endpoints by now and have not used them."""
+        if self.learned_state is not None:
+            self.learned_state.restore()
 
     async def ready(self) -> None:
-        """Before clients are taken: each pool that had hosts has some again, if they come in time."""
-        had = self.will.hosts if self.will is not None else {}
-        until = self.loop.time() + HOSTS_S
-
-        def lacking() -> list[str]:
-            there = self.proxies()
-            return [
-                name
-                for name, hosts in had.items()
-                if hosts and name in there and not there[name].upstream.hosts
-            ]
-
-        while lacking() and self.loop.time() < until:
-            await asyncio.sleep(HOSTS_POLL_S)
-        if lacking():
-            log.warning("no hosts are known yet in: %s", ", ".join(lacking()))
-        self.teach()
+        """Before clients are taken: wait for the endpoints of each pool that had some."""
+        if self.learned_state is not None:
+            await self.learned_state.wait_for_endpoints()
+            self.learned_state.restore()
 
     def take(self) -> None:
-        """Clients are taken here from now on; listen for an heir."""
-        self.teach()
-        self.drop_listeners()
-        self.serves = True
-        self.listen()
-        if self.before is not None:
-            self.before.send({"taking": True})
-            self.count(self.told_holds)
-            if self.stands_by_s is not None:
-                self.loop.call_later(self.stands_by_s, self.dismiss)
-
-    def dismiss(self) -> None:
+        """Clients are taken here from now on; the predecessor is told, and successors may ask."""
+        self.restore_learned_state()
+        self.close_unused_listeners()
+        self.serving = True
+        self.listen_for_successors()
+        if self.predecessor is not None:
+            self.predecessor.send(messages.TakeClients())
+            self.update_counts(self.counts)
+            if self.standby_s is not None:
+                self.loop.call_later(self.standby_s, self.end_predecessor)
+
+    def end_predecessor(self) -> None:
         """This process has proved itself: the one before it may end."""
-        if self.before is not None:
-            self.before.send({"end": True})
+        if self.predecessor is not None:
+            self.predecessor.send(messages.EndPredecessor())
 
-    def adopt(self, sock: socket.socket) -> None:
-        made = partial(ClientConnection, self.downstream, asked=True)
-        task = self.loop.create_task(self.loop.connect_accepted_socket(made, sock))
+    def _adopt_client(self, component_name: str | None, sock: socket.socket) -> None:
+        sock.setblocking(False)
+        component = self.components.get(component_name) if component_name is not None else None
+        if component is not None:
+            component.adopt_client(sock)
+            return
+        make = partial(ClientConnection, self.downstream, asked=True)
+        task = self.loop.create_task(self.loop.connect_accepted_socket(make, sock))
         self.tasks.add(task)
-        task.add_done_callback(self.adopted)
+        task.add_done_callback(self._on_client_adopted)
 
-    def adopted(self, task: asyncio.Task[Any]) -> None:
+    def _on_client_adopted(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.info("a connection that was given over has gone: %s", task.exception())
 
-    def count(self, holds: tuple[int, int]) -> None:
-        """What the processes before hold: connections of clients, and to hosts."""
-        self.told_holds = holds
-        clients, hosts = holds
-        self.downstream.elsewhere = clients + (OTHERS_OWN if self.before is not None else 0)
-        self.proxy.upstream.elsewhere = hosts
+    def update_counts(self, counts: messages.ConnectionCounts) -> None:
+        """What the processes before this one hold, which the limits here must leave room for."""
+        self.counts = counts
+        others = OTHER_DESCRIPTORS if self.predecessor is not None else 0
+        self.downstream.elsewhere = counts.clients + others
+        self.proxy.upstream.elsewhere = counts.endpoints
 
-    # As the old one
+    # As the predecessor
 
-    def listen(self) -> None:
+    def listen_for_successors(self) -> None:
+        """Open the rendezvous; without it this process cannot be taken over from."""
         try:
-            self.at_place = self.place.listen()
-            self.loop.add_reader(self.at_place.fileno(), self.accept)
+            self.rendezvous_socket = self.rendezvous.listen()
+            self.loop.add_reader(self.rendezvous_socket.fileno(), self._accept_successor)
         except OSError as error:
             log.warning("no other process can take over from this one: %s", error)
 
-    def listen_no_more(self) -> None:
-        if self.at_place is not None:
-            self.loop.remove_reader(self.at_place.fileno())
-            self.at_place.close()
-            self.at_place = None
+    def stop_listening_for_successors(self) -> None:
+        if self.rendezvous_socket is not None:
+            self.loop.remove_reader(self.rendezvous_socket.fileno())
+            self.rendezvous_socket.close()
+            self.rendezvous_socket = None
 
-    def accept(self) -> None:
-        assert self.at_place is not None
+    def _accept_successor(self) -> None:
+        assert self.rendezvous_socket is not None
         try:
-            sock, _ = self.at_place.accept()
+            sock, _ = self.rendezvous_socket.accept()
         except OSError:
             return
         try:
             check_peer(sock)
-            if len(self.heirs) >= HEIRS:
+            if len(self.candidates) >= SUCCESSORS_LIMIT:
                 raise OSError(None, "too many processes ask for a will")
         except OSError as error:
             log.warning("turned away at the place of hand-over: %s", error)
@@ -282,83 +314,103 @@
             return
         sock.setblocking(False)
         link: Link
-        link = Link(sock, self.loop, lambda m, s: self.heard_heir(link, m, s), lambda: self.lost_heir(link))
-        self.heirs.add(link)
+        link = Link(
+            sock,
+            self.loop,
+            lambda message, descriptor: self.on_successor_message(link, message, descriptor),
+            lambda: self.on_successor_lost(link),
+        )
+        self.candidates.add(link)
 
-    def heard_heir(self, link: Link, message: dict[str, Any], sock: socket.socket | None) -> None:
+    def on_successor_message(self, link: Link, message: Message, sock: socket.socket | None) -> None:
+        """Handle a message of a process that may become the successor, or is it."""
         if sock is not None:
-            sock.close()  # an heir hands nothing over
-        if "ask" in message:
-            ours = whose(self.config.name, self.config.listen)
-            ended = self.config.listen is not None and self.downstream.socket is None
-            if message["ask"] != ours or self.heir is not None or ended or self.ending:
-                link.close("it is of another gateway, or too late")
-                return
-            for part in self.parts.values():
-                for name, descriptor in part.bequeath().items():
-                    link.send({"listener": name}, descriptor)
-            will = write_will(self.make_will(), self.config.name, self.config.listen or ("", 0))
-            link.send(will, self.downstream.socket.fileno() if self.downstream.socket is not None else None)
-            log.info("another process of this gateway has asked for what it needs")
-        elif message.get("taking") is True and self.heir is None:
-            self.give_way(link)
-        elif message.get("end") is True and link is self.heir:
-            log.info("the process that took the clients ends this one")
-            self.ending = True
-            os.kill(os.getpid(), signal.SIGTERM)
-        else:
-            self.heard(link, message)
-
-    def make_will(self) -> Will:
+            sock.close()  # a successor exports nothing
+        match message:
+            case messages.RequestState(identity):
+                self._export_state(link, identity)
+            case messages.TakeClients() if self.successor is None:
+                self.release_clients(link)
+            case messages.EndPredecessor() if link is self.successor:
+                log.info("the process that took the clients ends this one")
+                self.ending = True
+                os.kill(os.getpid(), signal.SIGTERM)
+            case _:
+                self.on_shared_message(link, message)
+
+    def _export_state(self, link: Link, identity: GatewayIdentity | None) -> None:
+        main_socket = self.downstream.socket
+        has_ended = self.config.listen is not None and main_socket is None
+        if identity != self.identity or self.successor is not None or has_ended or self.ending:
+            link.close("it is of another gateway, or too late")
+            return
+        for component in self.components.values():
+            for name, descriptor in component.export_listeners().items():
+                link.send(messages.ExportListener(name), descriptor)
+        message = messages.ExportState(self.current_state(), self.state_identity)
+        link.send(message, main_socket.fileno() if main_socket is not None else None)
+        log.info("another process of this gateway has asked for what it needs")
+
+    def current_state(self) -> TransferredState:
+        """What a successor needs to go on as this process would."""
         proxy, lame = self.proxy, self.downstream.lame
-        words = proxy.roster.sources[PLATFORM].words if PLATFORM in proxy.roster.sources else {}
+        platform = proxy.roster.sources.get(PLATFORM)
+        entries = [word.entry for word in platform.words.values()] if platform is not None else []
         index = proxy.discovery.index if proxy.discovery is not None else 0
-        return Will(
-            offset_ns=proxy.clock.offset_ns,
-            known=list_of((word.entry for word in words.values()), proxy.config.names, index),
+        proxies = self.proxies()
+        return TransferredState(
+            clock_offset_ns=proxy.clock.offset_ns,
+            endpoint_list=export_endpoint_list(entries, proxy.config.names, index),
             drains=tuple(proxy.roster.drains.values()),
-            lame_s=lame.age(self.loop.time()) if lame else None,
-            learnt=proxy.balancer.snapshot(),
-            pools={name: p.balancer.snapshot() for name, p in self.proxies().items() if name != MAIN},
-            classes=proxy.filed.names.classes,
-            hosts={name: len(p.upstream.hosts) for name, p in self.proxies().items()},
+            lame_duck_age_s=lame.age(self.loop.time()) if lame else None,
+            learned_state=proxy.balancer.snapshot(),
+            pools={name: pool.balancer.snapshot() for name, pool in proxies.items() if name != MAIN},
+            request_classes=proxy.filed.names.classes,
+            endpoint_counts={name: len(pool.upstream.hosts) for name, pool in proxies.items()},
         )
 
-    def give_way(self, link: Link) -> None:
+    def release_clients(self, successor: Link) -> None:
+        """Accept nothing more, and export each client's connection once it is quiet."""
         log.info("another process of this gateway takes its clients")
-        self.heir = link
-        self.listen_no_more()
+        self.successor = successor
+        self.stop_listening_for_successors()
         for proxy in self.proxies().values():
             proxy.balancer.yields = True
             proxy.upstream.close_all_idle()
-        self.downstream.give_way(self.give)
-        for name, part in self.parts.items():
-            part.give_way(partial(self.give_to, name))
-        self.tell_holds()
-
-    def give(self, connection: ClientConnection) -> bool:
-        """Give a client's connection over. False: it stays here."""
-        if self.heir is None or connection.transport is None:
+        self.downstream.give_way(self._export_connection)
+        for name, component in self.components.items():
+            component.release_clients(partial(self._export_descriptor, name))
+        self._report_counts()
+
+    def _export_connection(self, connection: ClientConnection) -> bool:
+        """False: the connection stays in this process."""
+        if self.successor is None or connection.transport is None:
             return False
-        return self.heir.send({"client": True}, descriptor_of(connection.transport))
+        return self.successor.send(messages.ExportClient(), descriptor_of(connection.transport))
 
-    def give_to(self, part: str, descriptor: int) -> bool:
-        """The same of a part's client."""
-        return self.heir is not None and self.heir.send({"client": part}, descriptor)
+    def _export_descriptor(self, component: str, descriptor: int) -> bool:
+        """False: the connection stays in this process."""
+        if self.successor is None:
+            return False
+        return self.successor.send(messages.ExportClient(component), descriptor)
 
-    def tell_holds(self) -> None:
-        if self.heir is None:
+    def _report_counts(self) -> None:
+        """Report to the successor, again and again, what it has to leave room for."""
+        if self.successor is None:
             return
-        clients, hosts = self.told_holds
-        holds = [clients + len(self.downstream.connections), hosts + len(self.proxy.upstream.connections)]
-        self.heir.send({"holds": holds})
-        self.loop.call_later(HOLDS_S, self.tell_holds)
-
-    def lost_heir(self, link: Link) -> None:
-        self.heirs.discard(link)
-        if link is not self.heir:
+        counts = messages.ConnectionCounts(
+            clients=self.counts.clients + len(self.downstream.connections),
+            endpoints=self.counts.endpoints + len(self.proxy.upstream.connections),
+        )
+        self.successor.send(counts)
+        self.loop.call_later(CONNECTION_COUNTS_S, self._report_counts)
+
+    def on_successor_lost(self, link: Link) -> None:
+        """Its link has ended. If it had taken the clients, they are taken here again."""
+        self.candidates.discard(link)
+        if link is not self.successor:
             return
-        self.heir = None
+        self.successor = None
         if self.ending:
             return
         log.warning("the process that took the clients has gone: they are taken here again")
@@ -366,72 +418,79 @@
             proxy.balancer.yields = False
         if self.config.listen is not None:
             self.downstream.take_back()
-        for part in self.parts.values():
-            part.take_back()
-        self.listen()
+        for component in self.components.values():
+            component.reclaim_clients()
+        self.listen_for_successors()
 
     # As either
 
-    def heard(self, link: Link, message: dict[str, Any]) -> None:
-        """What the other one has been told by hand, or holds. What cannot be read is passed over."""
-        self.hearing = link
+    def on_shared_message(self, link: Link, message: Message) -> None:
+        """Handle what either may send; anything that is not understood is logged and ignored."""
+        self.origin = link
         try:
             match message:
-                case {"hand": [str(name), str(by), bool(out)]}:
-                    self.carry_out(name, by, out)
-                case {"lame": bool(lame)}:
+                case messages.ManualDrainChanged():
+                    self._apply_manual_drain(message)
+                case messages.LameDuckChanged(lame):
                     (self.downstream.send_away if lame else self.downstream.rejoin)()
-                case {"holds": [int(clients), int(hosts)]} if link is self.before:
-                    self.count((max(0, clients), max(0, hosts)))
+                case messages.ConnectionCounts() if link is self.predecessor:
+                    self.update_counts(message)
                 case _:
-                    log.warning("not understood, from another process: %.200r", message)
+                    log.warning("not understood, from another process: %.200r", messages.encode(message))
         finally:
-            self.hearing = None
+            self.origin = None
 
-    def carry_out(self, name: str, by: str, out: bool) -> None:
-        proxy = proxy_of(self.proxies().values(), name)
+    def _apply_manual_drain(self, change: messages.ManualDrainChanged) -> None:
+        proxy = proxy_of(self.proxies().values(), change.endpoint)
         try:
-            if out:
-                proxy.drain(name, by)
+            if change.drained:
+                proxy.drain(change.endpoint, change.by)
             else:
-                proxy.undrain(name, by)
+                proxy.undrain(change.endpoint, change.by)
         except RosterError:
-            if out:  # not listed here yet: it is out as soon as it is
-                self.proxy.roster.restore([HandDrain(name, by, self.proxy.clock.now_us())])
-
-    def tell(self, message: dict[str, Any]) -> None:
-        for link in (self.before, self.heir):
-            if link is not None and link is not self.hearing:
+            if change.drained:  # not listed here yet: it is drained as soon as it is
+                drain = HandDrain(change.endpoint, change.by, self.proxy.clock.now_us())
+                self.proxy.roster.restore([drain])
+
+    def _notify(self, message: Message) -> None:
+        """Tell the processes on both sides, but not the one that this came from."""
+        for link in (self.predecessor, self.successor):
+            if link is not None and link is not self.origin:
                 link.send(message)
 
-    def changed_by_hand(self, name: str, by: str, out: bool) -> None:
-        self.tell({"hand": [name, by, out]})
-        if self.store is not None:
-            self.disk.submit(self.save, self.store, list(self.proxy.roster.drains.values()))
+    def on_manual_drain(self, name: str, by: str, drained: bool) -> None:
+        """An operator has drained or reinstated an endpoint here, or in the other process."""
+        self._notify(messages.ManualDrainChanged(name, by, drained))
+        if self.drain_store is not None:
+            drains = list(self.proxy.roster.drains.values())
+            self.drain_writer.submit(self._save_drains, self.drain_store, drains)
 
-    def save(self, store: DrainStore, drains: list[HandDrain]) -> None:
+    def _save_drains(self, store: DrainStore, drains: list[HandDrain]) -> None:
         try:
             store.save(drains)
         except OSError as error:
             log.warning("hosts out by hand are not kept: %s", error.strerror or error)
 
-    def changed_lame(self, lame: bool) -> None:
-        self.tell({"lame": lame})
+    def on_lame_duck(self, lame: bool) -> None:
+        """Clients are sent away here from now on, or taken again."""
+        self._notify(messages.LameDuckChanged(lame))
 
     def end(self) -> None:
-        """This process was told to end; with it the one that stands by, or it would take clients again."""
+        """This process was told to end; with it its predecessor, which would take clients again."""
         self.ending = True
-        if self.stands_by_s is not None:
-            self.dismiss()
+        if self.standby_s is not None:
+            self.end_predecessor()
 
     async def close(self) -> None:
+        """All requests are answered: end the links, after the successor has read the last clients."""
         self.ending = True
-        self.listen_no_more()
-        self.drop_listeners()
-        if self.heir is not None:
+        self.stop_listening_for_successors()
+        self.close_unused_listeners()
+        if self.successor is not None:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.heir.flush(), FLUSH_S)
-        for link in (self.before, *self.heirs):
+                async with asyncio.timeout(FLUSH_TIMEOUT_S):
+                    await self.successor.flush()
+        for link in (self.predecessor, *self.candidates):
             if link is not None:
                 link.close()
-        self.disk.shutdown(wait=True)
+        self.drain_writer.shutdown(wait=True)
--- a/badgergap/hot_restart/listeners.py
+++ b/badgergap/hot_restart/listeners.py
@@ -1,4 +1,4 @@
-"""What of a gateway's rooms can go over to another process: listeners, and the clients that came by them."""
+"""What a component must offer for its listeners and clients to go over to another process."""
 
 from __future__ import annotations
 
@@ -6,27 +6,30 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Protocol, runtime_checkable
 
-# A copy of a client's descriptor to the process that takes over. False: it stays here.
-Give = Callable[[int], bool]
+# Send a copy of a client's descriptor to the successor. False: the connection stays in this process.
+ExportDescriptor = Callable[[int], bool]
 
 
 @runtime_checkable
-class Part(Protocol):
-    """A room that listens. What follows the start is never said before it, nor after the room's close."""
+class TransferableComponent(Protocol):
+    """A component that listens.
 
-    part: str  # its name, the same in both processes
+    `import_listeners` is called before the component starts, the rest between its start and its close.
+    """
 
-    def bequeath(self) -> Mapping[str, int]:
-        """Descriptors of sockets that the next process needs, by names that no other part uses."""
+    transfer_name: str  # the same in both processes
 
-    def inherit(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
-        """Before the start: take out of `found` what goes on here. `ready`: awaited before any client."""
+    def export_listeners(self) -> Mapping[str, int]:
+        """Descriptors of the sockets that the successor needs, by names unique among all components."""
 
-    def give_way(self, give: Give) -> None:
-        """Accept nothing more. Each client's connection is given over once nothing of it is here."""
+    def import_listeners(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
+        """Take out of `found` the sockets to go on with. `ready` is awaited before any client is accepted."""
 
-    def take_back(self) -> None:
-        """The process that took over has gone: accept again."""
+    def release_clients(self, export: ExportDescriptor) -> None:
+        """Accept nothing more; export each client's connection once nothing of it is in this process."""
 
-    def adopt(self, sock: socket.socket) -> None:
-        """A client's connection that the process before gives over; it does not block."""
+    def reclaim_clients(self) -> None:
+        """The successor is gone: accept again."""
+
+    def adopt_client(self, sock: socket.socket) -> None:
+        """Go on with a client's connection that the predecessor exported; the socket does not block."""
--- a/badgergap/hot_restart/state_transfer.py
+++ b/badgergap/hot_restart/state_transfer.py
@@ -1,145 +1,163 @@
-"""What one process of a gateway hands over to the next: as data, and read with suspicion. Pure.
-
-The rules, stated once:
-
-1. A message is a frame: its kind of file, version, length and checksum, then JSON. What is not whole, of
-   another kind or version, or longer than FRAME_LIMIT is no message.
-2. A will names its gateway and the address that it serves. That of another gateway is not taken.
-3. Each part that cannot be read is left out by itself, with a word on why: a will without what was learnt is
-   still one with bans. Without a list of hosts in it there is nothing to go on with, and it is none.
-4. Both processes run on one machine and by one monotonic clock; the will carries how far the gateway's clock
-   is from that, so that times in it mean the same to both, whatever was done to the wall clock between.
+"""The state that a process exports for its successor, and how it is read back. Pure, no I/O.
+
+1. A state names its gateway and the address that it serves. The state of another gateway is rejected.
+2. Each field that cannot be read is left out by itself and listed in `missing`: a state without the
+   balancer's learned state still has the manual drains. A state without an endpoint list or a clock offset
+   is rejected.
+3. Both processes run on one machine and read one monotonic clock. The state carries the offset of the
+   gateway's clock from it, so that its times mean the same to both even if the wall clock was set in
+   between.
 """
 
 from __future__ import annotations
 
-import json
-import struct
-import zlib
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Any
 
-from badgergap.proxy.lifecycle.config import Address, Names
+from badgergap.balancing.interface import EndpointStatus
+from badgergap.hot_restart.errors import StateTransferError
+from badgergap.hot_restart.frames import JsonObject
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
 from badgergap.proxy.endpoints.sources import Entry
-from badgergap.balancing.interface import EndpointStatus
+from badgergap.proxy.lifecycle.config import Address, Names
 
-MAGIC, VERSION = b"bgw", 1
-HEADER = struct.Struct(">3sBII")
-FRAME_LIMIT = 8 * 1024 * 1024  # bytes: some ten thousand hosts
-STATUS_WORDS = {EndpointStatus.READY: "active", EndpointStatus.DRAINING: "leaving"}
-
-
-class WillError(ValueError):
-    """What came is not what another process of this gateway would send; the text says why."""
-
-
-def encode(message: dict[str, Any]) -> bytes:
-    payload = json.dumps(message, separators=(",", ":")).encode()
-    return HEADER.pack(MAGIC, VERSION, len(payload), zlib.crc32(payload)) + payload
-
-
-class Decoder:
-    """Frames out of a stream that arrives in any pieces."""
-
-    def __init__(self) -> None:
-        self.buffer = bytearray()
-
-    def feed(self, data: bytes) -> Iterator[dict[str, Any]]:
-        """Each message that has become whole. Raises WillError, after which nothing more can be read."""
-        self.buffer += data
-        while len(self.buffer) >= HEADER.size:
-            magic, version, length, checksum = HEADER.unpack_from(self.buffer)
-            if magic != MAGIC:
-                raise WillError("not of a gateway")
-            if version != VERSION:
-                raise WillError(f"of version {version}, and this is {VERSION}")
-            if length > FRAME_LIMIT:
-                raise WillError(f"a message of {length} bytes")
-            if len(self.buffer) < HEADER.size + length:
-                return
-            payload = bytes(self.buffer[HEADER.size : HEADER.size + length])
-            del self.buffer[: HEADER.size + length]
-            if zlib.crc32(payload) != checksum:
-                raise WillError("a wrong checksum")
-            try:
-                message = json.loads(payload)
-            except (ValueError, RecursionError):
-                raise WillError("not JSON") from None
-            if not isinstance(message, dict):
-                raise WillError("not an object")
-            yield message
+STATUS_ON_WIRE = {EndpointStatus.READY: "active", EndpointStatus.DRAINING: "leaving"}
+LAME_DUCK_AGE_LIMIT_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
-class Will:
-    offset_ns: int  # of the gateway's clock against the monotonic one
-    known: dict[str, Any]  # the list of hosts, in discovery's form
-    drains: tuple[HandDrain, ...] = ()
-    lame_s: float | None = None  # since when clients are sent away, in seconds before the will
-    learnt: dict[str, Any] | None = None  # a snapshot of the balancer's
-    pools: dict[str, dict[str, Any]] = field(default_factory=dict)  # the same of further pools
-    classes: tuple[str, ...] = ()  # what figures by class stand for; none: not known
-    hosts: dict[str, int] = field(default_factory=dict)  # so many that a pool had
-    missing: tuple[str, ...] = field(default=(), compare=False)  # parts that could not be read, and why
+class GatewayIdentity:
+    """By what two processes recognise each other as one gateway."""
 
+    name: str
+    listen: Address | None
 
-def whose(name: str, listen: Address | None) -> dict[str, Any]:
-    """By what processes of one gateway know each other."""
-    return {"gateway": name, "listen": list(listen or ())}
+    def to_json(self) -> JsonObject:
+        """As it stands in messages."""
+        return {"gateway": self.name, "listen": list(self.listen or ())}
 
 
-def write_will(will: Will, name: str, listen: Address) -> dict[str, Any]:
+@dataclass(frozen=True, slots=True)
+class TransferredState:
+    """What a process exports for its successor."""
+
+    clock_offset_ns: int  # of the gateway's clock from the monotonic one
+    endpoint_list: JsonObject  # in discovery's form
+    drains: tuple[HandDrain, ...] = ()
+    lame_duck_age_s: float | None = None  # for how long clients have been sent away; None: they are not
+    learned_state: JsonObject | None = None  # the main balancer's snapshot
+    pools: dict[str, JsonObject] = field(default_factory=dict)  # snapshots of the further pools' balancers
+    request_classes: tuple[str, ...] = ()  # that the snapshots index; empty: not known
+    endpoint_counts: dict[str, int] = field(default_factory=dict)  # by pool
+    missing: tuple[str, ...] = field(default=(), compare=False)  # fields that could not be read, and why
+
+
+def write_state(state: TransferredState, identity: GatewayIdentity) -> JsonObject:
+    """The message that carries a state. Its keys are the protocol's and stay as they are."""
     return {
-        "will": whose(name, listen),
-        "offset_ns": will.offset_ns,
-        "known": will.known,
-        "drains": [[d.name, d.by, d.at_us, d.action] for d in will.drains],
-        "lame_s": will.lame_s,
-        "learnt": will.learnt,
-        "pools": will.pools,
-        "classes": list(will.classes),
-        "hosts": will.hosts,
+        "will": identity.to_json(),
+        "offset_ns": state.clock_offset_ns,
+        "known": state.endpoint_list,
+        "drains": [[drain.name, drain.by, drain.at_us, drain.action] for drain in state.drains],
+        "lame_s": state.lame_duck_age_s,
+        "learnt": state.learned_state,
+        "pools": state.pools,
+        "classes": list(state.request_classes),
+        "hosts": state.endpoint_counts,
     }
 
 
-def read_will(raw: dict[str, Any], name: str, listen: Address) -> Will:
-    """Raises WillError for what this gateway cannot go on with."""
-    if raw.get("will") != whose(name, listen):
-        raise WillError("of another gateway")
-    offset_ns, known, lame_s, learnt = (raw.get(key) for key in ("offset_ns", "known", "lame_s", "learnt"))
-    if not isinstance(offset_ns, int) or isinstance(offset_ns, bool):
-        raise WillError("it tells no time")
-    if not isinstance(known, dict) or not isinstance(known.get("endpoints"), list):
-        raise WillError("it names no hosts")
-    missing = []
-    try:
-        drains = tuple(read_drain(item) for item in raw["drains"])[:DRAIN_LIMIT]
-    except (KeyError, TypeError, ValueError) as error:
-        drains = ()
-        missing.append(f"hosts out by hand: {error!r}")
-    if lame_s is not None and (
-        isinstance(lame_s, bool) or not isinstance(lame_s, int | float) or not 0.0 <= lame_s < 1e9
-    ):
-        missing.append("the drain of the gateway")
-        lame_s = None
-    if learnt is not None and not isinstance(learnt, dict):
-        missing.append("what was learnt")
-        learnt = None
-    pools, classes, hosts = (
-        raw.get(key, like) for key, like in (("pools", {}), ("classes", []), ("hosts", {}))
+def read_state(raw: JsonObject, identity: GatewayIdentity) -> TransferredState:
+    """Raises StateTransferError for a state that this gateway cannot start with."""
+    if raw.get("will") != identity.to_json():
+        raise StateTransferError("of another gateway")
+    reader = StateReader(raw)
+    clock_offset_ns, endpoint_list = reader.clock_offset_ns(), reader.endpoint_list()
+    drains, lame_duck_age_s = reader.drains(), reader.lame_duck_age_s()
+    learned_state, pools = reader.learned_state(), reader.pools()
+    request_classes = reader.request_classes()
+    if request_classes is None:  # the snapshots index them: without the classes they mean nothing
+        request_classes, learned_state, pools = (), None, {}
+    return TransferredState(
+        clock_offset_ns=clock_offset_ns,
+        endpoint_list=endpoint_list,
+        drains=drains,
+        lame_duck_age_s=lame_duck_age_s,
+        learned_state=learned_state,
+        pools=pools,
+        request_classes=request_classes,
+        endpoint_counts=reader.endpoint_counts(),
+        missing=tuple(reader.missing),
     )
-    if not isinstance(pools, dict) or not all(isinstance(each, dict) for each in pools.values()):
-        missing.append("what was learnt in further pools")
-        pools = {}
-    if not isinstance(classes, list) or not all(isinstance(each, str) for each in classes):
-        missing.append("what was learnt, as its classes cannot be read")
-        classes, learnt, pools = [], None, {}
-    if not isinstance(hosts, dict) or not all(type(each) is int for each in hosts.values()):
-        missing.append("how many hosts there were")
-        hosts = {}
-    return Will(offset_ns, known, drains, lame_s, learnt, pools, tuple(classes), hosts, tuple(missing))
+
+
+class StateReader:
+    """Reads the fields of a state one by one, and notes in `missing` those that it has to leave out."""
+
+    def __init__(self, raw: JsonObject) -> None:
+        self.raw = raw
+        self.missing: list[str] = []
+
+    def clock_offset_ns(self) -> int:
+        """Raises StateTransferError."""
+        offset_ns = self.raw.get("offset_ns")
+        if not isinstance(offset_ns, int) or isinstance(offset_ns, bool):
+            raise StateTransferError("it tells no time")
+        return offset_ns
+
+    def endpoint_list(self) -> JsonObject:
+        """Raises StateTransferError."""
+        listed = self.raw.get("known")
+        if not isinstance(listed, dict) or not isinstance(listed.get("endpoints"), list):
+            raise StateTransferError("it names no hosts")
+        return listed
+
+    def drains(self) -> tuple[HandDrain, ...]:
+        try:
+            return tuple(read_drain(item) for item in self.raw["drains"])[:DRAIN_LIMIT]
+        except (KeyError, TypeError, ValueError) as error:
+            self.missing.append(f"hosts out by hand: {error!r}")
+            return ()
+
+    def lame_duck_age_s(self) -> float | None:
+        age_s = self.raw.get("lame_s")
+        if age_s is None:
+            return None
+        is_number = isinstance(age_s, int | float) and not isinstance(age_s, bool)
+        if is_number and 0.0 <= age_s < LAME_DUCK_AGE_LIMIT_S:
+            return age_s  # type: ignore[no-any-return]  # as it is: an int stays one
+        self.missing.append("the drain of the gateway")
+        return None
+
+    def learned_state(self) -> JsonObject | None:
+        snapshot = self.raw.get("learnt")
+        if snapshot is None or isinstance(snapshot, dict):
+            return snapshot
+        self.missing.append("what was learnt")
+        return None
+
+    def pools(self) -> dict[str, JsonObject]:
+        pools = self.raw.get("pools", {})
+        if isinstance(pools, dict) and all(isinstance(snapshot, dict) for snapshot in pools.values()):
+            return pools
+        self.missing.append("what was learnt in further pools")
+        return {}
+
+    def request_classes(self) -> tuple[str, ...] | None:
+        """None where they cannot be read; empty where an older process sent none."""
+        classes = self.raw.get("classes", [])
+        if isinstance(classes, list) and all(isinstance(name, str) for name in classes):
+            return tuple(classes)
+        self.missing.append("what was learnt, as its classes cannot be read")
+        return None
+
+    def endpoint_counts(self) -> dict[str, int]:
+        counts = self.raw.get("hosts", {})
+        if isinstance(counts, dict) and all(type(count) is int for count in counts.values()):
+            return counts
+        self.missing.append("how many hosts there were")
+        return {}
 
 
 def read_drain(raw: Any) -> HandDrain:
@@ -152,8 +170,8 @@
     return HandDrain(name, by, at_us, action)
 
 
-def list_of(entries: Iterable[Entry], names: Names, index: int) -> dict[str, Any]:
-    """Hosts in discovery's form, as a configuration's `known` holds them; none that are gone."""
+def export_endpoint_list(entries: Iterable[Entry], names: Names, index: int) -> JsonObject:
+    """The endpoints in discovery's form, as `Config.known` holds them; without those that are gone."""
     return {
         "index": index,
         "snapshot": True,
@@ -164,11 +182,11 @@
                 "zone": names.zones[entry.listed.zone] if names.zones else "",
                 "type": names.kinds[entry.listed.kind] if names.kinds else "",
                 "group": entry.listed.group,
-                "status": STATUS_WORDS[entry.listed.status],
+                "status": STATUS_ON_WIRE[entry.listed.status],
                 "weight": entry.listed.weight,
                 "since_ms": entry.listed.started_us // 1000,
             }
             for entry in entries
-            if entry.listed.status in STATUS_WORDS
+            if entry.listed.status in STATUS_ON_WIRE
         ],
     }
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -84,11 +84,11 @@
     """What a process hands over that a gateway begins with."""
 
     @property
-    def known(self) -> dict[str, Any]:
+    def endpoint_list(self) -> dict[str, Any]:
         """The list of hosts, as `Config.known`."""
 
     @property
-    def offset_ns(self) -> int:
+    def clock_offset_ns(self) -> int:
         """Of its clock against the monotonic one."""
 
 
@@ -103,7 +103,7 @@
     def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room]) -> None:
         """Before anything has started."""
 
-    def teach(self) -> None:
+    def restore_learned_state(self) -> None:
         """The hosts are listed, as far as they were handed over."""
 
     def take(self) -> None:
@@ -138,9 +138,9 @@
         hung_up.set()
     succession = succeed(config) if succeed is not None else None
     will = await succession.inherit() if succession is not None else None
-    proxy = Proxy(config if will is None else replace(config, known=will.known), loop, observer)
+    proxy = Proxy(config if will is None else replace(config, known=will.endpoint_list), loop, observer)
     if will is not None:
-        proxy.clock.offset_ns = will.offset_ns
+        proxy.clock.offset_ns = will.clock_offset_ns
     downstream = Downstream(config, proxy, loop)
     if succession is not None:
         succession.join(proxy, downstream, rooms)
@@ -148,7 +148,7 @@
         room.join(proxy)
     await proxy.start()
     if succession is not None:
-        succession.teach()
+        succession.restore_learned_state()
     reloader = Reloader(proxy, downstream, rooms)
     for room in rooms:
         if isinstance(room, Steering):
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -51,7 +51,7 @@
         self.listens: Address | None = None
         self.reloading: asyncio.Task[None] | None = None  # the newest
         self.turn = asyncio.Lock()  # one reload after the other, whole
-        self.part = HTTP
+        self.transfer_name = HTTP
         self.inherited: dict[str, socket.socket] = {}
         self.ready: Callable[[], Awaitable[None]] | None = None  # hosts are known, after a hand-over
 
@@ -83,27 +83,27 @@
 
     # A part that goes over to another process
 
-    def bequeath(self) -> Mapping[str, int]:
+    def export_listeners(self) -> Mapping[str, int]:
         door = self.door
         named = {HTTP: door.socket, HTTPS: door.tls_socket} if door is not None else {}
         return {name: sock.fileno() for name, sock in named.items() if sock is not None}
 
-    def inherit(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
+    def import_listeners(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
         self.ready = ready
         plan = self.read()[0]
         for name, listen in ((HTTP, plan.listen), (HTTPS, plan.listen_tls)):
             if name in found and listen is not None and unread_input.is_bound(found[name], listen):
                 self.inherited[name] = found.pop(name)
 
-    def give_way(self, give: Callable[[int], bool]) -> None:
+    def release_clients(self, export: Callable[[int], bool]) -> None:
         if self.door is not None:
-            self.door.give_way(give)
+            self.door.give_way(export)
 
-    def take_back(self) -> None:
+    def reclaim_clients(self) -> None:
         if self.door is not None:
             self.door.take_back()
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_client(self, sock: socket.socket) -> None:
         if self.door is not None:
             self.door.adopt(sock)
         else:
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -21,7 +21,7 @@
 from badgergap.replication import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import HandDrain
-from badgergap.hot_restart import state_transfer
+from badgergap.hot_restart import frames, state_transfer
 from badgergap.balancing.interface import EndpointListKind
 from badgergap.storage.record_log import Log, System
 from tests.helpers import Driver
@@ -32,20 +32,20 @@
 FILE_IDENTITY = 7  # what the fixture's log says of the file that it was written to
 
 DRAINS = [HandDrain("box-1", "anna", 1_700_000_000_000_000, "d-1"), HandDrain("box-2", "console", 6, "")]
-NAME, LISTEN = "n0", ("127.0.0.1", 3000)
-HANDED_OVER = state_transfer.Will(
-    offset_ns=123,
-    known={"index": 7, "snapshot": True, "endpoints": [{"name": "box-1", "address": "127.0.0.1:80"}]},
+IDENTITY = state_transfer.GatewayIdentity("n0", ("127.0.0.1", 3000))
+HANDED_OVER = state_transfer.TransferredState(
+    clock_offset_ns=123,
+    endpoint_list={"index": 7, "snapshot": True, "endpoints": [{"name": "box-1", "address": "127.0.0.1:80"}]},
     drains=tuple(DRAINS),
-    lame_s=1.5,
-    learnt={"servers": [], "mean_out": 0.5},
+    lame_duck_age_s=1.5,
+    learned_state={"servers": [], "mean_out": 0.5},
     pools={"spare": {"servers": []}},
-    classes=("read", "write"),
-    hosts={"main": 2, "spare": 0},
+    request_classes=("read", "write"),
+    endpoint_counts={"main": 2, "spare": 0},
 )
 LINK_MESSAGES: tuple[tuple[dict[str, Any], str], ...] = (
     (
-        {"ask": state_transfer.whose(NAME, LISTEN)},
+        {"ask": IDENTITY.to_json()},
         "6267770100000034e8aed24c7b2261736b223a7b2267617465776179223a226e30222c226c697374656e223a5b"
         "223132372e302e302e31222c333030305d7d7d",
     ),
@@ -117,15 +117,15 @@
 
 def test_what_a_process_hands_over_is_read_and_written_anew_as_it_was() -> None:
     written = (DATA / "state_transfer.frame").read_bytes()
-    (message,) = state_transfer.Decoder().feed(written)
-    assert state_transfer.read_will(message, NAME, LISTEN) == HANDED_OVER
-    assert state_transfer.encode(state_transfer.write_will(HANDED_OVER, NAME, LISTEN)) == written
+    (message,) = frames.FrameDecoder().feed(written)
+    assert state_transfer.read_state(message, IDENTITY) == HANDED_OVER
+    assert frames.encode_frame(state_transfer.write_state(HANDED_OVER, IDENTITY)) == written
 
 
 @pytest.mark.parametrize(("message", "written"), LINK_MESSAGES)
 def test_what_two_processes_say_to_each_other_keeps_its_bytes(message: dict[str, Any], written: str) -> None:
-    assert state_transfer.encode(message) == bytes.fromhex(written)
-    assert list(state_transfer.Decoder().feed(bytes.fromhex(written))) == [message]
+    assert frames.encode_frame(message) == bytes.fromhex(written)
+    assert list(frames.FrameDecoder().feed(bytes.fromhex(written))) == [message]
 
 
 def test_what_the_decisions_have_learnt_is_written_as_it_was() -> None:
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -16,9 +16,10 @@
 
 import pytest
 
-from badgergap.hot_restart.channel import NAME, Link, Place
-from badgergap.hot_restart.coordinator import Succession
-from badgergap.hot_restart.state_transfer import encode
+from badgergap.hot_restart.channel import Link
+from badgergap.hot_restart.coordinator import HotRestartCoordinator
+from badgergap.hot_restart.frames import encode_frame
+from badgergap.hot_restart.rendezvous import SOCKET_NAME, Rendezvous
 from badgergap.standins.net import Server, read_message
 from tests.sockets import (
     PATIENCE_S,
@@ -295,10 +296,10 @@
             client = await it.client()
             assert (await client.ask(ask()))[0] == 200
             if when == "before":
-                with Place(it.folder).connect() as asking:
+                with Rendezvous(it.folder).connect() as asking:
                     asking.setblocking(True)
                     whose = {"gateway": "n0", "listen": ["127.0.0.1", it.port]}
-                    asking.sendall(encode({"ask": whose}))
+                    asking.sendall(encode_frame({"ask": whose}))
                     assert asking.recv(3) == b"bgw"
                 assert (await client.ask(ask()))[0] == 200
             else:
@@ -321,8 +322,8 @@
     [
         b"",
         b"HTTP/1.1 200 OK\r\n\r\n",
-        encode({"will": {"gateway": "n1", "listen": []}}),
-        encode({"will": 7})[:-1],
+        encode_frame({"will": {"gateway": "n1", "listen": []}}),
+        encode_frame({"will": 7})[:-1],
     ],
 )
 def test_absent_torn_or_foreign_state_is_a_normal_start(tmp_path: Path, said: bytes) -> None:
@@ -334,7 +335,7 @@
             assert (await call(address, b"DETACH h0\n")).startswith(b"ok ")
             while not (it.folder / "drains.json").exists():
                 await asyncio.sleep(0.005)
-            sock = Place(it.folder).listen()  # in place of the old one's
+            sock = Rendezvous(it.folder).listen()  # in place of the old one's
             asked = asyncio.Event()
 
             async def hand_over(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -403,15 +404,15 @@
 def test_a_folder_that_others_can_write_to_is_no_place(tmp_path: Path) -> None:
     tmp_path.chmod(0o777)
     with pytest.raises(OSError, match="no folder of this user alone"):
-        Place(tmp_path)
+        Rendezvous(tmp_path)
 
 
 def test_a_place_with_a_long_path(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 120)
     folder.mkdir(mode=0o700)
-    place = Place(folder)
+    place = Rendezvous(folder)
     with place.listen(), place.connect():
-        assert (folder / NAME).exists()
+        assert (folder / SOCKET_NAME).exists()
     with pytest.raises(OSError):
         place.connect()
 
@@ -422,13 +423,16 @@
 
     async def test() -> None:
         async with gateway() as it:
-            limit, succession = it.downstream.limit, Succession(Place(tmp_path), it.proxy.config)
-            succession.join(it.proxy, it.downstream)
+            limit = it.downstream.limit
+            coordinator = HotRestartCoordinator(Rendezvous(tmp_path), it.proxy.config)
+            coordinator.join(it.proxy, it.downstream)
             ours, theirs = socket.socketpair()
             for sock in (ours, theirs):
                 sock.setblocking(False)
-            succession.before = Link(ours, it.proxy.loop, succession.heard_before, succession.lost_before)
-            succession.serves = True
+            coordinator.predecessor = Link(
+                ours, it.proxy.loop, coordinator.on_predecessor_message, coordinator.on_predecessor_lost
+            )
+            coordinator.serving = True
             old = Link(theirs, it.proxy.loop, lambda m, s: None, lambda: None)
             for said in (
                 {"holds": [100, 50]},
@@ -437,19 +441,19 @@
                 {"hand": [1, 2, 3]},
                 {"x": None},
             ):
-                old.send(said)
+                old.send_json(said)
             while not it.proxy.upstream.elsewhere:
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.05)
             assert it.downstream.elsewhere >= 100 and it.proxy.upstream.elsewhere == 50
             assert it.downstream.limit <= limit - 100
-            old.send({"hand": ["h0", "anna", True]})
+            old.send_json({"hand": ["h0", "anna", True]})
             while not it.proxy.roster.drains:
                 await asyncio.sleep(0.001)
             old.close()
             while it.proxy.upstream.elsewhere:
                 await asyncio.sleep(0.001)
             assert it.downstream.limit == limit
-            await succession.close()
+            await coordinator.close()
 
     run(test())
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -17,24 +17,31 @@
 from badgergap.proxy.endpoints.discovery import parse_list
 from badgergap.proxy.endpoints.registry import HandDrain
 from badgergap.proxy.endpoints.sources import Entry, host_id
+from badgergap.hot_restart.errors import FrameError, StateTransferError
+from badgergap.hot_restart.frames import FRAME_LIMIT, HEADER, FrameDecoder, encode_frame
 from badgergap.hot_restart.state_transfer import (
-    FRAME_LIMIT,
-    HEADER,
-    Decoder,
-    Will,
-    WillError,
-    encode,
-    list_of,
-    read_will,
-    write_will,
+    GatewayIdentity,
+    TransferredState,
+    export_endpoint_list,
+    read_state,
+    write_state,
 )
 from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, Outcome, EndpointStatus
 from tests.helpers import SETTINGS, Driver, sends
 from tests.balancing.test_manual_drains import COLD, serve, share, tell
 
-NAME, LISTEN = "n0", ("127.0.0.1", 3000)
-KNOWN: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
-WILL = Will(123, KNOWN, (HandDrain("a", "anna", 5, "x"), HandDrain("b", "console", 6)), 1.5, {"servers": []})
+IDENTITY = GatewayIdentity("n0", ("127.0.0.1", 3000))
+ENDPOINT_LIST: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
+DRAINS = (HandDrain("a", "anna", 5, "x"), HandDrain("b", "console", 6))
+STATE = TransferredState(123, ENDPOINT_LIST, DRAINS, 1.5, {"servers": []})
+# The fields of a state by their keys on the wire.
+FIELDS = {
+    "offset_ns": "clock_offset_ns",
+    "known": "endpoint_list",
+    "drains": "drains",
+    "lame_s": "lame_duck_age_s",
+    "learnt": "learned_state",
+}
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
@@ -44,7 +51,7 @@
 
 @given(st.lists(st.dictionaries(st.text(max_size=5), JSON, max_size=3), max_size=5), st.integers(1, 40))
 def test_messages_arrive_whole_in_any_pieces(messages: list[dict[str, Any]], step: int) -> None:
-    data, decoder, got = b"".join(map(encode, messages)), Decoder(), []
+    data, decoder, got = b"".join(map(encode_frame, messages)), FrameDecoder(), []
     for place in range(0, len(data), step):
         got += list(decoder.feed(data[place : place + step]))
     assert got == messages
@@ -52,11 +59,11 @@
 
 @given(st.data())
 def test_a_message_that_was_touched_is_none(data: st.DataObject) -> None:
-    frame = bytearray(encode(write_will(WILL, NAME, LISTEN)))
+    frame = bytearray(encode_frame(write_state(STATE, IDENTITY)))
     place = data.draw(st.integers(0, len(frame) - 1))
     frame[place] ^= data.draw(st.integers(1, 255))
-    decoder = Decoder()
-    with suppress(WillError):
+    decoder = FrameDecoder()
+    with suppress(FrameError):
         assert list(decoder.feed(bytes(frame))) == []  # it waits for a longer one
 
 
@@ -66,39 +73,39 @@
         b"GET / HTTP/1.1\r\n\r\n",
         HEADER.pack(b"bgw", 2, 2, 0) + b"{}",
         HEADER.pack(b"bgw", 1, FRAME_LIMIT + 1, 0),
-        encode({})[:-2] + b"[]",
-        encode([1]),  # type: ignore[arg-type]
+        encode_frame({})[:-2] + b"[]",
+        encode_frame([1]),  # type: ignore[arg-type]
     ],
 )
 def test_what_is_no_message_ends_the_stream(frame: bytes) -> None:
-    with pytest.raises(WillError):
-        list(Decoder().feed(frame))
+    with pytest.raises(FrameError):
+        list(FrameDecoder().feed(frame))
 
 
-def test_a_will_comes_out_as_it_went_in() -> None:
-    raw = json.loads(json.dumps(write_will(WILL, NAME, LISTEN)))
-    assert read_will(raw, NAME, LISTEN) == WILL
+def test_a_state_comes_out_as_it_went_in() -> None:
+    raw = json.loads(json.dumps(write_state(STATE, IDENTITY)))
+    assert read_state(raw, IDENTITY) == STATE
 
 
 @pytest.mark.parametrize("other", [{"gateway": "n1"}, {"listen": ["127.0.0.1", 3001]}, {"gateway": None}])
-def test_the_will_of_another_gateway_is_not_taken(other: dict[str, Any]) -> None:
-    raw = write_will(WILL, NAME, LISTEN)
+def test_the_state_of_another_gateway_is_not_taken(other: dict[str, Any]) -> None:
+    raw = write_state(STATE, IDENTITY)
     raw["will"] = {**raw["will"], **other}
-    with pytest.raises(WillError, match="another gateway"):
-        read_will(raw, NAME, LISTEN)
+    with pytest.raises(StateTransferError, match="another gateway"):
+        read_state(raw, IDENTITY)
 
 
 @given(st.sampled_from(["will", "offset_ns", "known", "drains", "lame_s", "learnt"]), JSON)
-def test_each_part_is_good_or_left_out_or_there_is_no_will(key: str, value: Any) -> None:
-    raw = json.loads(json.dumps(write_will(WILL, NAME, LISTEN))) | {key: value}
+def test_each_part_is_good_or_left_out_or_there_is_no_state(key: str, value: Any) -> None:
+    raw = json.loads(json.dumps(write_state(STATE, IDENTITY))) | {key: value}
     try:
-        will = read_will(raw, NAME, LISTEN)
-    except WillError:
+        state = read_state(raw, IDENTITY)
+    except StateTransferError:
         assert key in ("will", "offset_ns", "known")
         return
-    same = {"offset_ns", "known", "drains", "lame_s", "learnt"} - {key}
-    assert all(getattr(will, each) == getattr(WILL, each) for each in same)
-    assert all(isinstance(drain.name, str) and isinstance(drain.at_us, int) for drain in will.drains)
+    same = [FIELDS[each] for each in FIELDS.keys() - {key}]
+    assert all(getattr(state, name) == getattr(STATE, name) for name in same)
+    assert all(isinstance(drain.name, str) and isinstance(drain.at_us, int) for drain in state.drains)
 
 
 def test_the_list_of_hosts_is_one_that_discovery_could_have_sent() -> None:
@@ -110,8 +117,8 @@
         Entry(ListedEndpoint(host_id("h2"), EndpointStatus.DRAINING), ("10.0.0.2", 80), "h2"),
         Entry(ListedEndpoint(host_id("h3"), EndpointStatus.GONE), ("10.0.0.3", 80), "h3"),
     ]
-    assert parse_list(list_of(entries, names, 9), names).entries == tuple(entries[:2])
-    assert list_of(entries, names, 9)["index"] == 9
+    assert parse_list(export_endpoint_list(entries, names, 9), names).entries == tuple(entries[:2])
+    assert export_endpoint_list(entries, names, 9)["index"] == 9
 
 
 # What was learnt
