--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -35,7 +35,7 @@
     for _ in range(20):
         name, actions = driver.arrive()
         driver.now_us += 10_000
-        driver.end(name, actions[0].server)  # type: ignore[union-attr]
+        driver.end(name, actions[0].endpoint_id)  # type: ignore[union-attr]
     return driver
 
 
@@ -60,7 +60,7 @@
     new.now_us = now_us
     breaker = new.balancer.servers[0].breakers[0]
     assert breaker.state is State.OPEN and breaker.open_until_us - now_us == left_us - age_us
-    assert {a.server for _ in range(40) for a in new.arrive()[1] if hasattr(a, "server")} <= {1, 2}
+    assert {a.endpoint_id for _ in range(40) for a in new.arrive()[1] if hasattr(a, "endpoint_id")} <= {1, 2}
     assert new.balancer.smoothed == old.balancer.smoothed
 
 
