--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -10,18 +10,20 @@
 from badgergap.consensus.service import GroupRoom, Refused
 from badgergap.cli.group import Asked
 from badgergap.cli.setup import Setup
-from badgergap.replication.commands import Calls
-from badgergap.replication.idempotency_filter import Guard
+from badgergap.replication.commands import ReplicationCommands
+from badgergap.replication.idempotency_filter import IdempotencyFilter
 from badgergap.replication.replica import Options
 from badgergap.replication.acceptor import Bounds
-from badgergap.replication.service import CopiesRoom
+from badgergap.replication.service import ReplicationService
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import Site
 
 LEAST_US = 600_000_000  # for which a loss is remembered, whatever the routes say
 
 
-def copies_room(setup: Setup, group: GroupRoom) -> tuple[CopiesRoom, Guard, Calls]:
+def copies_room(
+    setup: Setup, group: GroupRoom
+) -> tuple[ReplicationService, IdempotencyFilter, ReplicationCommands]:
     """Raises ConfigError."""
 
     def read() -> Options:
@@ -31,9 +33,9 @@
         site = setup.site
         return [(str(route.name), str(route.tenant or "")) for route in site.routes if route.once is not None]
 
-    room = CopiesRoom(group, read, folder_of(setup))
-    guard = Guard(room)
-    return room, guard, Calls(room, keyed, guard)
+    room = ReplicationService(group, read, folder_of(setup))
+    guard = IdempotencyFilter(room)
+    return room, guard, ReplicationCommands(room, keyed, guard)
 
 
 def folder_of(setup: Setup) -> Path:
@@ -64,12 +66,12 @@
 class WithCopies(Asked):
     """The group as the admin socket knows it, with its copies."""
 
-    def __init__(self, asked: Asked, copies: Calls) -> None:
+    def __init__(self, asked: Asked, copies: ReplicationCommands) -> None:
         super().__init__(asked.room, asked.calls)
         self.copies = copies
 
     async def call(self, op: str, given: Mapping[str, Any]) -> Any:
-        if op not in self.copies.known:
+        if op not in self.copies.handlers:
             return await super().call(op, given)
         try:
             return await self.copies.call(op, given)
@@ -77,4 +79,4 @@
             raise CallRefused(str(refused)) from None
 
     def line(self) -> str:
-        return f"{super().line()}; {self.copies.room.line()}"
+        return f"{super().line()}; {self.copies.service.line()}"
--- a/badgergap/cli/copies_words.py
+++ b/badgergap/cli/copies_words.py
@@ -55,7 +55,7 @@
 
     try:
         found = snapshot.verify(path)
-    except snapshot.BadSnapshot as error:
+    except snapshot.BadSnapshotError as error:
         raise ConfigError(f"{path}: {error}") from None
     except OSError as error:
         raise ConfigError(f"{path} cannot be read: {error.strerror}") from None
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -110,7 +110,7 @@
     assert group is not None  # the file was checked
     try:
         from badgergap.cli.copies import WithCopies, copies_room
-        from badgergap.replication.learned_state_service import LessonsRoom
+        from badgergap.replication.learned_state_service import LearnedStateService
         from badgergap.cli.group import Asked
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[copies]'"
@@ -119,10 +119,10 @@
     room.tell = admin.tell
     admin.notices.append(room.problems)
     assert isinstance(admin.group, Asked)
-    lessons = LessonsRoom(group, room, admin.proxies)
-    calls.lessons = lessons.line
+    learned_state = LearnedStateService(group, room, admin.proxies)
+    calls.learned_state_line = learned_state.line
     admin.group = WithCopies(admin.group, calls)
-    rooms += [room, lessons]
+    rooms += [room, learned_state]
     return guard
 
 
--- /dev/null
+++ b/badgergap/replication/gateway_answers.py
@@ -0,0 +1,34 @@
+"""What a client of a keyed request hears where there is no answer of an endpoint to give."""
+
+from __future__ import annotations
+
+from badgergap.proxy.proxy import plain, refused
+from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.replication.idempotency_record import Record
+from badgergap.replication.idempotent_request import End
+
+STATE_HEADER = b"idempotency-state"
+
+# The status and the `Idempotency-State` of each.
+ANSWERS = {
+    End.TOO_LONG: (409, b"done"),
+    End.OTHER: (422, b"other"),
+    End.UNDER_WAY: (409, b"under-way"),
+    End.DOUBT: (409, b"in-doubt"),
+    End.UNREACHABLE: (503, b"unknown"),
+    End.FULL: (503, b"not-run"),
+}
+
+
+def gateway_answer(end: End, record: Record | None) -> Answer:
+    """The gateway's own answer; with `Retry-After` where it is worth repeating the request."""
+    status, state = ANSWERS[end]
+    text = end.value
+    if end is End.TOO_LONG and record is not None:
+        text += f"; its status was {record.status}"
+    if status == 503:
+        answer = refused(text)
+        answer.headers.append((STATE_HEADER, state))
+        return answer
+    after = [(b"retry-after", b"1")] if end is End.UNDER_WAY else []
+    return plain(status, text, (STATE_HEADER, state), *after)
--- a/badgergap/replication/group_clock.py
+++ b/badgergap/replication/group_clock.py
@@ -26,22 +26,22 @@
     def __init__(self) -> None:
         self.tick = Tick()
         self.number = 0  # of the tick in the log
-        self.heard_us = 0  # by this member's clock
+        self.received_us = 0  # by this member's clock
         self.live = False  # it was heard as it came, and not read late
 
-    def hear(self, local_us: int, number: int, data: bytes, own: bool) -> None:
+    def on_tick(self, local_us: int, number: int, data: bytes, own: bool) -> None:
         """`own`: this member has just made it. Raises MsgspecError for what a later program has written."""
         if number <= self.number or not data:
             return
         self.tick = _ticks.decode(data)
         # Those that are read one right behind the other are read late: how late is not known.
-        paced = number == self.number + 1 and local_us - self.heard_us >= STEP_US // 2
+        paced = number == self.number + 1 and local_us - self.received_us >= STEP_US // 2
         self.live = own or (paced and (self.number > 0 or number == 1))
-        self.number, self.heard_us = number, local_us
+        self.number, self.received_us = number, local_us
 
     def now_us(self, local_us: int) -> int:
         """At most the true time that has gone on since the group's first, but for drift."""
-        return self.tick.now_us + (max(0, local_us - self.heard_us) if self.live else 0)
+        return self.tick.now_us + (max(0, local_us - self.received_us) if self.live else 0)
 
     @property
     def agreed_us(self) -> int:
@@ -54,7 +54,7 @@
 
     def next(self, local_us: int) -> tuple[int, bytes] | None:
         """The next tick and its number, where it is time for one. Of the leader."""
-        if self.live and local_us - self.heard_us < STEP_US:
+        if self.live and local_us - self.received_us < STEP_US:
             return None
         now = self.now_us(local_us)
         sure = self.tick.sure_since_us if self.live else now
--- a/badgergap/replication/idempotency_record.py
+++ b/badgergap/replication/idempotency_record.py
@@ -1,18 +1,17 @@
 """What is kept of one key, and who may make what of it. Pure.
 
-=========  ==================================================================  ======================
-state      what it says                                                        what may follow
-=========  ==================================================================  ======================
-(nothing)  nobody has sent a request with this key to a box                    begun
-begun      the claim's gateway may have sent it to `boxes`                     begun, free, done, doubt
-free       that claim never ran, by the word of the gateway that made it       begun
-done       it ran, and this was the box's answer                               nothing, until it expires
-doubt      it may have run; whoever knew has gone                              done, begun (boxes know keys)
-=========  ==================================================================  ======================
-
-`done` is final. Only the claim's own gateway says `free`, and only of a claim that it never sent; anybody may
-make `begun` a `doubt`, since that promises nothing; what is known later by the claim's gateway mends it.
-Times are of the group's clock (`clock.py`), microseconds.
+=========  ==================================================================  ====================== state
+what it says                                                        what may follow =========
+==================================================================  ====================== (nothing)  nobody
+has sent a request with this key to a endpoint                    begun begun      the claim's gateway may
+have sent it to `endpoints`                     begun, free, done, doubt free       that claim never ran, by
+the word of the gateway that made it       begun done       it ran, and this was the endpoint's answer
+nothing, until it expires doubt      it may have run; whoever knew has gone done, begun (endpoints know
+keys) ========= ==================================================================  ======================
+
+`done` is final. Only the claim's own gateway says `free`, and only of a claim that it never sent; anybody
+may make `begun` a `doubt`, since that promises nothing; what is known later by the claim's gateway mends
+it. Times are of the group's clock (`clock.py`), microseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 BODY_LIMIT = 64 * 1024  # bytes of an answer that is kept
 HEAD_LIMIT = 16 * 1024
 LABEL_LIMIT = 64  # characters of a key that are kept for people
-BOXES_LIMIT = 16
+ENDPOINTS_LIMIT = 16
 LAG_US = 3_000_000  # that a member's clock may be behind another's, beside drift: it hears of ticks late
 # That a record outlives its promise: clocks drift, and a member's is up to a tick and a lease behind (7.4 s).
 SLACK_US = 30_000_000
@@ -40,14 +39,14 @@
     state: Name
     claim: str  # drawn by who runs it, once for each run
     owner: str  # the member that runs it, or ran it
-    life: int  # of that member's process
+    incarnation: int  # of that member's process
     digest: bytes  # of the request: another with the same key is refused
     tenant: str
     label: str  # the key, for people
     at_us: int  # when it was first begun
     expires_us: int
-    boxes: tuple[int, ...] = ()  # those that may have run it
-    again: bool = False  # begun once more, at boxes that know its key
+    endpoints: tuple[int, ...] = ()  # those that may have run it
+    again: bool = False  # begun once more, at endpoints that know its key
     status: int = 0
     headers: Fields = ()
     body: bytes = b""
@@ -90,19 +89,22 @@
     return now_us >= record.expires_us + SLACK_US
 
 
-class Do(Enum):
+class Decision(Enum):
     RUN = "run"  # nobody has: claim it
     GIVE = "give"  # its answer
     TOO_LONG = "too long"  # it is done, and its answer was not kept
     OTHER = "other"  # the key is another request's
     ASK = "ask"  # somebody runs it: ask that gateway
-    AGAIN = "again"  # in doubt, and its boxes know keys: ask them
+    AGAIN = "again"  # in doubt, and its endpoints know keys: ask them
     DOUBT = "doubt"  # in doubt
 
 
 @dataclass(frozen=True, slots=True)
 class Repeats:
-    """What a class says of repeats of a key: boxes drop them for so long, all of them or only their own."""
+    """What a class says of repeats of a key.
+
+    Endpoints drop them for so long, all of them or only their own.
+    """
 
     window_us: int = 0  # 0: they do not know keys
     anywhere: bool = True
@@ -110,36 +112,39 @@
 
 def judge(
     record: Record | None, digest: bytes, now_us: int, repeats: Repeats, hole: bool, sure_since_us: int
-) -> Do:
+) -> Decision:
     """What becomes of a request with this key.
 
-    `hole`: copies of this part were lost beyond repair; `sure_since_us`: the group's clock is known to have
-    gone on without a break since then, so that no more time has passed than it says.
+    `hole`: copies of this partition were lost beyond repair. `sure_since_us`: the group's clock is known to
+    have gone on without a break since then, so that no more time has passed than it says.
     """
     if record is None or is_over(record, now_us):
-        return Do.DOUBT if hole else Do.RUN
+        return Decision.DOUBT if hole else Decision.RUN
     if record.digest != digest:
-        return Do.OTHER
+        return Decision.OTHER
     match record.state:
         case "done":
-            return Do.GIVE if record.whole else Do.TOO_LONG
+            return Decision.GIVE if record.whole else Decision.TOO_LONG
         case "begun":
-            return Do.ASK
+            return Decision.ASK
         case "free":
-            return Do.DOUBT if hole else Do.RUN
-    return Do.AGAIN if may_ask_again(record, now_us, repeats, sure_since_us) else Do.DOUBT
+            return Decision.DOUBT if hole else Decision.RUN
+    return Decision.AGAIN if may_ask_again(record, now_us, repeats, sure_since_us) else Decision.DOUBT
 
 
 def may_ask_again(record: Record, now_us: int, repeats: Repeats, sure_since_us: int) -> bool:
-    """Whether its boxes certainly still know the key: a tenth of the time is left for the way and drift."""
-    known = bool(record.boxes) and record.at_us >= sure_since_us
+    """Whether its endpoints certainly still know the key.
+
+    A tenth of the time is left for the way and drift.
+    """
+    known = bool(record.endpoints) and record.at_us >= sure_since_us
     return known and max(0, now_us - record.at_us) + LAG_US < repeats.window_us * 9 // 10
 
 
 def begun(
     claim: str,
     owner: str,
-    life: int,
+    incarnation: int,
     digest: bytes,
     tenant: str,
     label: str,
@@ -147,19 +152,21 @@
     keep_us: int,
     before: Record | None = None,
 ) -> Record:
-    """A claim, with no box yet. `before`: the record in doubt that it settles."""
+    """A claim, with no endpoint yet. `before`: the record in doubt that it settles."""
     if before is not None:
         return msgspec.structs.replace(
-            before, state="begun", claim=claim, owner=owner, life=life, again=True, status=0
+            before, state="begun", claim=claim, owner=owner, incarnation=incarnation, again=True, status=0
         )
-    return Record("begun", claim, owner, life, digest, tenant, label[:LABEL_LIMIT], now_us, now_us + keep_us)
+    return Record(
+        "begun", claim, owner, incarnation, digest, tenant, label[:LABEL_LIMIT], now_us, now_us + keep_us
+    )
 
 
-def sent_to(record: Record, box: int) -> Record:
-    """The claim, about to be sent to a further box."""
-    if box in record.boxes:
+def sent_to(record: Record, endpoint: int) -> Record:
+    """The claim, about to be sent to a further endpoint."""
+    if endpoint in record.endpoints:
         return record
-    return msgspec.structs.replace(record, boxes=(*record.boxes, box)[-BOXES_LIMIT:])
+    return msgspec.structs.replace(record, endpoints=(*record.endpoints, endpoint)[-ENDPOINTS_LIMIT:])
 
 
 def done(record: Record, status: int, headers: Fields, body: bytes) -> Record:
@@ -184,7 +191,7 @@
     """That claim never ran. Where it was to settle a doubt, the doubt stands."""
     if record.again:
         return doubted(record)
-    return msgspec.structs.replace(record, state="free", boxes=())
+    return msgspec.structs.replace(record, state="free", endpoints=())
 
 
 def follows(before: Record | None, after: Record) -> bool:
--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -2,13 +2,15 @@
 
 The rules, stated once:
 
-1. Nothing of it goes to a box before a record that names claim and box is kept by a majority (`launch`).
-2. A box's answer goes to the client once it is kept. If it cannot be kept in the client's time, the client
-   hears that the request is in doubt, and the keeping goes on.
+1. Nothing of it goes to a endpoint before a record that names claim and endpoint is kept by a majority
+   (`launch`).
+2. A endpoint's answer goes to the client once it is kept. If it cannot be kept in the client's time, the
+   client hears that the request is in doubt, and the keeping goes on.
 3. Whoever comes with the same key while a claim is begun waits for that gateway, as long as that says that
    it is at it. If it says nothing, or has gone, the claim is put in doubt, by a change that anybody sees.
-4. What is in doubt is never run anew, but for at boxes that drop repeats of its key.
-5. A claim that was never sent is freed by its gateway alone, and `Keeper.ended` says so to who asks first.
+4. What is in doubt is never run anew, but for at endpoints that drop repeats of its key.
+5. A claim that was never sent is freed by its gateway alone, and `ReplicaNode.claim_ended` says so to who
+   asks first.
 """
 
 from __future__ import annotations
@@ -20,9 +22,9 @@
 from typing import Protocol
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.replica import Keeper
-from badgergap.replication.proposer import FULL, Grip, Result
-from badgergap.replication.idempotency_record import Do, Fields, Record, Repeats
+from badgergap.replication.replica import ReplicaNode
+from badgergap.replication.proposer import FULL, PreparedBallot, Result
+from badgergap.replication.idempotency_record import Decision, Fields, Record, Repeats
 
 SEND_SHARE = 0.5  # of the time a key is kept, after which a claim is not sent any more
 KEEP_US = 30_000_000  # for which an outcome is tried to be kept, whoever still waits
@@ -33,7 +35,7 @@
 
 
 class End(Enum):
-    """How it ends for the client, where it is not with an answer of a box."""
+    """How it ends for the client, where it is not with an answer of a endpoint."""
 
     TOO_LONG = "done, and its answer was too long to be kept"
     OTHER = "the key is that of another request"
@@ -47,10 +49,10 @@
     """What is done for it."""
 
     def run(self, only: tuple[int, ...] | None) -> None:
-        """Give the request to the decisions. `only`: the boxes that may have it."""
+        """Give the request to the decisions. `only`: the endpoints that may have it."""
 
     def withdraw(self) -> None:
-        """Take it back from them; no attempt of it is at a box."""
+        """Take it back from them; no attempt of it is at a endpoint."""
 
     def give(self, record: Record) -> None:
         """The final answer, as it is kept."""
@@ -62,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class RequestSpec:
     key: bytes
     digest: bytes
     tenant: str
@@ -71,19 +73,24 @@
     repeats: Repeats
 
 
-class Once:
+class IdempotentRequest:
     def __init__(
-        self, keeper: Keeper, runner: Runner, request: Request, now_us: Callable[[], int], until_us: int
+        self,
+        replica_node: ReplicaNode,
+        runner: Runner,
+        request: RequestSpec,
+        now_us: Callable[[], int],
+        until_us: int,
     ) -> None:
-        """`now_us`: the keeper's clock; `until_us`: when its client has gone."""
-        self.keeper, self.runner, self.request, self.now_us = keeper, runner, request, now_us
+        """`now_us`: the member's clock; `until_us`: when its client has gone."""
+        self.replica_node, self.runner, self.request, self.now_us = replica_node, runner, request, now_us
         self.until_us = until_us
         self.claim = ""
         self.record: Record | None = None  # this run's own, as it was kept last or is about to be
         self.kept = False  # `record` is kept by a majority
-        self.grip: Grip | None = None
+        self.prepared: PreparedBallot | None = None
         self.claimed_us = 0
-        self.out = 0  # attempts at boxes
+        self.out = 0  # attempts at endpoints
         self.ran = False  # one that is over may have run
         self.launched = False  # the claim may be in the record
         self.running = False
@@ -91,7 +98,7 @@
         self.polls = 0
 
     def begin(self) -> None:
-        self._look()
+        self._read_record()
 
     @property
     def sent(self) -> bool:
@@ -102,50 +109,52 @@
 
     # The record
 
-    def _look(self) -> None:
+    def _read_record(self) -> None:
         if self.over:
             return
         left = self.left_us() - RESERVE_US
         if left <= 0:
             self._end(End.UNREACHABLE, None)
             return
-        self.keeper.change(self.now_us(), self.request.key, lambda there: None, self._looked, left)
+        self.replica_node.change(self.now_us(), self.request.key, lambda there: None, self._on_record, left)
 
-    def _looked(self, result: Result) -> None:
+    def _on_record(self, result: Result) -> None:
         if self.over:
             return
         if result.why:
             self._end(End.FULL if result.why == FULL else End.UNREACHABLE, None)
             return
-        keeper, request, there = self.keeper, self.request, result.record
-        now = keeper.clock.now_us(self.now_us())
-        hole = keeper.is_hole(request.key)
-        match records.judge(there, request.digest, now, request.repeats, hole, keeper.clock.sure_since_us()):
-            case Do.RUN:
-                self._run(result.grip, None, now)
-            case Do.AGAIN:
-                self._run(result.grip, there, now)
-            case Do.GIVE:
+        replica_node, request, there = self.replica_node, self.request, result.record
+        now = replica_node.clock.now_us(self.now_us())
+        hole = replica_node.is_hole(request.key)
+        match records.judge(
+            there, request.digest, now, request.repeats, hole, replica_node.clock.sure_since_us()
+        ):
+            case Decision.RUN:
+                self._run(result.prepared, None, now)
+            case Decision.AGAIN:
+                self._run(result.prepared, there, now)
+            case Decision.GIVE:
                 assert there is not None
                 self.over = True
                 self.runner.give(there)
-            case Do.ASK:
+            case Decision.ASK:
                 assert there is not None
-                self._ask(there)
-            case Do.OTHER:
+                self._query_claim(there)
+            case Decision.OTHER:
                 self._end(End.OTHER, there)
-            case Do.TOO_LONG:
+            case Decision.TOO_LONG:
                 self._end(End.TOO_LONG, there)
-            case Do.DOUBT:
+            case Decision.DOUBT:
                 self._end(End.DOUBT, there)
 
-    def _run(self, grip: Grip | None, doubt: Record | None, now_us: int) -> None:
-        request, keeper = self.request, self.keeper
-        self.claim = keeper.claim()
+    def _run(self, prepared: PreparedBallot | None, doubt: Record | None, now_us: int) -> None:
+        request, replica_node = self.request, self.replica_node
+        self.claim = replica_node.claim()
         self.record = records.begun(
             self.claim,
-            keeper.options.name,
-            keeper.life,
+            replica_node.options.name,
+            replica_node.incarnation,
             request.digest,
             request.tenant,
             request.label,
@@ -153,76 +162,81 @@
             request.keep_us,
             doubt,
         )
-        self.grip, self.kept, self.running = grip, False, True
+        self.prepared, self.kept, self.running = prepared, False, True
         self.out, self.ran, self.launched = 0, False, False
         self.claimed_us = self.now_us()
-        only = doubt.boxes if doubt is not None and not request.repeats.anywhere else None
+        only = doubt.endpoints if doubt is not None and not request.repeats.anywhere else None
         self.runner.run(only)
 
-    def _wanted(self, record: Record) -> Callable[[Record | None], Record | None]:
+    def _change_to(self, record: Record) -> Callable[[Record | None], Record | None]:
         """Have the register hold this, where the table of `record.py` lets it follow."""
 
         def change(there: Record | None) -> Record | None:
-            now = self.keeper.clock.now_us(self.now_us())
+            now = self.replica_node.clock.now_us(self.now_us())
             if there is not None and records.is_over(there, now):
                 there = None
             if not records.follows(there, record):
                 return None
-            # Two attempts may have their records written at once: neither takes the other's box away.
+            # Two attempts may have their records written at once: neither takes the other's endpoint away.
             if there is not None and there.claim == record.claim and record.state == "begun":
-                return functools.reduce(records.sent_to, there.boxes, record)
+                return functools.reduce(records.sent_to, there.endpoints, record)
             return record
 
         return change
 
     # Its own run
 
-    def launch(self, box: int, go: Callable[[bool], None]) -> None:
-        """An attempt is about to go to a box. `go(False)`: it may not, now or ever; it was never sent."""
+    def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
+        """An attempt is about to go to a endpoint. `go(False)`: it may not, now or ever.
+
+        It was never sent.
+        """
         before, claim = self.record, self.claim
         if not self.running or before is None:
             go(False)
             return
-        record = records.sent_to(before, box)
+        record = records.sent_to(before, endpoint)
         if self.kept and record == before:
             self._go(claim, go)
             return
         self.record, self.launched = record, True
-        self.keeper.working(claim, self.until_us)
+        self.replica_node.claim_started(claim, self.until_us)
 
         def done(result: Result) -> None:
-            self.grip = result.grip
+            self.prepared = result.prepared
             there = result.record
-            if there is not None and not result.why and there.claim == claim and box in there.boxes:
+            if there is not None and not result.why and there.claim == claim and endpoint in there.endpoints:
                 self.kept = True
                 self._go(claim, go)
                 return
             go(False)
             if self.running and self.claim == claim:
-                self._beaten(result)
+                self._on_refused(result)
 
         left = max(0, self.left_us() - RESERVE_US)
-        self.keeper.change(self.now_us(), self.request.key, self._wanted(record), done, left, self.grip)
+        self.replica_node.change(
+            self.now_us(), self.request.key, self._change_to(record), done, left, self.prepared
+        )
 
     def _go(self, claim: str, go: Callable[[bool], None]) -> None:
         # A process that was stopped meanwhile may find that others have long given the claim up.
         age = self.now_us() - self.claimed_us
         fit = self.running and claim == self.claim and age < self.request.keep_us * SEND_SHARE
-        record, clock = self.record, self.keeper.clock
+        record, clock = self.record, self.replica_node.clock
         if record is not None and record.again:
             now = clock.now_us(self.now_us())
             fit = fit and records.may_ask_again(record, now, self.request.repeats, clock.sure_since_us())
         self.out += fit
         go(fit)
         if not fit and self.running and claim == self.claim:
-            self._beaten(Result())  # its time is over: whoever looks now says what that means
+            self._on_refused(Result())  # its time is over: whoever looks now says what that means
 
     def attempt_over(self, may_have_run: bool) -> None:
-        """Of one that went to a box."""
+        """Of one that went to a endpoint."""
         self.out -= 1
         self.ran = self.ran or may_have_run
 
-    def _beaten(self, result: Result) -> None:
+    def _on_refused(self, result: Result) -> None:
         """The record is another's, or could not be kept: nothing of this attempt was sent."""
         self.running = False
         self._leave_claim()
@@ -231,23 +245,23 @@
             how = End.FULL if result.why == FULL else End.UNREACHABLE
             self._end(End.DOUBT if self.sent else how, self.record)
         else:
-            self._look()
+            self._read_record()
 
     def _leave_claim(self) -> None:
         """Say what became of the claim to whoever asks; and in the record, as far as it got there."""
         record = self.record
         if record is None or not self.launched:
             return
-        self.keeper.ended(self.claim, "ran" if self.sent else "never")
+        self.replica_node.claim_ended(self.claim, "ran" if self.sent else "never")
         after = records.doubted(record) if self.sent else records.freed(record)
 
         def change(there: Record | None) -> Record | None:
             return after if there is not None and records.follows(there, after) else None
 
-        self.keeper.change(self.now_us(), self.request.key, change, lambda result: None, FREE_US)
+        self.replica_node.change(self.now_us(), self.request.key, change, lambda result: None, FREE_US)
 
     def answered(self, status: int, headers: Fields, body: bytes) -> None:
-        """A box has answered, whole. `give` or `end` follows once it is kept, or can't be in time."""
+        """A endpoint has answered, whole. `give` or `end` follows once it is kept, or can't be in time."""
         if not self.running or self.record is None:
             return
         self.running = False
@@ -257,7 +271,7 @@
     def _keep(self, record: Record) -> None:
         def done(result: Result) -> None:
             there = result.record
-            self.keeper.ended(self.claim, "ran")
+            self.replica_node.claim_ended(self.claim, "ran")
             if self.over:
                 return
             if not result.why and there is not None and there.state == "done":
@@ -274,7 +288,9 @@
 
         self.record = record
         self.runner.after(max(KEPT_US, self.left_us() - RESERVE_US), self._out_of_time)
-        self.keeper.change(self.now_us(), self.request.key, self._wanted(record), done, KEEP_US, self.grip)
+        self.replica_node.change(
+            self.now_us(), self.request.key, self._change_to(record), done, KEEP_US, self.prepared
+        )
 
     def _out_of_time(self) -> None:
         if not self.over:
@@ -297,10 +313,10 @@
 
     # Another's run
 
-    def _ask(self, there: Record) -> None:
-        self.keeper.ask(self.now_us(), there, lambda state: self._told(there, state))
+    def _query_claim(self, there: Record) -> None:
+        self.replica_node.query_claim(self.now_us(), there, lambda state: self._on_claim_state(there, state))
 
-    def _told(self, there: Record, state: str) -> None:
+    def _on_claim_state(self, there: Record, state: str) -> None:
         if self.over:
             return
         if state == "working":
@@ -310,7 +326,7 @@
             if self.left_us() - RESERVE_US <= delay:
                 self._end(End.UNDER_WAY, there)
             else:
-                self.runner.after(delay, self._look)
+                self.runner.after(delay, self._read_record)
             return
         after = records.freed(there) if state == "never" else records.doubted(there)
 
@@ -323,10 +339,10 @@
                 if result.why:
                     self._end(End.UNREACHABLE, None)
                 else:
-                    self._looked(result)
+                    self._on_record(result)
 
         left = max(0, self.left_us() - RESERVE_US)
-        self.keeper.change(self.now_us(), self.request.key, change, done, left)
+        self.replica_node.change(self.now_us(), self.request.key, change, done, left)
 
     def _end(self, how: End, record: Record | None) -> None:
         if not self.over:
--- /dev/null
+++ b/badgergap/replication/keyed_attempt.py
@@ -0,0 +1,143 @@
+"""Attempts of a keyed request: each waits until its record is stored, and then goes to an endpoint."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from badgergap.balancing.interface import Outcome
+from badgergap.ordinary.turn import Turn
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
+from badgergap.proxy.proxy import Books
+from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.upstream.stream_attempt import Tried
+
+if TYPE_CHECKING:
+    from badgergap.replication.keyed_request import KeyedRequest
+
+# Outcomes after which a request has certainly not run.
+NOT_STARTED = (Outcome.NEVER_SENT, Outcome.CONNECT_FAILED, Outcome.REJECTED)
+
+
+class ForwardingClient:
+    """The client of the turn to a endpoint. One that was withdrawn tells nobody anything."""
+
+    def __init__(self, keyed_request: KeyedRequest, turn: Turn) -> None:
+        self.keyed_request, self.turn = keyed_request, turn
+
+    @property
+    def open(self) -> bool:
+        return self.keyed_request.inner is self.turn
+
+    def answer(self, answer: Answer) -> None:
+        if self.open:
+            self.keyed_request.answer(answer)
+
+    def interim(self, status: int, headers: Headers) -> None:
+        if self.open and not self.keyed_request.over:
+            self.keyed_request.client.interim(status, headers)
+
+    def go_on(self) -> None:
+        """The body is here."""
+
+    def begin(self, head: AnswerHead, source: DownloadSource) -> None:
+        if self.open:
+            self.keyed_request.begin(head, source)
+
+    def data(self, data: bytes) -> None:
+        if self.open:
+            self.keyed_request.data(data)
+
+    def end(self, trailers: Headers) -> None:
+        if self.open:
+            self.keyed_request.end_of(trailers)
+
+    def broke(self) -> None:
+        if self.open:
+            self.keyed_request.broke()
+
+
+class PendingAttempt(Exchange):
+    """An attempt that waits for its record to be kept, and is then what carries it."""
+
+    __slots__ = ("begin", "books", "epoch", "inner", "keyed_request", "sent", "until", "upstream")
+
+    def __init__(
+        self,
+        keyed_request: KeyedRequest,
+        upstream: Upstream,
+        timeout_s: float,
+        books: Books,
+        begin: Callable[[float, Books], Tried],
+    ) -> None:
+        super().__init__(b"", books.ended)
+        self.keyed_request, self.upstream, self.books, self.begin = keyed_request, upstream, books, begin
+        self.until = keyed_request.loop.time() + timeout_s
+        self.inner: Tried | None = None
+        self.sent = False
+        self.epoch = upstream.acting() if upstream.acting is not None else 0
+
+    def ask(self, server: int) -> None:
+        idempotent = self.keyed_request.idempotent
+        if self.done:
+            return
+        if idempotent is None:
+            self.never_sent()
+            return
+        idempotent.launch(server, self.go)
+        self.keyed_request.idempotency_filter.service.settle()
+
+    def go(self, may: bool) -> None:
+        idempotent = self.keyed_request.idempotent
+        assert idempotent is not None
+        left_s = self.until - self.keyed_request.loop.time()
+        if self.done or self.unwanted or not may or left_s <= 0 or not self.upstream.still(self.epoch):
+            if may:
+                idempotent.attempt_over(False)
+            if not self.done:
+                self.never_sent()
+            return
+        self.sent = True
+        self.inner = self.begin(left_s, AttemptObserver(self))
+
+    def unwant(self) -> None:
+        super().unwant()
+        if self.inner is not None:
+            self.inner.unwant()
+
+    def over(self, outcome: Outcome) -> None:
+        idempotent = self.keyed_request.idempotent
+        if self.sent and idempotent is not None:
+            self.sent = False
+            idempotent.attempt_over(
+                outcome not in NOT_STARTED and not (outcome is Outcome.CANCELLED and not self.written)
+            )
+
+    def give_up(self, outcome: Outcome) -> None:
+        if self.done:
+            return
+        if self.inner is not None:
+            self.inner.give_up(outcome)
+        else:
+            self.end(outcome if outcome is Outcome.CANCELLED else Outcome.NEVER_SENT)
+
+
+class AttemptObserver:
+    """The books of an attempt, as what carries it sees them."""
+
+    def __init__(self, attempt: PendingAttempt) -> None:
+        self.attempt = attempt
+
+    def committed(self) -> None:
+        self.attempt.books.committed()
+
+    def began(self, status: int, waited_s: float) -> None:
+        self.attempt.books.began(status, waited_s)
+
+    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+        attempt = self.attempt
+        attempt.written = attempt.inner.written if attempt.inner is not None else False
+        if answer is not None:
+            attempt.keyed_request.endpoint_answer = answer
+        attempt.over(outcome)
+        attempt.end(outcome, answer)
--- a/badgergap/replication/messages.py
+++ b/badgergap/replication/messages.py
@@ -4,25 +4,25 @@
 
 import msgspec
 
-from badgergap.replication.acceptor import Ballot, Item, Mark
+from badgergap.replication.acceptor import Ballot, Item, RecordDigest
 
 Struct = msgspec.Struct
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag="p"):
-    """`holder`: the disk it is for; another one behind the same name must not answer."""
+    """`disk_id`: the disk it is for; another one behind the same name must not answer."""
 
-    op: int
+    operation: int
     epoch: int
-    holder: str
+    disk_id: str
     key: bytes
     ballot: Ballot
 
 
 class Promised(Struct, frozen=True, array_like=True, tag="q"):
-    op: int
+    operation: int
     epoch: int  # of who says it
-    holder: str
+    disk_id: str
     ballot: Ballot  # that was asked for
     ok: bool
     accepted: Ballot
@@ -31,9 +31,9 @@
 
 
 class Accept(Struct, frozen=True, array_like=True, tag="a"):
-    op: int
+    operation: int
     epoch: int
-    holder: str
+    disk_id: str
     key: bytes
     ballot: Ballot
     prior: Ballot
@@ -41,9 +41,9 @@
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag="b"):
-    op: int
+    operation: int
     epoch: int
-    holder: str
+    disk_id: str
     ballot: Ballot
     ok: bool
     promised: Ballot
@@ -51,65 +51,64 @@
 
 
 class Compare(Struct, frozen=True, array_like=True, tag="c"):
-    """The checksums of a part's buckets, as they are here."""
+    """The checksums of a partition's buckets, as they are here."""
 
     epoch: int
-    holder: str
-    part: int
-    sums: tuple[int, ...]
-    had: int = (
-        0  # a bit for each bucket that this one was told of: one answer does not hold all of a large part
-    )
+    disk_id: str
+    partition: int
+    checksums: tuple[int, ...]
+    # a bit for each bucket that this one was told of: one answer does not hold all of a large partition
+    had: int = 0
 
 
 class Compared(Struct, frozen=True, array_like=True, tag="d"):
     """What differs, bucket by bucket; `same` are those that do not. Others are still to be asked for."""
 
     epoch: int
-    holder: str
-    part: int
+    disk_id: str
+    partition: int
     same: tuple[int, ...]
-    marks: dict[int, list[Mark]]
+    digests: dict[int, list[RecordDigest]]
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag="f"):
     epoch: int
-    holder: str
-    part: int
+    disk_id: str
+    partition: int
     keys: list[bytes]
 
 
 class Fetched(Struct, frozen=True, array_like=True, tag="g"):
     epoch: int
-    holder: str
-    part: int
+    disk_id: str
+    partition: int
     items: list[Item]
     gone: list[bytes]  # not there any more
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="w"):
+class QueryClaim(Struct, frozen=True, array_like=True, tag="w"):
     """What has become of this claim of yours?"""
 
-    op: int
-    life: int
+    operation: int
+    incarnation: int
     claim: str
 
 
-class Told(Struct, frozen=True, array_like=True, tag="x"):
+class ClaimAnswer(Struct, frozen=True, array_like=True, tag="x"):
     """`state`: "working", "ran" (or may have), "never", "gone" (not of this process, or forgotten)."""
 
-    op: int
+    operation: int
     state: str
 
 
 class Report(Struct, frozen=True, array_like=True, tag="r"):
-    """To the leader, every REPORT_US: that this seat is there, and how it stands."""
+    """To the leader, every REPORT_US: that this replica is there, and how it stands."""
 
     zone: str
-    holder: str
+    disk_id: str
     epoch: int
-    filled: bytes  # a bit for each part: read from a majority of its sources in this epoch
-    behind: bytes  # a bit for each part where it lacked something at the last look
+    filled: bytes  # a bit for each partition: read from a majority of its sources in this epoch
+    behind: bytes  # a bit for each partition where it lacked something at the last look
     records: int
     size: int
     doubt: int
@@ -118,11 +117,11 @@
     mended: int  # records, since the process began
 
 
-class Look(Struct, frozen=True, array_like=True, tag="l"):
-    """What do you know of all seats? To the leader."""
+class QueryReports(Struct, frozen=True, array_like=True, tag="l"):
+    """What do you know of all replicas? To the leader."""
 
 
-class Looked(Struct, frozen=True, array_like=True, tag="m"):
+class ReportSummary(Struct, frozen=True, array_like=True, tag="m"):
     epoch: int
     lines: dict[str, Report]  # by name, of those heard lately
 
@@ -132,57 +131,73 @@
 
     id: int
     epoch: int
-    holder: str
+    disk_id: str
 
 
 class Frozen(Struct, frozen=True, array_like=True, tag="y"):
     id: int
-    holder: str
+    disk_id: str
 
 
-class Thaw(Struct, frozen=True, array_like=True, tag="t"):
+class Unfreeze(Struct, frozen=True, array_like=True, tag="t"):
     id: int
-    holder: str
+    disk_id: str
 
 
 class Page(Struct, frozen=True, array_like=True, tag="n"):
-    """The frozen records of a part, behind a key."""
+    """The frozen records of a partition, behind a key."""
 
     id: int
-    holder: str
-    part: int
+    disk_id: str
+    partition: int
     after: bytes
 
 
 class Paged(Struct, frozen=True, array_like=True, tag="o"):
     id: int
-    holder: str
-    part: int
+    disk_id: str
+    partition: int
     items: list[Item]
     more: bool
 
 
-Word = (
-    Prepare | Promised | Accept | Accepted | Compare | Compared | Fetch | Fetched | Ask | Told | Report
-    | Look | Looked | Freeze | Frozen | Thaw | Page | Paged
-)  # fmt: skip
+Message = (
+    Prepare
+    | Promised
+    | Accept
+    | Accepted
+    | Compare
+    | Compared
+    | Fetch
+    | Fetched
+    | QueryClaim
+    | ClaimAnswer
+    | Report
+    | QueryReports
+    | ReportSummary
+    | Freeze
+    | Frozen
+    | Unfreeze
+    | Page
+    | Paged
+)
 
-_words: msgspec.msgpack.Decoder[list[Word]] = msgspec.msgpack.Decoder(list[Word])
+_message_decoder: msgspec.msgpack.Decoder[list[Message]] = msgspec.msgpack.Decoder(list[Message])
 
 
-def encode(words: list[Word]) -> bytes:
-    return msgspec.msgpack.encode(words)
+def encode(batch: list[Message]) -> bytes:
+    return msgspec.msgpack.encode(batch)
 
 
-def decode(data: bytes) -> list[Word]:
+def decode(data: bytes) -> list[Message]:
     """Raises MsgspecError."""
-    return _words.decode(data)
+    return _message_decoder.decode(data)
 
 
-def bits(parts: set[int] | frozenset[int]) -> bytes:
-    return sum(1 << part for part in parts).to_bytes(32, "little")
+def bits(partitions: set[int] | frozenset[int]) -> bytes:
+    return sum(1 << partition for partition in partitions).to_bytes(32, "little")
 
 
 def unbits(data: bytes) -> frozenset[int]:
     number = int.from_bytes(data, "little")
-    return frozenset(part for part in range(256) if number >> part & 1)
+    return frozenset(partition for partition in range(256) if number >> partition & 1)
--- a/badgergap/replication/proposer.py
+++ b/badgergap/replication/proposer.py
@@ -1,8 +1,8 @@
 """Changes of registers, each by rounds until a majority of every set has it. Pure.
 
 A change is a function of the record that is there: it returns what it is to be, or None to leave it. It may
-be asked more than once, and only the last answer counts. `Grip`: what a finished change leaves behind, by
-which the next one of the same key needs no look before it, if nobody has come in between.
+be asked more than once, and only the last answer counts. `PreparedBallot`: what a finished change leaves
+behind, by which the next one of the same key needs no look before it, if nobody has come in between.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.placement import Placement, Seat, majority, part_of
+from badgergap.replication.placement import Placement, Replica, majority, partition_of
 from badgergap.replication.idempotency_record import Record
-from badgergap.replication.acceptor import NONE, Ballot
+from badgergap.replication.acceptor import NO_BALLOT, Ballot
 from badgergap.replication.messages import Accept, Accepted, Prepare, Promised
 
-AGAIN_US = 150_000  # until seats that said nothing are asked again
+AGAIN_US = 150_000  # until replicas that said nothing are asked again
 ROUND_US = 2_000_000  # until a round that stands still begins anew
 LATER_US = (4_000, 40_000)  # until a round that met another one begins anew, and more each time
 LEARN_US = 40_000  # for a new epoch to be known on both sides
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Grip:
+class PreparedBallot:
     ballot: Ballot  # the register is known as it was at this one, and so promised
     record: Record | None
     accepted: bool  # at this very ballot, so that the next one is a step on
@@ -39,7 +39,7 @@
     """`why`: nothing is known; a change that was under way may or may not have been made."""
 
     record: Record | None = None
-    grip: Grip | None = None
+    prepared: PreparedBallot | None = None
     why: str = ""
 
 
@@ -48,188 +48,228 @@
 
 
 @dataclass(eq=False)
-class Op:
+class Operation:
     number: int
     key: bytes
     change: Change
     done: Done
     until_us: int
-    grip: Grip | None = None
-    ballot: Ballot = NONE
+    prepared: PreparedBallot | None = None
+    ballot: Ballot = NO_BALLOT
     epoch: int = 0
     accepting: bool = False
-    wanted: Record | None = None  # what the register becomes, once accepted
+    new_record: Record | None = None  # what the register becomes, once accepted
     value: bytes = b""
-    prior: Ballot = NONE
-    heard: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)  # promises, by holder
-    taken: set[str] = field(default_factory=set)  # accepts, by holder
-    refused: set[str] = field(default_factory=set)
+    prior: Ballot = NO_BALLOT
+    promises: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)  # promises, by holder
+    accepted_by: set[str] = field(default_factory=set)  # accepts, by holder
+    refused_by: set[str] = field(default_factory=set)
     full: bool = False
     tries: int = 0
     began_us: int = 0  # of this round
-    said_us: int = 0
+    sent_us: int = 0
     wait_us: int = -1  # a new round begins then; -1: one is on
 
 
 class Proposer:
-    """`say(seat, word)` sends; it may be lost, and may come back from within."""
+    """`send(replica, message)` sends; it may be lost, and may come back from within."""
 
     def __init__(
-        self, life: int, say: Callable[[Seat, Prepare | Accept], None], chance: random.Random
+        self, incarnation: int, send: Callable[[Replica, Prepare | Accept], None], rng: random.Random
     ) -> None:
-        self.life, self.say, self.chance = life, say, chance
+        self.incarnation, self.send, self.rng = incarnation, send, rng
         self.placement = Placement()
-        self.sets = [self.placement.sets(part) for part in range(self.placement.parts)]
+        self.sets = [self.placement.sets(partition) for partition in range(self.placement.partitions)]
         self.counter = 0
-        self.ops: dict[int, Op] = {}
+        self.operations: dict[int, Operation] = {}
         self.number = 0
 
     def change(
-        self, now_us: int, key: bytes, change: Change, done: Done, until_us: int, grip: Grip | None = None
-    ) -> Op:
+        self,
+        now_us: int,
+        key: bytes,
+        change: Change,
+        done: Done,
+        until_us: int,
+        prepared: PreparedBallot | None = None,
+    ) -> Operation:
         self.number += 1
-        op = self.ops[self.number] = Op(self.number, key, change, done, until_us, grip)
-        self._begin(now_us, op)
-        return op
+        operation = self.operations[self.number] = Operation(
+            self.number, key, change, done, until_us, prepared
+        )
+        self._begin(now_us, operation)
+        return operation
 
     def place(self, now_us: int, placement: Placement) -> None:
         """A new epoch: every round begins anew in it."""
         self.placement = placement
-        self.sets = [placement.sets(part) for part in range(placement.parts)]
-        for op in list(self.ops.values()):
-            if op.number in self.ops and op.wait_us < 0:
-                op.grip = None
-                self._begin(now_us, op)
+        self.sets = [placement.sets(partition) for partition in range(placement.partitions)]
+        for operation in list(self.operations.values()):
+            if operation.number in self.operations and operation.wait_us < 0:
+                operation.prepared = None
+                self._begin(now_us, operation)
 
     def tick(self, now_us: int) -> None:
-        for op in list(self.ops.values()):
-            if op.number not in self.ops:
+        for operation in list(self.operations.values()):
+            if operation.number not in self.operations:
                 continue
-            if now_us >= op.until_us:
-                self._finish(op, Result(why=UNREACHABLE))
-            elif op.wait_us >= 0:
-                if now_us >= op.wait_us:
-                    self._begin(now_us, op)
-            elif now_us - op.began_us > ROUND_US:
-                self._later(now_us, op)
-            elif now_us - op.said_us > AGAIN_US:
-                self._say(now_us, op)
+            if now_us >= operation.until_us:
+                self._finish(operation, Result(why=UNREACHABLE))
+            elif operation.wait_us >= 0:
+                if now_us >= operation.wait_us:
+                    self._begin(now_us, operation)
+            elif now_us - operation.began_us > ROUND_US:
+                self._later(now_us, operation)
+            elif now_us - operation.sent_us > AGAIN_US:
+                self._send_round(now_us, operation)
 
     # Rounds
 
-    def _begin(self, now_us: int, op: Op) -> None:
+    def _begin(self, now_us: int, operation: Operation) -> None:
         placement = self.placement
-        op.began_us, op.wait_us, op.epoch = now_us, -1, placement.epoch
-        op.heard.clear()
-        op.taken.clear()
-        op.refused.clear()
-        op.accepting = op.full = False
+        operation.began_us, operation.wait_us, operation.epoch = now_us, -1, placement.epoch
+        operation.promises.clear()
+        operation.accepted_by.clear()
+        operation.refused_by.clear()
+        operation.accepting = operation.full = False
         if not placement.epoch:
-            op.wait_us = now_us + LEARN_US
+            operation.wait_us = now_us + LEARN_US
             return
         self.counter += 1
-        grip, op.grip = op.grip, None
-        if grip is not None and grip.ballot[0] == placement.epoch and not grip.spent:
-            wanted = op.change(grip.record)
-            if wanted is not None:
-                grip.spent = True
-                epoch, counter, life, step = grip.ballot
-                op.ballot = (epoch, counter, life, step + grip.accepted)
-                self._accept(now_us, op, wanted, grip.ballot)
+        prepared, operation.prepared = operation.prepared, None
+        if prepared is not None and prepared.ballot[0] == placement.epoch and not prepared.spent:
+            new_record = operation.change(prepared.record)
+            if new_record is not None:
+                prepared.spent = True
+                epoch, counter, incarnation, step = prepared.ballot
+                operation.ballot = (epoch, counter, incarnation, step + prepared.accepted)
+                self._accept(now_us, operation, new_record, prepared.ballot)
                 return
-        op.ballot = (placement.epoch, self.counter, self.life, 0)
-        self._say(now_us, op)
-
-    def _accept(self, now_us: int, op: Op, wanted: Record, prior: Ballot) -> None:
-        op.accepting, op.wanted, op.prior = True, wanted, prior
-        op.value = records.encode(wanted)
-        op.refused.clear()
-        self._say(now_us, op)
-
-    def _say(self, now_us: int, op: Op) -> None:
-        op.said_us = now_us
-        for seat in dict.fromkeys(
-            seat for each in self.sets[part_of(op.key, self.placement.parts)] for seat in each
+        operation.ballot = (placement.epoch, self.counter, self.incarnation, 0)
+        self._send_round(now_us, operation)
+
+    def _accept(self, now_us: int, operation: Operation, new_record: Record, prior: Ballot) -> None:
+        operation.accepting, operation.new_record, operation.prior = True, new_record, prior
+        operation.value = records.encode(new_record)
+        operation.refused_by.clear()
+        self._send_round(now_us, operation)
+
+    def _send_round(self, now_us: int, operation: Operation) -> None:
+        operation.sent_us = now_us
+        for replica in dict.fromkeys(
+            replica
+            for each in self.sets[partition_of(operation.key, self.placement.partitions)]
+            for replica in each
         ):
-            if op.number not in self.ops:
+            if operation.number not in self.operations:
                 return
-            if op.accepting and seat.holder not in op.taken:
-                self.say(
-                    seat,
-                    Accept(op.number, op.epoch, seat.holder, op.key, op.ballot, op.prior, op.value),
+            if operation.accepting and replica.disk_id not in operation.accepted_by:
+                self.send(
+                    replica,
+                    Accept(
+                        operation.number,
+                        operation.epoch,
+                        replica.disk_id,
+                        operation.key,
+                        operation.ballot,
+                        operation.prior,
+                        operation.value,
+                    ),
+                )
+            elif not operation.accepting and replica.disk_id not in operation.promises:
+                self.send(
+                    replica,
+                    Prepare(
+                        operation.number, operation.epoch, replica.disk_id, operation.key, operation.ballot
+                    ),
                 )
-            elif not op.accepting and seat.holder not in op.heard:
-                self.say(seat, Prepare(op.number, op.epoch, seat.holder, op.key, op.ballot))
 
-    def on_promised(self, now_us: int, word: Promised) -> None:
-        op = self.ops.get(word.op)
-        if op is None or op.accepting or op.wait_us >= 0 or word.ballot != op.ballot:
+    def on_promised(self, now_us: int, message: Promised) -> None:
+        operation = self.operations.get(message.operation)
+        if (
+            operation is None
+            or operation.accepting
+            or operation.wait_us >= 0
+            or message.ballot != operation.ballot
+        ):
             return
-        if not word.ok:
-            self._refused(now_us, op, word.holder, word.epoch, word.promised)
+        if not message.ok:
+            self._refused(now_us, operation, message.disk_id, message.epoch, message.promised)
             return
-        op.heard[word.holder] = (word.accepted, word.value)
-        sets = self.sets[part_of(op.key, self.placement.parts)]
-        if not all(_has_majority(op.heard, each) for each in sets):
+        operation.promises[message.disk_id] = (message.accepted, message.value)
+        sets = self.sets[partition_of(operation.key, self.placement.partitions)]
+        if not all(_has_majority(operation.promises, each) for each in sets):
             return
-        newest, value = max(op.heard.values(), key=lambda heard: heard[0])
-        there = records.decode(value) if newest > NONE else None
-        wanted = op.change(there)
-        grip = Grip(op.ballot, there, False)
-        if wanted is None or wanted == there:
+        newest, value = max(operation.promises.values(), key=lambda promises: promises[0])
+        there = records.decode(value) if newest > NO_BALLOT else None
+        new_record = operation.change(there)
+        prepared = PreparedBallot(operation.ballot, there, False)
+        if new_record is None or new_record == there:
             if there is None or all(
-                sum(op.heard.get(s.holder, (NONE, b""))[0] == newest for s in each) >= majority(len(each))
+                sum(operation.promises.get(s.disk_id, (NO_BALLOT, b""))[0] == newest for s in each)
+                >= majority(len(each))
                 for each in sets
             ):
-                self._finish(op, Result(there, grip))
+                self._finish(operation, Result(there, prepared))
                 return
-            wanted = there  # it may not be a majority's yet: it is before anybody relies on it
-        self._accept(now_us, op, wanted, op.ballot)
-
-    def on_accepted(self, now_us: int, word: Accepted) -> None:
-        op = self.ops.get(word.op)
-        if op is None or not op.accepting or op.wait_us >= 0 or word.ballot != op.ballot:
+            new_record = there  # it may not be a majority's yet: it is before anybody relies on it
+        self._accept(now_us, operation, new_record, operation.ballot)
+
+    def on_accepted(self, now_us: int, message: Accepted) -> None:
+        operation = self.operations.get(message.operation)
+        if (
+            operation is None
+            or not operation.accepting
+            or operation.wait_us >= 0
+            or message.ballot != operation.ballot
+        ):
             return
-        if not word.ok:
-            op.full = op.full or word.full
-            self._refused(now_us, op, word.holder, word.epoch, word.promised)
+        if not message.ok:
+            operation.full = operation.full or message.full
+            self._refused(now_us, operation, message.disk_id, message.epoch, message.promised)
             return
-        op.taken.add(word.holder)
-        op.refused.discard(word.holder)
-        if all(_has_majority(op.taken, each) for each in self.sets[part_of(op.key, self.placement.parts)]):
-            self._finish(op, Result(op.wanted, Grip(op.ballot, op.wanted, True)))
+        operation.accepted_by.add(message.disk_id)
+        operation.refused_by.discard(message.disk_id)
+        if all(
+            _has_majority(operation.accepted_by, each)
+            for each in self.sets[partition_of(operation.key, self.placement.partitions)]
+        ):
+            self._finish(
+                operation,
+                Result(operation.new_record, PreparedBallot(operation.ballot, operation.new_record, True)),
+            )
 
-    def _refused(self, now_us: int, op: Op, holder: str, epoch: int, promised: Ballot) -> None:
-        if epoch != op.epoch:
+    def _refused(self, now_us: int, operation: Operation, disk_id: str, epoch: int, promised: Ballot) -> None:
+        if epoch != operation.epoch:
             # One of the two does not know the newest epoch yet: it will in a moment.
-            if epoch > op.epoch:
-                self._later(now_us, op, LEARN_US)
+            if epoch > operation.epoch:
+                self._later(now_us, operation, LEARN_US)
             return
         self.counter = max(self.counter, promised[1])
-        op.refused.add(holder)
-        for each in self.sets[part_of(op.key, self.placement.parts)]:
-            left = sum(seat.holder not in op.refused for seat in each)
+        operation.refused_by.add(disk_id)
+        for each in self.sets[partition_of(operation.key, self.placement.partitions)]:
+            left = sum(replica.disk_id not in operation.refused_by for replica in each)
             if left < majority(len(each)):
-                if op.full:
-                    self._finish(op, Result(why=FULL))
+                if operation.full:
+                    self._finish(operation, Result(why=FULL))
                 else:
-                    self._later(now_us, op)
+                    self._later(now_us, operation)
                 return
 
-    def _later(self, now_us: int, op: Op, least_us: int = 0) -> None:
+    def _later(self, now_us: int, operation: Operation, least_us: int = 0) -> None:
         """Begin anew, after a while that grows: two that meet must not meet for ever."""
-        op.tries += 1
+        operation.tries += 1
         low, high = LATER_US
-        wait = self.chance.randrange(low, min(high * op.tries, 8 * high)) if op.tries > 1 else 0
-        op.wait_us = now_us + max(wait, least_us)
-        op.grip = None
-        if op.wait_us <= now_us:
-            self._begin(now_us, op)
+        wait = self.rng.randrange(low, min(high * operation.tries, 8 * high)) if operation.tries > 1 else 0
+        operation.wait_us = now_us + max(wait, least_us)
+        operation.prepared = None
+        if operation.wait_us <= now_us:
+            self._begin(now_us, operation)
 
-    def _finish(self, op: Op, result: Result) -> None:
-        if self.ops.pop(op.number, None) is not None:
-            op.done(result)
+    def _finish(self, operation: Operation, result: Result) -> None:
+        if self.operations.pop(operation.number, None) is not None:
+            operation.done(result)
 
 
-def _has_majority(there: dict[str, tuple[Ballot, bytes]] | set[str], seats: tuple[Seat, ...]) -> bool:
-    return sum(seat.holder in there for seat in seats) >= majority(len(seats))
+def _has_majority(there: dict[str, tuple[Ballot, bytes]] | set[str], replicas: tuple[Replica, ...]) -> bool:
+    return sum(replica.disk_id in there for replica in replicas) >= majority(len(replicas))
--- a/badgergap/replication/replica.py
+++ b/badgergap/replication/replica.py
@@ -1,4 +1,4 @@
-"""One member's part in keeping copies: its seat, its proposals, repair, and the leader's placing. Pure.
+"""One member's node of the replication: its replica, its proposals, repair, and the leader's placing. Pure.
 
 The driver (`room.py`, or a simulation) hands in what happened with the time of a monotonic clock, and
 carries out `take()`. What the group agrees on (placement, clock) comes in by `agreed` and `ticked`.
@@ -18,15 +18,15 @@
 from badgergap.replication import messages
 from badgergap.replication import acceptor
 from badgergap.replication.group_clock import GroupClock
-from badgergap.replication.placement import PARTS, Placement, Seat, part_of
-from badgergap.replication.proposer import Change, Done, Grip, Op, Proposer, Result
+from badgergap.replication.placement import PARTITIONS, Placement, Replica, partition_of
+from badgergap.replication.proposer import Change, Done, PreparedBallot, Operation, Proposer, Result
 from badgergap.replication.idempotency_record import Record
-from badgergap.replication.acceptor import BUCKETS, Bounds, Entry, Item, Shelf
-from badgergap.replication.anti_entropy import GIVE_UP_US, Pass
+from badgergap.replication.acceptor import BUCKETS, Bounds, Entry, Item, AcceptorStore
+from badgergap.replication.anti_entropy import GIVE_UP_US, PartitionComparison
 from badgergap.replication.messages import (
     Accept,
     Accepted,
-    Ask,
+    QueryClaim,
     Compare,
     Compared,
     Fetch,
@@ -34,8 +34,8 @@
     Prepare,
     Promised,
     Report,
-    Told,
-    Word,
+    ClaimAnswer,
+    Message,
 )
 
 REPORT_US = 500_000
@@ -43,21 +43,21 @@
 FIRST_US = 4_000_000  # for all members to report before the first placing
 MOVE_US = 15_000_000  # for a move to end before one that begins anew may take its place
 ASK_US = 1_500_000  # for the gateway of a claim to say what became of it
-SCRUB_US = 60_000_000  # until a part is compared again
+SCRUB_US = 60_000_000  # until a partition is compared again
 SOON_US = 1_000_000  # or where the last look found something
-PASSES = 8  # parts that are compared at a time while seats are filled, else one
-MARKS_LIMIT = 6000  # of one answer
+COMPARISONS_LIMIT = 8  # partitions that are compared at a time while replicas are filled, else one
+DIGESTS_LIMIT = 6000  # of one answer
 FETCH_BYTES = 256 * 1024
 FETCH_KEYS = 500
-MANY = 16  # records that a part lacks at one look: more than what is just under way
+MANY = 16  # records that a partition lacks at one look: more than what is just under way
 ROUNDS = 256  # undecided keys that are settled at a time
 STUCK_US = 120_000_000  # for a run to end, after its client's time
 CLAIMS_LIMIT = 20_000  # whose end is remembered
-WAIT_AGAIN_US = 400_000  # until other seats are asked again
+WAIT_AGAIN_US = 400_000  # until other replicas are asked again
 ROUND_PAUSE_US = 500_000  # where more were undecided than are settled at a time
-QUIET_US = 10_000_000  # for which a seat that said nothing is not waited for
+QUIET_US = 10_000_000  # for which a replica that said nothing is not waited for
 FREEZE_US = 500_000  # that what is to be accepted is held back at the most
-SNAPSHOT_US = 60_000_000  # that a frozen shelf is kept for who asked
+SNAPSHOT_US = 60_000_000  # that a frozen store is kept for who asked
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,12 +71,12 @@
     """To the member of that name, itself among them. Not before the save `after` is durable."""
 
     name: str
-    word: Word
+    message: Message
     after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class Proposal:
     """Have the group agree on the next word of this kind ("copies" or "time"). Only a leader has wishes."""
 
     kind: str
@@ -85,45 +85,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shout:
+class Alert:
     text: str
 
 
-Todo = Save | Send | Wish | Shout
+Action = Save | Send | Proposal | Alert
 
 
 @dataclass(slots=True)
 class Options:
-    """`rate`: records a second that are fetched or settled to fill or mend this seat, at the most."""
+    """`rate`: records a second that are fetched or settled to fill or mend this replica, at the most."""
 
     name: str
     zone: str = ""
     copies: int = 3
     rate: int = 4000
     bounds: Bounds = field(default_factory=Bounds)
-    parts: int = PARTS
+    partitions: int = PARTITIONS
     longest_us: int = 600_000_000  # that any route keeps a record
 
 
 @dataclass(eq=False)
-class Asking:
-    told: Callable[[str], None]
+class ClaimQuery:
+    on_answer: Callable[[str], None]
     name: str
     until_us: int
 
 
 @dataclass(slots=True)
-class Frost:
-    """A shelf held still. `entries`: what it was."""
+class FrozenSnapshot:
+    """A store held still. `entries`: what it was."""
 
     since_us: int
     entries: dict[bytes, Entry]
     buckets: dict[int, list[bytes]]
-    thawed: bool = False
+    unfrozen: bool = False
 
-    def page(self, part: int, after: bytes) -> tuple[list[Item], bool]:
-        """The records of a part behind a key, as many as one answer holds, and whether there are more."""
-        numbers = range(part * BUCKETS, (part + 1) * BUCKETS)
+    def page(self, partition: int, after: bytes) -> tuple[list[Item], bool]:
+        """As many records behind a key as one answer holds, and whether there are more."""
+        numbers = range(partition * BUCKETS, (partition + 1) * BUCKETS)
         keys = sorted(key for n in numbers for key in self.buckets.get(n, ()) if key > after)
         items: list[Item] = []
         size = 0
@@ -136,51 +136,51 @@
         return items, len(items) < len(keys)
 
 
-class Keeper:
-    shelves: type[Shelf] = Shelf  # tests put ones in their place that lack a guard
-    proposers: type[Proposer] = Proposer
+class ReplicaNode:
+    store_class: type[AcceptorStore] = AcceptorStore  # tests put ones in their place that lack a guard
+    proposer_class: type[Proposer] = Proposer
 
     def __init__(
-        self, options: Options, holder: str, lines: Iterable[bytes], now_us: int, chance: random.Random
+        self, options: Options, disk_id: str, lines: Iterable[bytes], now_us: int, rng: random.Random
     ) -> None:
-        """`holder`: the identity of the disk. Raises MsgspecError for lines of a later program version."""
-        self.options, self.holder, self.chance = options, holder, chance
+        """`disk_id`: the identity of the disk. Raises MsgspecError for lines of a later program version."""
+        self.options, self.disk_id, self.rng = options, disk_id, rng
         self.now_us = now_us
-        self.life = chance.getrandbits(52)
-        self.shelf = self.shelves(lines, options.bounds, options.parts)
+        self.incarnation = rng.getrandbits(52)
+        self.store = self.store_class(lines, options.bounds, options.partitions)
         self.clock = GroupClock()
         self.placement = Placement()
-        self.proposer = self.proposers(self.life, self._say, chance)
+        self.proposer = self.proposer_class(self.incarnation, self._send_to, rng)
         self.number = 0  # of the placement in the log
         self.token = 0  # of the newest save
         self.entered = 0  # the save before which nothing may be said, of this epoch and this reserve
-        self.reserved = self.shelf.reserve
+        self.reserved = self.store.reserve
         self.durable = 0
         self.saving: list[bytes] = []
-        self.out: list[Todo] = []
+        self.out: list[Action] = []
         self.broken = ""  # why nothing can be kept here
         self.stuck = ""  # a later program's word, which this one does not guess at
         self.claims: OrderedDict[str, tuple[str, int]] = OrderedDict()  # this gateway's own
-        self.asks: dict[int, Asking] = {}
+        self.claim_queries: dict[int, ClaimQuery] = {}
         self.held: list[tuple[str, Accept]] = []  # while frozen
-        self.frosts: dict[int, Frost] = {}
+        self.frozen_snapshots: dict[int, FrozenSnapshot] = {}
         # Repair
         self.filled: set[int] = set()  # in this epoch
-        # When each part was last compared to the end, the longest ago first; never: it is in `again`.
-        self.looked_us: dict[int, int] = {}
-        self.again: set[int] = (
+        # When each partition was last compared to the end, the longest ago first; never: it is in `recheck`.
+        self.compared_us: dict[int, int] = {}
+        self.recheck: set[int] = (
             set()
-        )  # parts where the last look found something: they are looked at again soon
+        )  # partitions where the last look found something: they are looked at again soon
         self.lacking: set[int] = set()  # and of these, where it was not only undecided
-        self.behind: set[int] = set()  # parts that are not known to be whole here
-        self.passes: dict[int, Pass] = {}
+        self.behind: set[int] = set()  # partitions that are not known to be whole here
+        self.comparisons: dict[int, PartitionComparison] = {}
         self.beginning = False
-        self.quiet_us: dict[str, int] = {}  # until when a seat that said nothing is not waited for
+        self.quiet_us: dict[str, int] = {}  # until when a replica that said nothing is not waited for
         self.seen: dict[int, dict[bytes, acceptor.Ballot]] = {}
         self.mended = 0
         self.allowance = 0.0
         self.allowed_us = now_us
-        self.parts: tuple[int, ...] = ()  # that this seat has to do with
+        self.partitions: tuple[int, ...] = ()  # that this replica has to do with
         # The leader
         self.reports: dict[str, tuple[int, Report]] = {}
         self.leader = ""  # its name
@@ -188,11 +188,11 @@
         self.led_us = now_us
         self.moved_us = now_us
         self.report_us = now_us
-        self.wished: dict[str, tuple[int, int]] = {}  # of each kind: the number, and when
+        self.proposed: dict[str, tuple[int, int]] = {}  # of each kind: the number, and when
         self.members: Collection[str] = ()
-        self.looked: tuple[int, messages.Looked] | None = None
+        self.report_summary: tuple[int, messages.ReportSummary] | None = None
 
-    def take(self) -> list[Todo]:
+    def take(self) -> list[Action]:
         out, self.out = self.out, []
         if self.saving:
             self.token += 1
@@ -208,81 +208,82 @@
             return
         try:
             placement = places.decode(data)
-        except places.Unreadable as error:
+        except places.UnreadablePlacementError as error:
             self.stuck = str(error)
-            self.out.append(Shout(f"copies: {error}: nothing is kept here"))
+            self.out.append(Alert(f"copies: {error}: nothing is kept here"))
             return
         self.number = number
         if placement.epoch <= self.placement.epoch:
             return
-        if placement.parts != self.options.parts:
-            self.stuck = f"{placement.parts} parts, and this program knows {self.options.parts}"
+        if placement.partitions != self.options.partitions:
+            self.stuck = f"{placement.partitions} parts, and this program knows {self.options.partitions}"
             return
         self.placement, self.moved_us = placement, now_us
-        line = self.shelf.enter(placement.epoch)
+        line = self.store.enter_epoch(placement.epoch)
         if line:
             self.saving.append(line)
             self.entered = self.token + 1
-        sat = set(self.parts)
+        sat = set(self.partitions)
         self._sit()
-        # Of a part that is new here nothing is known before it was looked at, whatever a majority has read.
-        new = set(self.parts) - sat
-        self.behind = (self.behind & sat | new) & set(self.parts)
-        self.again = (self.again & sat | new) & set(self.parts)
+        # Of a partition that is new here nothing is known before it was looked at, whatever a majority has
+        # read.
+        new = set(self.partitions) - sat
+        self.behind = (self.behind & sat | new) & set(self.partitions)
+        self.recheck = (self.recheck & sat | new) & set(self.partitions)
         self.proposer.place(now_us, placement)
         move = "moving" if placement.before is not None else "settled"
-        names = ", ".join(seat.name for seat in placement.seats)
-        self.out.append(Shout(f"copies: epoch {placement.epoch} ({move}): {names}"))
+        names = ", ".join(replica.name for replica in placement.replicas)
+        self.out.append(Alert(f"copies: epoch {placement.epoch} ({move}): {names}"))
         if placement.lost:
             self.out.append(
-                Shout(
-                    f"copies: {len(placement.lost)} of {placement.parts} parts HAVE LOST A MAJORITY of their "
-                    "copies: keys that are not found there are in doubt"
+                Alert(
+                    f"copies: {len(placement.lost)} of {placement.partitions} parts HAVE LOST A MAJORITY "
+                    "of their copies: keys that are not found there are in doubt"
                 )
             )
 
     def _sit(self) -> None:
-        """What this seat has to do with, in a new epoch or with a new disk."""
+        """What this replica has to do with, in a new epoch or with a new disk."""
         placement = self.placement
-        self.parts = tuple(
-            part
-            for part in range(placement.parts)
-            if any(seat.holder == self.holder for seat in placement.members(part))
+        self.partitions = tuple(
+            partition
+            for partition in range(placement.partitions)
+            if any(replica.disk_id == self.disk_id for replica in placement.members(partition))
         )
-        sat = set(self.parts)
-        self.looked_us = {part: at for part, at in self.looked_us.items() if part in sat}
+        sat = set(self.partitions)
+        self.compared_us = {partition: at for partition, at in self.compared_us.items() if partition in sat}
         self.filled.clear()
-        self.passes.clear()
+        self.comparisons.clear()
         self.seen.clear()
 
-    def reopen(self, holder: str, lines: Iterable[bytes]) -> None:
+    def reopen(self, disk_id: str, lines: Iterable[bytes]) -> None:
         """The folder was opened anew, after its disk had failed. Raises MsgspecError, as at the start."""
-        self.shelf = self.shelves(lines, self.options.bounds, self.options.parts)
-        self.holder, self.broken = holder, ""
+        self.store = self.store_class(lines, self.options.bounds, self.options.partitions)
+        self.disk_id, self.broken = disk_id, ""
         self.saving, self.held, self.durable, self.entered = [], [], self.token, 0
-        self.reserved = self.shelf.reserve
+        self.reserved = self.store.reserve
         self._sit()
-        self.behind, self.again, self.lacking = set(self.parts), set(self.parts), set()
-        line = self.shelf.enter(self.placement.epoch)
+        self.behind, self.recheck, self.lacking = set(self.partitions), set(self.partitions), set()
+        line = self.store.enter_epoch(self.placement.epoch)
         if line:
             self.saving.append(line)
             self.entered = self.token + 1
 
     def ticked(self, now_us: int, number: int, data: bytes) -> None:
         """The clock in the group's log."""
-        own = self.leads and self.wished.get("time", (0, 0))[0] == number
+        own = self.leads and self.proposed.get("time", (0, 0))[0] == number
         try:
-            self.clock.hear(now_us, number, data, own)
+            self.clock.on_tick(now_us, number, data, own)
         except msgspec.MsgspecError as error:
             self.stuck = f"a clock that this program does not know: {error}"
             return
-        self.shelf.expire(self.clock.agreed_us)
+        self.store.expire(self.clock.agreed_us)
 
     def led_by(self, now_us: int, leader: str, leads: bool, members: Collection[str]) -> None:
         if leads and not self.leads:
             self.led_us = now_us
             self.reports.clear()
-            self.wished.clear()
+            self.proposed.clear()
         self.leader, self.leads, self.members = leader, leads, members
 
     # What others here want
@@ -291,24 +292,30 @@
         return self.clock.now_us(self.now_us)
 
     def change(
-        self, now_us: int, key: bytes, change: Change, done: Done, within_us: int, grip: Grip | None = None
-    ) -> Op:
+        self,
+        now_us: int,
+        key: bytes,
+        change: Change,
+        done: Done,
+        within_us: int,
+        prepared: PreparedBallot | None = None,
+    ) -> Operation:
         self.now_us = now_us
-        return self.proposer.change(now_us, key, change, done, now_us + within_us, grip)
+        return self.proposer.change(now_us, key, change, done, now_us + within_us, prepared)
 
     def is_hole(self, key: bytes) -> bool:
         # Under way, the moment up to which it is one is not reached by any clock here that lags.
-        return self.placement.is_hole(part_of(key, self.placement.parts), self.clock.agreed_us)
+        return self.placement.is_hole(partition_of(key, self.placement.partitions), self.clock.agreed_us)
 
     def claim(self) -> str:
         """A name for a run that nobody has had."""
-        return f"{self.options.name}/{self.chance.getrandbits(63):x}"
+        return f"{self.options.name}/{self.rng.getrandbits(63):x}"
 
-    def working(self, claim: str, until_us: int) -> None:
+    def claim_started(self, claim: str, until_us: int) -> None:
         """A run of this gateway's is at it. One that is long over its time may have run."""
         self.claims[claim] = ("working", until_us + STUCK_US)
 
-    def ended(self, claim: str, state: str) -> None:
+    def claim_ended(self, claim: str, state: str) -> None:
         """`state`: "ran" or "never"; it is told to whoever asks."""
         self.claims[claim] = (state, 0)
         self.claims.move_to_end(claim)
@@ -319,33 +326,33 @@
                 break
             del self.claims[oldest]
 
-    def _told(self, word: Ask, now_us: int) -> str:
-        state, until_us = self.claims.get(word.claim, ("gone", 0))
-        if word.life != self.life:
+    def _claim_state(self, message: QueryClaim, now_us: int) -> str:
+        state, until_us = self.claims.get(message.claim, ("gone", 0))
+        if message.incarnation != self.incarnation:
             return "gone"
         return "ran" if state == "working" and now_us > until_us else state
 
-    def ask(self, now_us: int, record: Record, told: Callable[[str], None]) -> None:
+    def query_claim(self, now_us: int, record: Record, on_answer: Callable[[str], None]) -> None:
         """What the gateway of a claim says of it: "working", "ran", "never", "gone"; "silent": nothing."""
         self.proposer.number += 1
         number = self.proposer.number
-        self.asks[number] = Asking(told, record.owner, now_us + ASK_US)
-        self.out.append(Send(record.owner, Ask(number, record.life, record.claim)))
+        self.claim_queries[number] = ClaimQuery(on_answer, record.owner, now_us + ASK_US)
+        self.out.append(Send(record.owner, QueryClaim(number, record.incarnation, record.claim)))
 
     # What happens
 
     def tick(self, now_us: int) -> None:
         self.now_us = now_us
         self.proposer.tick(now_us)
-        for number, asking in list(self.asks.items()):
-            if now_us >= asking.until_us:
-                del self.asks[number]
-                asking.told("silent")
+        for number, query in list(self.claim_queries.items()):
+            if now_us >= query.until_us:
+                del self.claim_queries[number]
+                query.on_answer("silent")
         if self.held and not self._frozen(now_us):
             self._release(now_us)
-        for id, frost in list(self.frosts.items()):
-            if now_us - frost.since_us > SNAPSHOT_US:
-                del self.frosts[id]
+        for id, frozen_snapshot in list(self.frozen_snapshots.items()):
+            if now_us - frozen_snapshot.since_us > SNAPSHOT_US:
+                del self.frozen_snapshots[id]
         self._repair(now_us)
         if now_us >= self.report_us:
             self.report_us = now_us + REPORT_US
@@ -359,85 +366,106 @@
     def failed(self, why: str) -> None:
         """The disk has refused: nothing is kept here until the folder is opened anew."""
         self.broken = why
-        self.out.append(Shout(f"copies: this member keeps nothing: {why}"))
+        self.out.append(Alert(f"copies: this member keeps nothing: {why}"))
 
-    def receive(self, now_us: int, name: str, word: Word) -> None:
+    def receive(self, now_us: int, name: str, message: Message) -> None:
         self.now_us = now_us
-        match word:
+        match message:
             case Prepare():
-                self._on_prepare(name, word)
+                self._on_prepare(name, message)
             case Accept():
-                if word.holder == self.holder and self._frozen(now_us):
-                    self.held.append((name, word))
+                if message.disk_id == self.disk_id and self._frozen(now_us):
+                    self.held.append((name, message))
                 else:
-                    self._on_accept(name, word)
+                    self._on_accept(name, message)
             case Promised():
-                self.proposer.on_promised(now_us, word)
+                self.proposer.on_promised(now_us, message)
             case Accepted():
-                self.proposer.on_accepted(now_us, word)
+                self.proposer.on_accepted(now_us, message)
             case Compare():
-                self._on_compare(name, word)
+                self._on_compare(name, message)
             case Compared():
-                self._on_compared(now_us, word)
+                self._on_compared(now_us, message)
             case Fetch():
-                if self._serves(word.holder, word.epoch):
-                    items, gone = self.shelf.items(word.keys, FETCH_BYTES)
-                    self._tell(name, Fetched(word.epoch, self.holder, word.part, items, gone))
+                if self._serves(message.disk_id, message.epoch):
+                    items, gone = self.store.items(message.keys, FETCH_BYTES)
+                    self._tell(name, Fetched(message.epoch, self.disk_id, message.partition, items, gone))
             case Fetched():
-                self._on_fetched(now_us, word)
-            case Ask():
-                self.out.append(Send(name, Told(word.op, self._told(word, now_us))))
-            case Told():
-                asking = self.asks.pop(word.op, None)
-                if asking is not None:
-                    asking.told(word.state)
+                self._on_fetched(now_us, message)
+            case QueryClaim():
+                self.out.append(
+                    Send(name, ClaimAnswer(message.operation, self._claim_state(message, now_us)))
+                )
+            case ClaimAnswer():
+                query = self.claim_queries.pop(message.operation, None)
+                if query is not None:
+                    query.on_answer(message.state)
             case Report():
                 if self.leads:
-                    self.reports[name] = (now_us, word)
-            case messages.Look():
-                self.out.append(Send(name, messages.Looked(self.placement.epoch, self.fresh(now_us))))
-            case messages.Looked():
-                self.looked = (now_us, word)
+                    self.reports[name] = (now_us, message)
+            case messages.QueryReports():
+                self.out.append(Send(name, messages.ReportSummary(self.placement.epoch, self.fresh(now_us))))
+            case messages.ReportSummary():
+                self.report_summary = (now_us, message)
             case _:
-                self._on_snapshot(now_us, name, word)
+                self._on_snapshot(now_us, name, message)
 
-    # The seat
+    # The replica
 
-    def _serves(self, holder: str, epoch: int) -> bool:
-        return holder == self.holder and epoch == self.shelf.epoch and not self.broken and not self.stuck
+    def _serves(self, disk_id: str, epoch: int) -> bool:
+        return disk_id == self.disk_id and epoch == self.store.epoch and not self.broken and not self.stuck
 
     def _save(self, lines: Iterable[bytes]) -> None:
         self.saving += lines
-        if self.shelf.reserve != self.reserved:
+        if self.store.reserve != self.reserved:
             # What is promised under the new reserve, by this word or the next, rests on it.
-            self.reserved, self.entered = self.shelf.reserve, self.token + 1
+            self.reserved, self.entered = self.store.reserve, self.token + 1
 
-    def _tell(self, name: str, word: Word, rests: bool = True) -> None:
+    def _tell(self, name: str, message: Message, rests: bool = True) -> None:
         """Not before what it rests on is on disk; nor is anything said in an epoch that is not."""
         after = self.token + bool(self.saving) if rests else self.entered
-        self.out.append(Send(name, word, after if after > self.durable else 0))
+        self.out.append(Send(name, message, after if after > self.durable else 0))
 
-    def _on_prepare(self, name: str, word: Prepare) -> None:
-        if word.holder != self.holder or self.broken or self.stuck:
+    def _on_prepare(self, name: str, message: Prepare) -> None:
+        if message.disk_id != self.disk_id or self.broken or self.stuck:
             return
-        epoch = self.shelf.epoch
-        reply = self.shelf.prepare(word.key, word.ballot) if word.epoch == epoch else acceptor.Reply(False)
-        self._save(reply.save)
+        epoch = self.store.epoch
+        reply = (
+            self.store.prepare(message.key, message.ballot)
+            if message.epoch == epoch
+            else acceptor.Reply(False)
+        )
+        self._save(reply.lines_to_save)
         said = Promised(
-            word.op, epoch, self.holder, word.ballot, reply.ok, reply.accepted, reply.value, reply.promised
+            message.operation,
+            epoch,
+            self.disk_id,
+            message.ballot,
+            reply.ok,
+            reply.accepted,
+            reply.value,
+            reply.promised,
         )
         # What is there may have been accepted just now, and not be on disk yet.
-        self._tell(name, said, bool(reply.save) or reply.accepted > acceptor.NONE)
+        self._tell(name, said, bool(reply.lines_to_save) or reply.accepted > acceptor.NO_BALLOT)
 
-    def _on_accept(self, name: str, word: Accept) -> None:
-        if word.holder != self.holder or self.broken or self.stuck:
+    def _on_accept(self, name: str, message: Accept) -> None:
+        if message.disk_id != self.disk_id or self.broken or self.stuck:
             return
-        epoch = self.shelf.epoch
+        epoch = self.store.epoch
         reply = acceptor.Reply(False)
-        if word.epoch == epoch:
-            reply = self.shelf.accept(word.key, word.ballot, word.prior, word.value)
-        self._save(reply.save)
-        said = Accepted(word.op, epoch, self.holder, word.ballot, reply.ok, reply.promised, reply.full)
+        if message.epoch == epoch:
+            reply = self.store.accept(message.key, message.ballot, message.prior, message.value)
+        self._save(reply.lines_to_save)
+        said = Accepted(
+            message.operation,
+            epoch,
+            self.disk_id,
+            message.ballot,
+            reply.ok,
+            reply.promised,
+            reply.no_capacity,
+        )
         # Said again it may still be on its way to the disk: behind all that is.
         self._tell(name, said, reply.ok)
 
@@ -451,190 +479,214 @@
         self.allowed_us = now_us
         if self.broken or self.stuck or not self.placement.epoch:
             return
-        for each in list(self.passes.values()):
-            if now_us - each.moved_us > GIVE_UP_US:
-                del self.passes[each.part]
+        for comparison in list(self.comparisons.values()):
+            if now_us - comparison.moved_us > GIVE_UP_US:
+                del self.comparisons[comparison.partition]
             else:
-                self._go_on(now_us, each)
+                self._go_on(now_us, comparison)
         self._more_passes(now_us)
 
     def _more_passes(self, now_us: int) -> None:
-        """As many parts as may be compared at a time. One that ends at once makes room from within."""
+        """As many partitions as may be compared at a time. One that ends at once makes room from within."""
         if self.beginning:
             return
         self.beginning = True
         moving = self.placement.before is not None
-        most = PASSES if moving or self.again else 1
-        while len(self.passes) < most:
-            parts = self._next_parts(now_us, moving, most - len(self.passes))
-            if not parts:
+        most = COMPARISONS_LIMIT if moving or self.recheck else 1
+        while len(self.comparisons) < most:
+            partitions = self._next_parts(now_us, moving, most - len(self.comparisons))
+            if not partitions:
                 break
-            for part in parts:
-                self._begin_pass(now_us, part)
+            for partition in partitions:
+                self._begin_pass(now_us, partition)
         self.beginning = False
 
     def _next_parts(self, now_us: int, moving: bool, most: int) -> list[int]:
         """Unfilled ones first, then those that lacked something, then the one not looked at for longest."""
         if moving:
-            unfilled = [part for part in self.parts if part not in self.passes and part not in self.filled]
+            unfilled = [
+                partition
+                for partition in self.partitions
+                if partition not in self.comparisons and partition not in self.filled
+            ]
             if unfilled:
                 return unfilled[:most]
         found = [
-            part
-            for part in sorted(self.again - self.passes.keys())
-            if now_us - self.looked_us.get(part, -SCRUB_US) >= SOON_US
+            partition
+            for partition in sorted(self.recheck - self.comparisons.keys())
+            if now_us - self.compared_us.get(partition, -SCRUB_US) >= SOON_US
         ][:most]
         # The others by when they were looked at: asked at each tick, this must not go through all of them.
-        for part, looked_us in self.looked_us.items():
-            if len(found) >= most or now_us - looked_us < SCRUB_US:
+        for partition, compared_us in self.compared_us.items():
+            if len(found) >= most or now_us - compared_us < SCRUB_US:
                 break
-            if part not in self.passes and part not in self.again:
-                found.append(part)
+            if partition not in self.comparisons and partition not in self.recheck:
+                found.append(partition)
         return found
 
-    def _begin_pass(self, now_us: int, part: int) -> None:
-        filling = self.placement.before is not None and part not in self.filled
-        sources = self.placement.sources(part) if filling else self.placement.sets(part)[0]
-        there = {seat.holder for seat in self.placement.seats}
+    def _begin_pass(self, now_us: int, partition: int) -> None:
+        filling = self.placement.before is not None and partition not in self.filled
+        sources = self.placement.sources(partition) if filling else self.placement.sets(partition)[0]
+        there = {replica.disk_id for replica in self.placement.replicas}
         quiet = frozenset(
-            seat.holder
-            for seat in sources
-            if seat.holder not in there or now_us < self.quiet_us.get(seat.holder, now_us)
+            replica.disk_id
+            for replica in sources
+            if replica.disk_id not in there or now_us < self.quiet_us.get(replica.disk_id, now_us)
         )
-        each = self.passes[part] = Pass(
-            part, self.placement.epoch, self.holder, sources, filling, now_us, quiet, asked_us=now_us
+        comparison = self.comparisons[partition] = PartitionComparison(
+            partition, self.placement.epoch, self.disk_id, sources, filling, now_us, quiet, asked_us=now_us
         )
-        each.moved_us = now_us
-        self._ask_sums(each)
-        if not each.others:
-            self._judge(now_us, each)
+        comparison.moved_us = now_us
+        self._ask_sums(comparison)
+        if not comparison.others:
+            self._judge(now_us, comparison)
 
-    def _ask_sums(self, each: Pass, holder: str = "") -> None:
+    def _ask_sums(self, comparison: PartitionComparison, disk_id: str = "") -> None:
         """Of this one, or of all who have not told of all buckets."""
-        sums = self.shelf.sums_of(each.part)
-        for seat in each.others:
-            if not each.is_whole(seat.holder) and holder in ("", seat.holder):
-                had = sum(1 << number for number in each.covered(seat.holder))
-                self.out.append(Send(seat.name, Compare(each.epoch, seat.holder, each.part, sums, had)))
-
-    def _on_compare(self, name: str, word: Compare) -> None:
-        if not self._serves(word.holder, word.epoch):
+        checksums = self.store.checksums_of(comparison.partition)
+        for replica in comparison.others:
+            if not comparison.is_whole(replica.disk_id) and disk_id in ("", replica.disk_id):
+                had = sum(1 << number for number in comparison.covered(replica.disk_id))
+                self.out.append(
+                    Send(
+                        replica.name,
+                        Compare(comparison.epoch, replica.disk_id, comparison.partition, checksums, had),
+                    )
+                )
+
+    def _on_compare(self, name: str, message: Compare) -> None:
+        if not self._serves(message.disk_id, message.epoch):
             return
         same: list[int] = []
-        marks: dict[int, list[acceptor.Mark]] = {}
+        digests: dict[int, list[acceptor.RecordDigest]] = {}
         count = 0
-        for number, (own, other) in enumerate(zip(self.shelf.sums_of(word.part), word.sums, strict=True)):
+        for number, (own, other) in enumerate(
+            zip(self.store.checksums_of(message.partition), message.checksums, strict=True)
+        ):
             if own == other:
                 same.append(number)
-            elif count < MARKS_LIMIT and not word.had >> number & 1:
-                marks[number] = self.shelf.marks_of(word.part * BUCKETS + number)
-                count += len(marks[number])
-        self._tell(name, Compared(word.epoch, self.holder, word.part, tuple(same), marks))
-
-    def _on_compared(self, now_us: int, word: Compared) -> None:
-        each = self.passes.get(word.part)
-        if each is None or word.epoch != each.epoch or each.epoch != self.placement.epoch:
+            elif count < DIGESTS_LIMIT and not message.had >> number & 1:
+                digests[number] = self.store.digests_of(message.partition * BUCKETS + number)
+                count += len(digests[number])
+        self._tell(name, Compared(message.epoch, self.disk_id, message.partition, tuple(same), digests))
+
+    def _on_compared(self, now_us: int, message: Compared) -> None:
+        comparison = self.comparisons.get(message.partition)
+        if (
+            comparison is None
+            or message.epoch != comparison.epoch
+            or comparison.epoch != self.placement.epoch
+        ):
             return
-        before = len(each.covered(word.holder))
-        each.heard(word.holder, word.same, word.marks)
-        if not each.judged and len(each.covered(word.holder)) > before:
-            each.moved_us = now_us
-            self._ask_sums(each, word.holder)  # for what that answer had no room for
-        self._go_on(now_us, each)
-
-    def _go_on(self, now_us: int, each: Pass) -> None:
-        if not each.judged:
-            if each.is_ready(now_us):
-                self._judge(now_us, each)
-            elif now_us - each.asked_us > WAIT_AGAIN_US:
-                each.asked_us = now_us
-                self._ask_sums(each)
+        before = len(comparison.covered(message.disk_id))
+        comparison.receive(message.disk_id, message.same, message.digests)
+        if not comparison.judged and len(comparison.covered(message.disk_id)) > before:
+            comparison.moved_us = now_us
+            self._ask_sums(comparison, message.disk_id)  # for what that answer had no room for
+        self._go_on(now_us, comparison)
+
+    def _go_on(self, now_us: int, comparison: PartitionComparison) -> None:
+        if not comparison.judged:
+            if comparison.is_ready(now_us):
+                self._judge(now_us, comparison)
+            elif now_us - comparison.asked_us > WAIT_AGAIN_US:
+                comparison.asked_us = now_us
+                self._ask_sums(comparison)
             return
-        if each.left and now_us - each.asked_us > WAIT_AGAIN_US:
-            self._fetch(now_us, each)
-        if not each.left and not each.rounds:
-            self._end_pass(now_us, each)
+        if comparison.unfetched and now_us - comparison.asked_us > WAIT_AGAIN_US:
+            self._fetch(now_us, comparison)
+        if not comparison.unfetched and not comparison.rounds:
+            self._end_pass(now_us, comparison)
 
-    def _judge(self, now_us: int, each: Pass) -> None:
+    def _judge(self, now_us: int, comparison: PartitionComparison) -> None:
         own = {
-            n: {key: (ballot, check) for key, ballot, check in self.shelf.marks_of(each.part * BUCKETS + n)}
-            for n in {n for marks in each.marks.values() for n in marks}
+            n: {
+                key: (ballot, check)
+                for key, ballot, check in self.store.digests_of(comparison.partition * BUCKETS + n)
+            }
+            for n in {n for digests in comparison.digests.values() for n in digests}
         }
-        whole = each.whole()
-        for seat in each.others:
-            if seat.holder not in whole and seat.holder not in each.quiet:
-                self.quiet_us[seat.holder] = now_us + QUIET_US
-        found = each.judge(own, self.seen.get(each.part, {}))
-        self.seen[each.part] = found.noted
-        if each.lacked >= MANY:
-            self.behind.add(each.part)  # until they are here
+        whole = comparison.whole()
+        for replica in comparison.others:
+            if replica.disk_id not in whole and replica.disk_id not in comparison.quiet:
+                self.quiet_us[replica.disk_id] = now_us + QUIET_US
+        found = comparison.judge(own, self.seen.get(comparison.partition, {}))
+        self.seen[comparison.partition] = found.noted
+        if comparison.lacked >= MANY:
+            self.behind.add(comparison.partition)  # until they are here
         for key in found.undecided[:ROUNDS]:
-            self._settle(now_us, each, key)
+            self._settle(now_us, comparison, key)
         if len(found.undecided) > ROUNDS:
-            each.rounds += 1  # never: the part is looked at again until there are few
-            each.moved_us = now_us - GIVE_UP_US + ROUND_PAUSE_US
-        self._fetch(now_us, each)
-        self._go_on(now_us, each)
+            comparison.rounds += 1  # never: the partition is looked at again until there are few
+            comparison.moved_us = now_us - GIVE_UP_US + ROUND_PAUSE_US
+        self._fetch(now_us, comparison)
+        self._go_on(now_us, comparison)
 
-    def _settle(self, now_us: int, each: Pass, key: bytes) -> None:
+    def _settle(self, now_us: int, comparison: PartitionComparison, key: bytes) -> None:
         """Have what a register holds held by a majority, whatever it is."""
 
         def done(result: Result) -> None:
             if not result.why:
-                each.rounds -= 1
+                comparison.rounds -= 1
 
-        each.rounds += 1
+        comparison.rounds += 1
         self.allowance -= 1
         self.proposer.change(now_us, key, lambda there: None, done, now_us + GIVE_UP_US)
 
-    def _fetch(self, now_us: int, each: Pass) -> None:
-        each.asked_us = now_us
+    def _fetch(self, now_us: int, comparison: PartitionComparison) -> None:
+        comparison.asked_us = now_us
         if self.allowance <= 0:
             return
         by_holder: dict[str, list[bytes]] = {}
-        for wanted in list(each.left.values())[:FETCH_KEYS]:
-            by_holder.setdefault(wanted.holder, []).append(wanted.key)
-        for holder, keys in by_holder.items():
-            seat = next((seat for seat in each.others if seat.holder == holder), None)
-            if seat is not None:
+        for missing in list(comparison.unfetched.values())[:FETCH_KEYS]:
+            by_holder.setdefault(missing.disk_id, []).append(missing.key)
+        for disk_id, keys in by_holder.items():
+            replica = next((replica for replica in comparison.others if replica.disk_id == disk_id), None)
+            if replica is not None:
                 self.allowance -= len(keys)
-                self.out.append(Send(seat.name, Fetch(each.epoch, holder, each.part, keys)))
+                self.out.append(
+                    Send(replica.name, Fetch(comparison.epoch, disk_id, comparison.partition, keys))
+                )
 
-    def _on_fetched(self, now_us: int, word: Fetched) -> None:
-        each = self.passes.get(word.part)
-        if each is None or not each.judged or word.epoch != self.placement.epoch:
+    def _on_fetched(self, now_us: int, message: Fetched) -> None:
+        comparison = self.comparisons.get(message.partition)
+        if comparison is None or not comparison.judged or message.epoch != self.placement.epoch:
             return
-        if word.items or word.gone:
-            each.moved_us = now_us
-        for key, ballot, value in word.items:
-            wanted = each.left.get(key)
-            if wanted is None or wanted.holder != word.holder:
+        if message.items or message.gone:
+            comparison.moved_us = now_us
+        for key, ballot, value in message.items:
+            missing = comparison.unfetched.get(key)
+            if missing is None or missing.disk_id != message.disk_id:
                 continue
-            del each.left[key]
-            if ballot == wanted.ballot:
-                line = self.shelf.adopt(key, ballot, value, self.clock.agreed_us, wanted.mend)
+            del comparison.unfetched[key]
+            if ballot == missing.ballot:
+                line = self.store.adopt_chosen(key, ballot, value, self.clock.agreed_us, missing.mend)
                 self.saving += [line] * bool(line)
                 self.mended += bool(line)
             else:  # somebody is changing it: the newer one may never be chosen
-                self._settle(now_us, each, key)
-        for key in word.gone:  # it is over
-            each.left.pop(key, None)
-        if each.left:
-            self._fetch(now_us, each)
-        self._go_on(now_us, each)
-
-    def _end_pass(self, now_us: int, each: Pass) -> None:
-        self.passes.pop(each.part, None)
-        self.looked_us.pop(each.part, None)
-        self.looked_us[each.part] = now_us
-        found = each.lacked if not each.filling else 0
+                self._settle(now_us, comparison, key)
+        for key in message.gone:  # it is over
+            comparison.unfetched.pop(key, None)
+        if comparison.unfetched:
+            self._fetch(now_us, comparison)
+        self._go_on(now_us, comparison)
+
+    def _end_pass(self, now_us: int, comparison: PartitionComparison) -> None:
+        self.comparisons.pop(comparison.partition, None)
+        self.compared_us.pop(comparison.partition, None)
+        self.compared_us[comparison.partition] = now_us
+        found = comparison.lacked if not comparison.filling else 0
         # What it found is here now. Where two looks in a row find something, more keeps missing.
-        (self.behind.add if found and each.part in self.lacking else self.behind.discard)(each.part)
-        (self.lacking.add if found else self.lacking.discard)(each.part)
-        (self.again.add if found or self.seen.get(each.part) else self.again.discard)(each.part)
-        if each.filling:
-            self.filled.add(each.part)
-            if len(self.filled) == len(self.parts):
+        (self.behind.add if found and comparison.partition in self.lacking else self.behind.discard)(
+            comparison.partition
+        )
+        (self.lacking.add if found else self.lacking.discard)(comparison.partition)
+        (self.recheck.add if found or self.seen.get(comparison.partition) else self.recheck.discard)(
+            comparison.partition
+        )
+        if comparison.filling:
+            self.filled.add(comparison.partition)
+            if len(self.filled) == len(self.partitions):
                 self._report(now_us)
         self._more_passes(now_us)
 
@@ -643,44 +695,44 @@
     def _report(self, now_us: int) -> None:
         if not self.leader:
             return
-        oldest = min((self.looked_us.get(part, -1) for part in self.parts), default=-1)
+        oldest = min((self.compared_us.get(partition, -1) for partition in self.partitions), default=-1)
         said = Report(
             self.options.zone,
-            self.holder,
+            self.disk_id,
             self.placement.epoch,
             messages.bits(self.filled),
             messages.bits(self.behind),
-            self.shelf.records,
-            self.shelf.bytes,
-            self.shelf.states.get("doubt", 0),
+            self.store.records,
+            self.store.bytes,
+            self.store.state_counts.get("doubt", 0),
             self.broken or self.stuck,
             -1 if oldest < 0 else now_us - oldest,
             self.mended,
         )
-        self._tell(self.leader, said)  # a part counts as filled once it is on disk here
+        self._tell(self.leader, said)  # a partition counts as filled once it is on disk here
 
     def fresh(self, now_us: int) -> dict[str, Report]:
         return {name: report for name, (at, report) in self.reports.items() if now_us - at < FRESH_US}
 
     def look(self) -> None:
-        """Ask the leader what it knows of all seats; `looked` has it then."""
+        """Ask the leader what it knows of all replicas; `report_summary` has it then."""
         if self.leader:
-            self.out.append(Send(self.leader, messages.Look()))
+            self.out.append(Send(self.leader, messages.QueryReports()))
 
     def _lead(self, now_us: int) -> None:
         tick = self.clock.next(now_us)
         if tick is not None:
-            self._wish(now_us, "time", *tick)
+            self._propose(now_us, "time", *tick)
         reports = self.fresh(now_us)
         able = {name: report for name, report in reports.items() if not report.broken}
-        offers = [Seat(name, report.zone, report.holder) for name, report in able.items()]
+        offers = [Replica(name, report.zone, report.disk_id) for name, report in able.items()]
         if not self.placement.epoch and not (
             all(name in reports for name in self.members)
             or (now_us - self.led_us > FIRST_US and 2 * len(offers) > len(self.members))
         ):
             return
         filled = {
-            report.holder: messages.unbits(report.filled)
+            report.disk_id: messages.unbits(report.filled)
             for report in reports.values()
             if report.epoch == self.placement.epoch
         }
@@ -693,50 +745,55 @@
             self.options.copies,
             until,
             now_us - self.moved_us < MOVE_US,
-            self.options.parts,
+            self.options.partitions,
         )
         if placement is not None:
-            self._wish(now_us, "copies", self.number + 1, places.encode(placement))
+            self._propose(now_us, "copies", self.number + 1, places.encode(placement))
 
-    def _wish(self, now_us: int, kind: str, number: int, data: bytes) -> None:
-        before, at = self.wished.get(kind, (0, 0))
+    def _propose(self, now_us: int, kind: str, number: int, data: bytes) -> None:
+        before, at = self.proposed.get(kind, (0, 0))
         if before != number or now_us - at > 1_000_000:
-            self.wished[kind] = (number, now_us)
-            self.out.append(Wish(kind, number, data))
+            self.proposed[kind] = (number, now_us)
+            self.out.append(Proposal(kind, number, data))
 
-    def _say(self, seat: Seat, word: Prepare | Accept) -> None:
-        self.out.append(Send(seat.name, word))
+    def _send_to(self, replica: Replica, message: Prepare | Accept) -> None:
+        self.out.append(Send(replica.name, message))
 
     # Snapshots of one instant
 
     def _frozen(self, now_us: int) -> bool:
-        return any(not frost.thawed and now_us - frost.since_us < FREEZE_US for frost in self.frosts.values())
+        return any(
+            not frozen_snapshot.unfrozen and now_us - frozen_snapshot.since_us < FREEZE_US
+            for frozen_snapshot in self.frozen_snapshots.values()
+        )
 
     def _release(self, now_us: int) -> None:
         held, self.held = self.held, []
-        for name, word in held:
-            self._on_accept(name, word)
+        for name, message in held:
+            self._on_accept(name, message)
 
-    def _on_snapshot(self, now_us: int, name: str, word: Word) -> None:
-        match word:
+    def _on_snapshot(self, now_us: int, name: str, message: Message) -> None:
+        match message:
             case messages.Freeze():
-                if self._serves(word.holder, word.epoch) and len(self.frosts) < 2:
-                    buckets = {n: list(keys) for n, keys in self.shelf.buckets.items()}
-                    self.frosts[word.id] = Frost(now_us, dict(self.shelf.entries), buckets)
-                    self._tell(name, messages.Frozen(word.id, self.holder))
-            case messages.Thaw():
-                frost = self.frosts.get(word.id)
-                if frost is not None and word.holder == self.holder:
-                    frost.thawed = True
+                if self._serves(message.disk_id, message.epoch) and len(self.frozen_snapshots) < 2:
+                    buckets = {n: list(keys) for n, keys in self.store.buckets.items()}
+                    self.frozen_snapshots[message.id] = FrozenSnapshot(
+                        now_us, dict(self.store.entries), buckets
+                    )
+                    self._tell(name, messages.Frozen(message.id, self.disk_id))
+            case messages.Unfreeze():
+                frozen_snapshot = self.frozen_snapshots.get(message.id)
+                if frozen_snapshot is not None and message.disk_id == self.disk_id:
+                    frozen_snapshot.unfrozen = True
                     if not self._frozen(now_us):
                         self._release(now_us)
             case messages.Page():
-                frost = self.frosts.get(word.id)
-                if frost is not None and word.holder == self.holder:
-                    items, more = frost.page(word.part, word.after)
-                    self._tell(name, messages.Paged(word.id, self.holder, word.part, items, more))
+                frozen_snapshot = self.frozen_snapshots.get(message.id)
+                if frozen_snapshot is not None and message.disk_id == self.disk_id:
+                    items, more = frozen_snapshot.page(message.partition, message.after)
+                    self._tell(name, messages.Paged(message.id, self.disk_id, message.partition, items, more))
             case _:
-                self.snapshots(name, word)
+                self.snapshots(name, message)
 
-    def snapshots(self, name: str, word: Word) -> None:
+    def snapshots(self, name: str, message: Message) -> None:
         """What a snapshot that is taken here is told; its taker listens."""
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -1,7 +1,7 @@
-"""A gateway's place among those that keep copies: the pure `Keeper` with a disk, the group's links, a clock.
+"""The pure `ReplicaNode` of a gateway with what it needs: a disk, the group's links and a clock.
 
-Nothing is decided here. What the keeper wants written goes to the log's thread, and what relies on it goes
-out once that is durable. Words to one member that come up together go as one frame.
+Nothing is decided here. What the replica node wants written goes to the log's thread, and what relies on it
+goes out once that is durable. Words to one member that come up together go as one frame.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from badgergap.consensus.service import GroupRoom, clock_us
 from badgergap.replication import replica as keepers
 from badgergap.replication import messages
-from badgergap.replication.replica import Keeper, Options, Shout, Wish
-from badgergap.replication.proposer import Change, Grip, Result
-from badgergap.replication.messages import Word
+from badgergap.replication.replica import ReplicaNode, Options, Alert, Proposal
+from badgergap.replication.proposer import Change, PreparedBallot, Result
+from badgergap.replication.messages import Message
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
 from badgergap.storage.record_format import Unusable
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-ROOM, TIME = "copies", "time"  # the words in the group's log
+GUEST_NAME, TIME = "copies", "time"  # the words in the group's log
 BUSY_S, IDLE_S = 0.01, 0.05  # between two ticks
 FRAME_BYTES = 1_000_000  # of words in one frame
 AGAIN_S = 5.0  # until a folder whose disk has failed is opened anew
@@ -40,11 +40,11 @@
     3,
 )  # a log is written anew beyond so much and so many times its need
 FULL_BYTES = SIZE_LIMIT * 7 // 8  # or so much, whatever it needs
-DISK_LOOK_S = 600.0  # between two looks at the log as it lies on the disk
-LOOK_S = 1.0  # for the leader to say what it knows
+DISK_CHECK_S = 600.0  # between two looks at the log as it lies on the disk
+REPORTS_TIMEOUT_S = 1.0  # for the leader to say what it knows
 
 
-class CopiesRoom:
+class ReplicationService:
     """Raises OSError at the start where its folder cannot be used."""
 
     def __init__(self, group: GroupRoom, read: Callable[[], Options], folder: Path) -> None:
@@ -52,30 +52,30 @@
         self.group, self.read, self.folder = group, read, folder
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.keeper: Keeper | None = None
+        self.replica_node: ReplicaNode | None = None
         self.log: Log | None = None
         self.writer: Writer | None = None
-        self.life = 0  # of the keeper: a word of the disk to an earlier one is none to this one
+        self.generation = 0  # of the replica node: a word of the disk to an earlier one is none to this one
         self.held: deque[keepers.Send] = deque()
-        self.outgoing: dict[str, list[Word]] = defaultdict(list)
+        self.outgoing: dict[str, list[Message]] = defaultdict(list)
         self.flushing = False
         self.rewriting = False
         self.tasks: set[asyncio.Task[Any]] = set()
         self.ended = False
         self.tell: Callable[[str], None] = lambda text: None
-        self.listeners: list[Callable[[str, Word], None]] = []  # for snapshots
+        self.listeners: list[Callable[[str, Message], None]] = []  # for snapshots
 
     # The room
 
     def join(self, proxy: Proxy) -> None:
-        self.group.guests[ROOM] = self
+        self.group.guests[GUEST_NAME] = self
 
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
         lines = await asyncio.to_thread(self._open)
         self._begin(lines)
         self._spawn(self._tick())
-        self._spawn(self._look_at_disk())
+        self._spawn(self._check_disk())
 
     def reload(self, config: Config) -> None:
         try:
@@ -86,9 +86,9 @@
         # What was promised under a longer time holds, whatever comes after it.
         options.longest_us = max(options.longest_us, self.options.longest_us)
         self.options = options
-        if self.keeper is not None:
-            self.keeper.options = options
-            self.keeper.shelf.bounds = options.bounds
+        if self.replica_node is not None:
+            self.replica_node.options = options
+            self.replica_node.store.bounds = options.bounds
 
     async def close(self) -> None:
         self.ended = True
@@ -114,39 +114,39 @@
 
     def _begin(self, lines: list[bytes]) -> None:
         assert self.loop is not None and self.log is not None
-        self.life += 1
-        life = self.life
+        self.generation += 1
+        generation = self.generation
         self.held.clear()
-        holder = self.log.identity.hex()
+        disk_id = self.log.identity.hex()
         try:
-            if self.keeper is None:
+            if self.replica_node is None:
                 chance = random.Random(secrets.randbits(64))
-                self.keeper = Keeper(self.options, holder, lines, clock_us(), chance)
+                self.replica_node = ReplicaNode(self.options, disk_id, lines, clock_us(), chance)
             else:
-                self.keeper.reopen(holder, lines)
+                self.replica_node.reopen(disk_id, lines)
         except msgspec.MsgspecError as error:
             raise OSError(None, f"the copies in {self.folder} are of a later program: {error}") from None
         self.writer = Writer(
             self.log,
             self.loop,
-            lambda token: self._durable(life, token),
-            lambda why: self._failed(life, why),
+            lambda token: self._durable(generation, token),
+            lambda why: self._failed(generation, why),
         )
         self.agreed()
 
-    def _durable(self, life: int, token: int) -> None:
-        if life != self.life or self.keeper is None:
+    def _durable(self, generation: int, token: int) -> None:
+        if generation != self.generation or self.replica_node is None:
             return
-        self.keeper.saved(clock_us(), token)
+        self.replica_node.saved(clock_us(), token)
         while self.held and self.held[0].after <= token:
             self._send(self.held.popleft())
         self.settle()
 
-    def _failed(self, life: int, why: str) -> None:
-        if life != self.life or self.keeper is None:
+    def _failed(self, generation: int, why: str) -> None:
+        if generation != self.generation or self.replica_node is None:
             return
         self.held.clear()
-        self.keeper.failed(why)
+        self.replica_node.failed(why)
         self.settle()
         self._spawn(self._anew())
 
@@ -168,20 +168,23 @@
             return
 
     def _write(self, save: keepers.Save) -> None:
-        assert self.writer is not None and self.log is not None and self.keeper is not None
+        assert self.writer is not None and self.log is not None and self.replica_node is not None
         self.writer.write(save.token, save.lines)
-        shelf = self.keeper.shelf
-        if self.log.length > min(GROWN_BYTES + GROWN_SHARE * shelf.stored, FULL_BYTES) and not self.rewriting:
+        store = self.replica_node.store
+        if (
+            self.log.length > min(GROWN_BYTES + GROWN_SHARE * store.stored_bytes, FULL_BYTES)
+            and not self.rewriting
+        ):
             self.rewriting = True
-            self.writer.write(save.token, list(shelf.lines()), anew=True)
+            self.writer.write(save.token, list(store.lines()), anew=True)
             assert self.loop is not None
             self.loop.call_later(1.0, self._rewritten)
 
-    async def _look_at_disk(self) -> None:
+    async def _check_disk(self) -> None:
         """What the disk has spoilt is written anew from what is held here, before a restart would miss it."""
         while True:
-            await asyncio.sleep(DISK_LOOK_S)
-            it, writer, held = self.keeper, self.writer, self.log
+            await asyncio.sleep(DISK_CHECK_S)
+            it, writer, held = self.replica_node, self.writer, self.log
             if it is None or writer is None or held is None or it.broken:
                 continue
             try:
@@ -190,56 +193,56 @@
                 damage = error.strerror or str(error)
             if damage and held is self.log and not it.broken:
                 self._say(f"copies: the log on disk is damaged ({damage}), and is written anew")
-                writer.write(it.token, list(it.shelf.lines()), anew=True)
+                writer.write(it.token, list(it.store.lines()), anew=True)
 
     def _rewritten(self) -> None:
         self.rewriting = False
 
-    # The keeper
+    # The replica node
 
     def heard(self, name: str, data: bytes) -> None:
-        if self.keeper is None:
+        if self.replica_node is None:
             return
         try:
             found = messages.decode(data)
         except msgspec.MsgspecError as error:
             log.warning("a word on copies from %s that this program does not know: %s", name, error)
             return
-        for word in found:
-            self._hear(name, word)
+        for message in found:
+            self._receive(name, message)
         self.settle()
 
-    def _hear(self, name: str, word: Word) -> None:
-        assert self.keeper is not None
+    def _receive(self, name: str, message: Message) -> None:
+        assert self.replica_node is not None
         try:
-            self.keeper.receive(clock_us(), name, word)
+            self.replica_node.receive(clock_us(), name, message)
             for listen in self.listeners:
-                listen(name, word)
+                listen(name, message)
         except Exception:
             log.exception("failed on a word on copies from %s", name)
 
     def agreed(self) -> None:
-        it = self.keeper
+        it = self.replica_node
         if it is None:
             return
         number, data = self.group.word(TIME)
         if number > it.clock.number:
             it.ticked(clock_us(), number, data)
-        number, data = self.group.word(ROOM)
+        number, data = self.group.word(GUEST_NAME)
         if number > it.number:
             it.agreed(clock_us(), number, data)
 
     def against(self, name: str) -> str:
-        it = self.keeper
+        it = self.replica_node
         if it is None or it.placement.before is None:
             return ""
-        if all(seat.name != name for seat in (*it.placement.seats, *it.placement.before)):
+        if all(replica.name != name for replica in (*it.placement.replicas, *it.placement.before)):
             return ""
         return f"{name} holds copies that are being moved: wait until `badgergap copies status` says ok"
 
     async def _tick(self) -> None:
         while True:
-            it, member = self.keeper, self.group.member
+            it, member = self.replica_node, self.group.member
             if it is not None:
                 now = clock_us()
                 try:
@@ -250,39 +253,39 @@
                     self.settle()
                 except Exception:
                     log.exception("the tick of copies failed")
-            busy = it is not None and (it.proposer.ops or it.passes or it.asks)
+            busy = it is not None and (it.proposer.operations or it.comparisons or it.claim_queries)
             await asyncio.sleep(BUSY_S if busy else IDLE_S)
 
     def settle(self) -> None:
-        """Carry out what the keeper wants done. Called after whatever happens to it."""
-        it = self.keeper
+        """Carry out what the replica node wants done. Called after whatever happens to it."""
+        it = self.replica_node
         if it is None:
             return
-        for todo in it.take():
-            match todo:
+        for action in it.take():
+            match action:
                 case keepers.Save():
                     if not it.broken:
-                        self._write(todo)
+                        self._write(action)
                 case keepers.Send():
-                    if todo.after > it.durable:
-                        self.held.append(todo)
+                    if action.after > it.durable:
+                        self.held.append(action)
                     else:
-                        self._send(todo)
-                case Wish():
-                    self.group.keep(TIME if todo.kind == "time" else ROOM, todo.number, todo.data)
-                case Shout():
-                    self._say(todo.text)
+                        self._send(action)
+                case Proposal():
+                    self.group.keep(TIME if action.kind == "time" else GUEST_NAME, action.number, action.data)
+                case Alert():
+                    self._say(action.text)
 
     def _send(self, send: keepers.Send) -> None:
-        self.outgoing[send.name].append(send.word)
+        self.outgoing[send.name].append(send.message)
         if not self.flushing:
             self.flushing = True
             assert self.loop is not None
             self.loop.call_soon(self._flush)
 
-    def say(self, name: str, word: Word) -> None:
+    def say(self, name: str, message: Message) -> None:
         """To the member of that name."""
-        self._send(keepers.Send(name, word))
+        self._send(keepers.Send(name, message))
 
     def _flush(self) -> None:
         self.flushing = False
@@ -290,20 +293,20 @@
         own = outgoing.pop(self.options.name, [])
         for name, said in outgoing.items():
             self._frames(name, said)
-        for word in own:
-            if self.keeper is not None:
-                self._hear(self.options.name, word)
+        for message in own:
+            if self.replica_node is not None:
+                self._receive(self.options.name, message)
         if own:
             self.settle()
 
-    def _frames(self, name: str, said: list[Word]) -> None:
+    def _frames(self, name: str, said: list[Message]) -> None:
         data = messages.encode(said)
         if len(data) > FRAME_BYTES and len(said) > 1:
             half = len(said) // 2
             self._frames(name, said[:half])
             self._frames(name, said[half:])
         else:
-            self.group.pass_on(name, ROOM, data)
+            self.group.pass_on(name, GUEST_NAME, data)
 
     def _say(self, text: str) -> None:
         log.warning("%s", text)
@@ -311,36 +314,38 @@
 
     # What others here want
 
-    async def change(self, key: bytes, change: Change, within_s: float, grip: Grip | None = None) -> Result:
+    async def change(
+        self, key: bytes, change: Change, within_s: float, prepared: PreparedBallot | None = None
+    ) -> Result:
         """A change of a register, from here."""
-        assert self.loop is not None and self.keeper is not None
+        assert self.loop is not None and self.replica_node is not None
         done: asyncio.Future[Result] = self.loop.create_future()
 
         def over(result: Result) -> None:
             if not done.done():
                 done.set_result(result)
 
-        self.keeper.change(clock_us(), key, change, over, int(within_s * 1e6), grip)
+        self.replica_node.change(clock_us(), key, change, over, int(within_s * 1e6), prepared)
         self.settle()
         return await done
 
-    async def look(self) -> messages.Looked | None:
-        """What the leader knows of all seats."""
-        it = self.keeper
+    async def look(self) -> messages.ReportSummary | None:
+        """What the leader knows of all replicas."""
+        it = self.replica_node
         if it is None:
             return None
         asked = clock_us()
         it.look()
         self.settle()
-        deadline = asyncio.get_running_loop().time() + LOOK_S
+        deadline = asyncio.get_running_loop().time() + REPORTS_TIMEOUT_S
         while asyncio.get_running_loop().time() < deadline:
-            if it.looked is not None and it.looked[0] >= asked:
-                return it.looked[1]
+            if it.report_summary is not None and it.report_summary[0] >= asked:
+                return it.report_summary[1]
             await asyncio.sleep(0.003)
         return None
 
     def line(self) -> str:
-        it = self.keeper
+        it = self.replica_node
         if it is None or not it.placement.epoch:
             return "copies: none is placed yet"
         if it.broken or it.stuck:
@@ -348,20 +353,23 @@
         behind = f", {len(it.behind)} parts behind" if it.behind else ""
         state = "moving" if it.placement.before is not None else "settled"
         epoch = f"epoch {it.placement.epoch} {state}"
-        return f"copies: {it.shelf.records} records in {len(it.parts)} parts, {epoch}{behind}"
+        return f"copies: {it.store.records} records in {len(it.partitions)} parts, {epoch}{behind}"
 
     def problems(self) -> list[str]:
         """For people, in sentences."""
-        it = self.keeper
+        it = self.replica_node
         if it is None:
             return []
         found = []
         if it.broken or it.stuck:
             found.append(f"This gateway keeps no copies: {it.broken or it.stuck}.")
-        holes = sum(it.placement.is_hole(part, it.clock.agreed_us) for part in range(it.placement.parts))
+        holes = sum(
+            it.placement.is_hole(partition, it.clock.agreed_us)
+            for partition in range(it.placement.partitions)
+        )
         if holes:
             found.append(
-                f"{holes} of {it.placement.parts} parts have lost a majority of their copies: "
+                f"{holes} of {it.placement.partitions} parts have lost a majority of their copies: "
                 "keys that are not found there are answered as in doubt."
             )
         return found
--- a/badgergap/replication/snapshot.py
+++ b/badgergap/replication/snapshot.py
@@ -2,8 +2,8 @@
 
     "BGCOPIES", then one zstandard stream of frames, each behind its length: a `Head`, `Page`s, a `Foot`
 
-The foot has the number of records and a BLAKE2b digest of all that came before it, so a file that is cut off,
-changed or not a snapshot is refused whole, before anything of it is used.
+The foot has the number of records and a BLAKE2b digest of all that came before it, so a file that is cut
+off, changed or not a snapshot is refused whole, before anything of it is used.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 PAGE = 512  # records
 
 
-class BadSnapshot(Exception):
+class BadSnapshotError(Exception):
     """A file that is none, or damaged, or of a later program, in words."""
 
 
@@ -101,44 +101,44 @@
     digest, count, before = hashlib.blake2b(digest_size=16), 0, b""
     for frame in _read(path):
         if foot is not None:
-            raise BadSnapshot("something lies behind its end")
+            raise BadSnapshotError("something lies behind its end")
         digest.update(before)
         before = msgspec.msgpack.encode(frame)
         if isinstance(frame, Foot):
             foot = frame
             if foot.digest != digest.digest() or foot.count != count:
-                raise BadSnapshot("it is damaged: its digest is another")
+                raise BadSnapshotError("it is damaged: its digest is another")
         elif isinstance(frame, Page):
             count += len(frame.records)
         elif head is None and not count:
             head = frame
             if head.format > FORMAT:
-                raise BadSnapshot(f"it is of format {head.format}, and this program knows {FORMAT}")
+                raise BadSnapshotError(f"it is of format {head.format}, and this program knows {FORMAT}")
         else:
-            raise BadSnapshot("it has two beginnings")
+            raise BadSnapshotError("it has two beginnings")
     if head is None or foot is None:
-        raise BadSnapshot("it is cut off")
+        raise BadSnapshotError("it is cut off")
     return Snapshot(head, count, path)
 
 
 def _read(path: Path) -> Iterator[Head | Page | Foot]:
     with path.open("rb") as file:
         if file.read(len(MAGIC)) != MAGIC:
-            raise BadSnapshot("it does not begin like a snapshot")
+            raise BadSnapshotError("it does not begin like a snapshot")
         try:
             with zstandard.ZstdDecompressor(max_window_size=1 << 27).stream_reader(file) as stream:
                 while length := _exactly(stream, LENGTH.size):
                     (size,) = LENGTH.unpack(length)
                     if size > FRAME_LIMIT:
-                        raise BadSnapshot("it is damaged: a frame is too long")
+                        raise BadSnapshotError("it is damaged: a frame is too long")
                     data = _exactly(stream, size)
                     if len(data) < size:
-                        raise BadSnapshot("it is cut off")
+                        raise BadSnapshotError("it is cut off")
                     yield _frames.decode(data)
         except zstandard.ZstdError as error:
-            raise BadSnapshot(f"it is damaged: {error}") from None
+            raise BadSnapshotError(f"it is damaged: {error}") from None
         except msgspec.MsgspecError as error:
-            raise BadSnapshot(f"it cannot be read: {error}") from None
+            raise BadSnapshotError(f"it cannot be read: {error}") from None
 
 
 def _exactly(stream: IO[bytes] | Any, size: int) -> bytes:
@@ -148,7 +148,7 @@
         more = stream.read(size - len(data))
         if not more:
             if data and size == LENGTH.size:
-                raise BadSnapshot("it is cut off")
+                raise BadSnapshotError("it is cut off")
             return data
         data += more
     return data
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -28,7 +28,7 @@
 from badgergap.replication import learned_state
 from badgergap.replication import messages
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.learned_state import Lesson
+from badgergap.replication.learned_state import HealthSnapshot
 from badgergap.balancing.interface import Outcome
 from badgergap.balancing.interface import Send as Attempted
 from badgergap.standins.rig import Gateway, Rig, rig
@@ -277,8 +277,13 @@
             moved = time.monotonic()
             while True:
                 status = await copies_of(b)
-                seat = next(seat for seat in status["seats"] if seat["name"] == a.name)
-                if not status["moving"] and seat["there"] and not seat["behind"] and seat["records"] >= count:
+                replica = next(replica for replica in status["seats"] if replica["name"] == a.name)
+                if (
+                    not status["moving"]
+                    and replica["there"]
+                    and not replica["behind"]
+                    and replica["records"] >= count
+                ):
                     break
                 await asyncio.sleep(0.1)
             filled = time.monotonic() - moved
@@ -318,7 +323,7 @@
 
     def send(self, node: Node, send: Send) -> None:
         if send.name != node.name:
-            self.sizes += len(messages.encode([send.word])) + 60
+            self.sizes += len(messages.encode([send.message])) + 60
         super().send(node, send)
 
 
@@ -329,29 +334,29 @@
     many as it would have of all: what the others hold beside has no part in filling it. At rest that leaves
     the messages as they are, which compare parts by checksums.
     """
-    world = Counted(1, members, 3, zones=5, checked=False, parts=256)
+    world = Counted(1, members, 3, zones=5, checked=False, partitions=256)
     world.run(8 * S)
-    some = next(iter(world.nodes.values())).keeper
+    some = next(iter(world.nodes.values())).replica_node
     assert some is not None
     done = records.done(
         records.begun("c", "n0", 1, b"d" * 16, "", "k", 0, 36_000 * S), 200, ((b"a", b"b"),), b"x" * 200
     )
-    seats = [[seat.name for seat in some.placement.members(part)] for part in range(256)]
-    shares = Counter(name for part in seats for name in part)
+    replicas = [[replica.name for replica in some.placement.members(partition)] for partition in range(256)]
+    shares = Counter(name for partition in replicas for name in partition)
     lost = world.nodes[shares.most_common(1)[0][0]]
     laid, encoded = 0, records.encode(done)
     for n in range(count):
         key = records.key_of("", "r", b"%d" % n)
-        if count > WHOLE and lost.name not in seats[key[0]]:
+        if count > WHOLE and lost.name not in replicas[key[0]]:
             continue
         laid += 1
-        for name in seats[key[0]]:
-            keeper = world.nodes[name].keeper
-            assert keeper is not None
-            line = keeper.shelf.adopt(key, (1, 1, 1, 0), encoded, 0)
+        for name in replicas[key[0]]:
+            replica_node = world.nodes[name].replica_node
+            assert replica_node is not None
+            line = replica_node.store.adopt_chosen(key, (1, 1, 1, 0), encoded, 0)
             world.nodes[name].disk.durable.append(line)
-    held = sorted(n.keeper.shelf.records for n in world.nodes.values() if n.keeper is not None)
-    most = lost.keeper.shelf.records if lost.keeper is not None else 0
+    held = sorted(n.replica_node.store.records for n in world.nodes.values() if n.replica_node is not None)
+    most = lost.replica_node.store.records if lost.replica_node is not None else 0
     print(
         f"{members} members, {count} records, {laid} of them laid out: {held[0]} to {held[-1]} a member, "
         f"{most} at the one that will be lost, {shares[lost.name]} parts",
@@ -370,20 +375,22 @@
     while world.now - began < 600 * S:
         world.run(world.now + 250 * MS)
         placement = some.placement
-        seated = placement.before is None and any(seat.holder == lost.holder for seat in placement.seats)
+        seated = placement.before is None and any(
+            replica.disk_id == lost.disk_id for replica in placement.replicas
+        )
         # The epoch needs a majority of each set; the one that is filled may come after that.
-        if seated and lost.keeper is not None and lost.keeper.shelf.records >= most:
+        if seated and lost.replica_node is not None and lost.replica_node.store.records >= most:
             break
-    assert lost.keeper is not None
+    assert lost.replica_node is not None
     print(
         f"a lost member of {most} records is filled in {(world.now - began) / S:.1f} s with "
-        f"{lost.keeper.shelf.records}; {world.messages - messages} messages, "
+        f"{lost.replica_node.store.records}; {world.messages - messages} messages, "
         f"{(world.sizes - sizes) / 1e6:.1f} MB"
     )
 
 
-def lessons() -> None:
-    for boxes in (10, 100, learned_state.BOXES_MOST):
+def snapshots() -> None:
+    for boxes in (10, 100, learned_state.ENDPOINTS_LIMIT):
         driver = Driver(servers=boxes)
         for n in range(min(20 * boxes, 4000)):
             name, actions = driver.arrive()
@@ -394,7 +401,9 @@
         took, data = [], b""
         for _ in range(20):
             began = time.perf_counter()
-            packed = learned_state.pack(Lesson(driver.now_us, ("a",), {"": driver.balancer.snapshot()}))
+            packed = learned_state.pack(
+                HealthSnapshot(driver.now_us, ("a",), {"": driver.balancer.snapshot()})
+            )
             took.append(time.perf_counter() - began)
             assert packed is not None
             data = packed
@@ -421,7 +430,7 @@
         case "steps":
             return asyncio.run(steps(args.points))
         case "lessons":
-            lessons()
+            snapshots()
         case "size":
             size(args.members, args.records)
     return 0
--- a/tests/compatibility/test_replication_bytes.py
+++ b/tests/compatibility/test_replication_bytes.py
@@ -23,14 +23,14 @@
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
     # replication messages
     (
-        replication_messages.Prepare(op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9)),
+        replication_messages.Prepare(operation=2, epoch=3, disk_id="s4", key=b"b5", ballot=(6, 7, 8, 9)),
         "96a1700203a27334c40262359406070809",
     ),
     (
         replication_messages.Promised(
-            op=2,
+            operation=2,
             epoch=3,
-            holder="s4",
+            disk_id="s4",
             ballot=(5, 6, 7, 8),
             ok=False,
             accepted=(10, 11, 12, 13),
@@ -41,36 +41,54 @@
     ),
     (
         replication_messages.Accept(
-            op=2, epoch=3, holder="s4", key=b"b5", ballot=(6, 7, 8, 9), prior=(10, 11, 12, 13), value=b"b14"
+            operation=2,
+            epoch=3,
+            disk_id="s4",
+            key=b"b5",
+            ballot=(6, 7, 8, 9),
+            prior=(10, 11, 12, 13),
+            value=b"b14",
         ),
         "98a1610203a27334c40262359406070809940a0b0c0dc403623134",
     ),
     (
         replication_messages.Accepted(
-            op=2, epoch=3, holder="s4", ballot=(5, 6, 7, 8), ok=False, promised=(10, 11, 12, 13), full=True
+            operation=2,
+            epoch=3,
+            disk_id="s4",
+            ballot=(5, 6, 7, 8),
+            ok=False,
+            promised=(10, 11, 12, 13),
+            full=True,
         ),
         "98a1620203a273349405060708c2940a0b0c0dc3",
     ),
-    (replication_messages.Compare(epoch=2, holder="s3", part=4, sums=(5,), had=6), "96a16302a2733304910506"),
+    (
+        replication_messages.Compare(epoch=2, disk_id="s3", partition=4, checksums=(5,), had=6),
+        "96a16302a2733304910506",
+    ),
     (
         replication_messages.Compared(
-            epoch=2, holder="s3", part=4, same=(5,), marks={6: [(b"b7", (8, 9, 10, 11), 12)]}
+            epoch=2, disk_id="s3", partition=4, same=(5,), digests={6: [(b"b7", (8, 9, 10, 11), 12)]}
         ),
         "96a16402a2733304910581069193c40262379408090a0b0c",
     ),
-    (replication_messages.Fetch(epoch=2, holder="s3", part=4, keys=[b"b5"]), "95a16602a273330491c4026235"),
+    (
+        replication_messages.Fetch(epoch=2, disk_id="s3", partition=4, keys=[b"b5"]),
+        "95a16602a273330491c4026235",
+    ),
     (
         replication_messages.Fetched(
-            epoch=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], gone=[b"b11"]
+            epoch=2, disk_id="s3", partition=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], gone=[b"b11"]
         ),
         "96a16702a27333049193c40262359406070809c40362313091c403623131",
     ),
-    (replication_messages.Ask(op=2, life=3, claim="s4"), "94a1770203a27334"),
-    (replication_messages.Told(op=2, state="s3"), "93a17802a27333"),
+    (replication_messages.QueryClaim(operation=2, incarnation=3, claim="s4"), "94a1770203a27334"),
+    (replication_messages.ClaimAnswer(operation=2, state="s3"), "93a17802a27333"),
     (
         replication_messages.Report(
             zone="s2",
-            holder="s3",
+            disk_id="s3",
             epoch=4,
             filled=b"b5",
             behind=b"b6",
@@ -83,14 +101,14 @@
         ),
         "9ca172a27332a2733304c4026235c4026236070809a37331300b0c",
     ),
-    (replication_messages.Look(), "91a16c"),
+    (replication_messages.QueryReports(), "91a16c"),
     (
-        replication_messages.Looked(
+        replication_messages.ReportSummary(
             epoch=2,
             lines={
                 "s3": replication_messages.Report(
                     zone="s4",
-                    holder="s5",
+                    disk_id="s5",
                     epoch=6,
                     filled=b"b7",
                     behind=b"b8",
@@ -105,27 +123,29 @@
         ),
         "93a16d0281a273339ca172a27334a2733506c4026237c4026238090a0ba37331320d0e",
     ),
-    (replication_messages.Freeze(id=2, epoch=3, holder="s4"), "94a17a0203a27334"),
-    (replication_messages.Frozen(id=2, holder="s3"), "93a17902a27333"),
-    (replication_messages.Thaw(id=2, holder="s3"), "93a17402a27333"),
-    (replication_messages.Page(id=2, holder="s3", part=4, after=b"b5"), "95a16e02a2733304c4026235"),
+    (replication_messages.Freeze(id=2, epoch=3, disk_id="s4"), "94a17a0203a27334"),
+    (replication_messages.Frozen(id=2, disk_id="s3"), "93a17902a27333"),
+    (replication_messages.Unfreeze(id=2, disk_id="s3"), "93a17402a27333"),
+    (replication_messages.Page(id=2, disk_id="s3", partition=4, after=b"b5"), "95a16e02a2733304c4026235"),
     (
         replication_messages.Paged(
-            id=2, holder="s3", part=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], more=False
+            id=2, disk_id="s3", partition=4, items=[(b"b5", (6, 7, 8, 9), b"b10")], more=False
         ),
         "96a16f02a27333049193c40262359406070809c403623130c2",
     ),
     # learned state
-    (replication_learned_state.Keep(lesson=b"b2"), "92a16bc4026232"),
-    (replication_learned_state.Want(), "91a177"),
-    (replication_learned_state.Have(lesson=b"b2", age_us=3), "93a168c402623203"),
+    (replication_learned_state.StoreSnapshot(health_snapshot=b"b2"), "92a16bc4026232"),
+    (replication_learned_state.QuerySnapshot(), "91a177"),
+    (replication_learned_state.StoredSnapshot(health_snapshot=b"b2", age_us=3), "93a168c402623203"),
     (
-        replication_learned_state.Lesson(taken_us=2, classes=("s3",), pools={"s4": {"s5": {"mean_out": 6}}}),
+        replication_learned_state.HealthSnapshot(
+            taken_us=2, classes=("s3",), pools={"s4": {"s5": {"mean_out": 6}}}
+        ),
         "930291a2733381a2733481a2733581a86d65616e5f6f757406",
     ),
     # replication data
     (
-        replication_acceptor.Line(epoch=2, reserve=3, key=b"b4", ballot=(5, 6, 7, 8), value=b"b9"),
+        replication_acceptor.StoredLine(epoch=2, reserve=3, key=b"b4", ballot=(5, 6, 7, 8), value=b"b9"),
         "950203c40262349405060708c4026239",
     ),
     (replication_group_clock.Tick(now_us=2, sure_since_us=3), "920203"),
@@ -133,11 +153,11 @@
         replication_placement.Placement(
             epoch=2,
             copies=3,
-            seats=(replication_placement.Seat(name="s4", zone="s5", holder="s6"),),
-            before=(replication_placement.Seat(name="s7", zone="s8", holder="s9"),),
+            replicas=(replication_placement.Replica(name="s4", zone="s5", disk_id="s6"),),
+            before=(replication_placement.Replica(name="s7", zone="s8", disk_id="s9"),),
             holes={10: 11},
             lost=(12,),
-            parts=13,
+            partitions=13,
             format=1,
         ),
         "9802039193a27334a27335a273369193a27337a27338a27339810a0b910c0d01",
@@ -153,13 +173,13 @@
             state="begun",
             claim="s2",
             owner="s3",
-            life=4,
+            incarnation=4,
             digest=b"b5",
             tenant="s6",
             label="s7",
             at_us=8,
             expires_us=9,
-            boxes=(10,),
+            endpoints=(10,),
             again=False,
             status=12,
             headers=((b"b13", b"b14"),),
@@ -173,13 +193,13 @@
             state="free",
             claim="s2",
             owner="s3",
-            life=4,
+            incarnation=4,
             digest=b"b5",
             tenant="s6",
             label="s7",
             at_us=8,
             expires_us=9,
-            boxes=(10,),
+            endpoints=(10,),
             again=False,
             status=12,
             headers=((b"b13", b"b14"),),
@@ -193,13 +213,13 @@
             state="done",
             claim="s2",
             owner="s3",
-            life=4,
+            incarnation=4,
             digest=b"b5",
             tenant="s6",
             label="s7",
             at_us=8,
             expires_us=9,
-            boxes=(10,),
+            endpoints=(10,),
             again=False,
             status=12,
             headers=((b"b13", b"b14"),),
@@ -213,13 +233,13 @@
             state="doubt",
             claim="s2",
             owner="s3",
-            life=4,
+            incarnation=4,
             digest=b"b5",
             tenant="s6",
             label="s7",
             at_us=8,
             expires_us=9,
-            boxes=(10,),
+            endpoints=(10,),
             again=False,
             status=12,
             headers=((b"b13", b"b14"),),
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from badgergap.replication.idempotency_filter import Held
+from badgergap.replication.keyed_attempt import PendingAttempt
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy import unread_input
@@ -687,7 +687,7 @@
             asyncio.get_running_loop(), connections=1, connect_timeout_us=0, idle_us=0, drain_grace_us=0
         )
         seat = SimpleNamespace(
-            loop=upstream.loop, once=SimpleNamespace(attempt_over=over.append, launch=lambda *_: None)
+            loop=upstream.loop, idempotent=SimpleNamespace(attempt_over=over.append, launch=lambda *_: None)
         )
         books = SimpleNamespace(ended=lambda outcome, answer: told.append(outcome))
         begun: list[float] = []
@@ -695,7 +695,7 @@
         def begin(left_s: float, told: Books) -> Any:
             begun.append(left_s)
 
-        held = Held(seat, upstream, 9.0, books, begin)  # type: ignore[arg-type]
+        held = PendingAttempt(seat, upstream, 9.0, books, begin)  # type: ignore[arg-type]
         held.unwant()
         held.go(True)
         assert told == [Outcome.NEVER_SENT] and over == [False] and not begun
--- a/tests/replication/dying.py
+++ b/tests/replication/dying.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 STEPS = [
-    ("badgergap.replication.service", "CopiesRoom", "_send"),
-    ("badgergap.replication.service", "CopiesRoom", "_write"),
-    ("badgergap.replication.service", "CopiesRoom", "_durable"),
-    ("badgergap.replication.service", "CopiesRoom", "_hear"),
+    ("badgergap.replication.service", "ReplicationService", "_send"),
+    ("badgergap.replication.service", "ReplicationService", "_write"),
+    ("badgergap.replication.service", "ReplicationService", "_durable"),
+    ("badgergap.replication.service", "ReplicationService", "_receive"),
     ("badgergap.storage.record_log", "Log", "append"),
-    ("badgergap.replication.idempotency_filter", "Held", "go"),
-    ("badgergap.replication.idempotency_filter", "Seat", "answered"),
-    ("badgergap.replication.idempotency_filter", "Seat", "reply"),
+    ("badgergap.replication.keyed_attempt", "PendingAttempt", "go"),
+    ("badgergap.replication.keyed_request", "KeyedRequest", "answered"),
+    ("badgergap.replication.keyed_request", "KeyedRequest", "reply"),
 ]
 
 
@@ -47,15 +47,15 @@
 
     for module, kind, name in STEPS:
         wrap(getattr(__import__(module, fromlist=[kind]), kind), name)
-    from badgergap.replication.idempotency_filter import Guard
+    from badgergap.replication.idempotency_filter import IdempotencyFilter
 
-    start = Guard.start
+    start = IdempotencyFilter.start
 
     def begin(self: Any, *given: Any) -> bool:
         count["on"] = 1
         return start(self, *given)
 
-    setattr(Guard, "start", begin)  # noqa: B010
+    setattr(IdempotencyFilter, "start", begin)  # noqa: B010
     from badgergap.cli.main import main as run
 
     return run(sys.argv[2:])
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -11,91 +11,101 @@
 from badgergap.replication import placement
 from badgergap.replication import idempotency_record
 from badgergap.replication import replica
-from badgergap.replication.idempotent_request import Once
-from badgergap.replication.placement import Placement, Seat
-from badgergap.replication.proposer import Grip, Op, Result
-from badgergap.replication.idempotency_record import Do, Record
-from badgergap.replication.acceptor import NONE, Ballot, Reply, Shelf
-from badgergap.replication.anti_entropy import Found, Pass
-from badgergap.replication.messages import Accept, Prepare, Promised, Word
+from badgergap.replication.idempotent_request import IdempotentRequest
+from badgergap.replication.placement import Placement, Replica
+from badgergap.replication.proposer import PreparedBallot, Operation, Result
+from badgergap.replication.idempotency_record import Decision, Record
+from badgergap.replication.acceptor import NO_BALLOT, Ballot, Reply, AcceptorStore
+from badgergap.replication.anti_entropy import Findings, PartitionComparison
+from badgergap.replication.messages import Accept, Prepare, Promised, Message
 from tests.consensus.simulation import Violation
 from tests.replication.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
 
 
-class PromisesNothing(Shelf):
+class PromisesNothing(AcceptorStore):
     def prepare(self, key: bytes, ballot: Ballot) -> Reply:
         reply = super().prepare(key, ballot)
         self.promises.pop(key, None)
         return reply
 
 
-class ForgetsPromises(Shelf):
+class ForgetsPromises(AcceptorStore):
     """A seat that starts takes nothing for promised."""
 
     @property
     def floor(self) -> Ballot:
-        return NONE
+        return NO_BALLOT
 
     @floor.setter
     def floor(self, to: Ballot) -> None:
         pass
 
 
-class AdoptsAnything(Pass):
+class AdoptsAnything(PartitionComparison):
     """What any seat holds is taken for chosen."""
 
-    def judge(self, own: dict[int, dict[bytes, tuple[Ballot, int]]], seen: dict[bytes, Ballot]) -> Found:
+    def judge(self, own: dict[int, dict[bytes, tuple[Ballot, int]]], seen: dict[bytes, Ballot]) -> Findings:
         found = super().judge(own, seen)
         found.undecided.clear()
         found.noted.clear()
-        self.lacked = len(found.wanted)
+        self.lacked = len(found.missing)
         return found
 
 
 class AnyEpoch(Watch):
-    def _on_prepare(self, name: str, word: Prepare) -> None:
-        super()._on_prepare(name, msgspec.structs.replace(word, epoch=self.shelf.epoch))
+    def _on_prepare(self, name: str, message: Prepare) -> None:
+        super()._on_prepare(name, msgspec.structs.replace(message, epoch=self.store.epoch))
 
-    def _on_accept(self, name: str, word: Accept) -> None:
-        super()._on_accept(name, msgspec.structs.replace(word, epoch=self.shelf.epoch))
+    def _on_accept(self, name: str, message: Accept) -> None:
+        super()._on_accept(name, msgspec.structs.replace(message, epoch=self.store.epoch))
 
 
 class SaysBeforeItIsWritten(Watch):
-    def _tell(self, name: str, word: Word, rests: bool = True) -> None:
-        self.out.append(replica.Send(name, word))
+    def _tell(self, name: str, message: Message, rests: bool = True) -> None:
+        self.out.append(replica.Send(name, message))
 
 
 class NoWriteBack(Watched):
     """What a look sees at one seat is relied on."""
 
-    def on_promised(self, now_us: int, word: Promised) -> None:
-        op = self.ops.get(word.op)
-        super().on_promised(now_us, word)
-        if op is not None and op.number in self.ops and op.accepting and op.wanted is not None:
-            newest = max((heard[0] for heard in op.heard.values()), default=NONE)
-            if newest > NONE and op.change(op.wanted) in (None, op.wanted):
-                self._finish(op, Result(op.wanted, Grip(op.ballot, op.wanted, False)))
+    def on_promised(self, now_us: int, message: Promised) -> None:
+        operation = self.operations.get(message.operation)
+        super().on_promised(now_us, message)
+        if (
+            operation is not None
+            and operation.number in self.operations
+            and operation.accepting
+            and operation.new_record is not None
+        ):
+            newest = max((promises[0] for promises in operation.promises.values()), default=NO_BALLOT)
+            if newest > NO_BALLOT and operation.change(operation.new_record) in (None, operation.new_record):
+                self._finish(
+                    operation,
+                    Result(
+                        operation.new_record, PreparedBallot(operation.ballot, operation.new_record, False)
+                    ),
+                )
 
 
 class GripsTwice(Watched):
     """A change goes on from one that others may have come behind."""
 
-    def _accept(self, now_us: int, op: Op, wanted: Record, prior: Ballot) -> None:
-        if prior != op.ballot or op.ballot[3]:
-            op.ballot = (op.ballot[0], self.counter, self.life, 0)
-        super()._accept(now_us, op, wanted, prior)
+    def _accept(self, now_us: int, operation: Operation, new_record: Record, prior: Ballot) -> None:
+        if prior != operation.ballot or operation.ballot[3]:
+            operation.ballot = (operation.ballot[0], self.counter, self.incarnation, 0)
+        super()._accept(now_us, operation, new_record, prior)
 
 
-class SendsAtOnce(Once):
+class SendsAtOnce(IdempotentRequest):
     """The record is written beside the request, and not before it."""
 
-    def launch(self, box: int, go: Callable[[bool], None]) -> None:
+    def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
         self.out += 1
         go(True)
-        super().launch(box, lambda may: None)
+        super().launch(endpoint, lambda may: None)
 
 
-class GivesBeforeItIsKept(Once):
+class GivesBeforeItIsKept(IdempotentRequest):
     def answered(self, status: int, headers: idempotency_record.Fields, body: bytes) -> None:
         if self.running and self.record is not None:
             given = idempotency_record.done(self.record, status, headers, body)
@@ -105,14 +115,14 @@
                 self.runner.give(given)
 
 
-class SilentIsNever(Once):
+class SilentIsNever(IdempotentRequest):
     """A gateway that says nothing is taken to have run nothing."""
 
-    def _told(self, there: Record, state: str) -> None:
-        super()._told(there, "never" if state in ("silent", "gone") else state)
+    def _on_claim_state(self, there: Record, state: str) -> None:
+        super()._on_claim_state(there, "never" if state in ("silent", "gone") else state)
 
 
-class NeverMeansFree(Once):
+class NeverMeansFree(IdempotentRequest):
     """What has been sent is called free, if no answer came."""
 
     def attempt_over(self, may_have_run: bool) -> None:
@@ -137,11 +147,11 @@
         setattr(owner, name, before)
 
 
-def new_set_alone(self: Placement, part: int) -> tuple[tuple[Seat, ...], ...]:
-    return (placement.seats_of(self.seats, self.copies, part),)
+def new_set_alone(self: Placement, partition: int) -> tuple[tuple[Replica, ...], ...]:
+    return (placement.replicas_of(self.replicas, self.copies, partition),)
 
 
-def no_holes(self: Placement, part: int, now_us: int) -> bool:
+def no_holes(self: Placement, partition: int, now_us: int) -> bool:
     return False
 
 
@@ -149,9 +159,9 @@
     return True
 
 
-def run_in_doubt(*given: object) -> Do:
+def run_in_doubt(*given: object) -> Decision:
     found = judge(*given)  # type: ignore[arg-type]
-    return Do.RUN if found is Do.DOUBT else found
+    return Decision.RUN if found is Decision.DOUBT else found
 
 
 def follows_doubt(before: Record | None, after: Record) -> bool:
@@ -172,8 +182,8 @@
     name: str
     schedule: str
     seed: int
-    keeper: type[Watch] = Watch
-    once: type[Once] = Once
+    replica_node: type[Watch] = Watch
+    once: type[IdempotentRequest] = IdempotentRequest
     world: type[World] = World
     patches: tuple[tuple[object, str, object], ...] = ()
 
@@ -185,7 +195,7 @@
             with ExitStack() as stack:
                 for patch in self.patches:
                     stack.enter_context(put(*patch))
-                schedule(at, keeper=self.keeper, once=self.once, kind=self.world)
+                schedule(at, replica_node=self.replica_node, once=self.once, kind=self.world)
         except Violation as found:
             return str(found)
         return ""
@@ -202,15 +212,20 @@
         5,
         patches=((idempotency_record, "judge", run_in_doubt), (idempotency_record, "follows", follows_doubt)),
     ),
-    Guard("a promise is kept", "crossing", 0, keeper_of(shelves=PromisesNothing)),
-    Guard("a promise is kept over a restart", "anything", 390, keeper_of(shelves=ForgetsPromises)),
-    Guard("a step is behind no other's round", "crossing", 16, keeper_of(proposers=GripsTwice)),
-    Guard("what is seen at one seat is written back", "anything", 4, keeper_of(proposers=NoWriteBack)),
+    Guard("a promise is kept", "crossing", 0, keeper_of(store_class=PromisesNothing)),
+    Guard("a promise is kept over a restart", "anything", 390, keeper_of(store_class=ForgetsPromises)),
+    Guard("a step is behind no other's round", "crossing", 16, keeper_of(proposer_class=GripsTwice)),
+    Guard("what is seen at one seat is written back", "anything", 4, keeper_of(proposer_class=NoWriteBack)),
     Guard("what is said is on disk", "anything", 51, SaysBeforeItIsWritten),
     Guard("an old epoch is refused", "joins", 1, AnyEpoch),
     Guard("both sets agree while seats move", "ruin", 2, patches=((Placement, "sets", new_set_alone),)),
     Guard("a new seat is filled before it counts", "ruin", 2, patches=((placement, "_is_held", held),)),
-    Guard("what is not chosen is settled", "anything", 64, patches=((replica, "Pass", AdoptsAnything),)),
+    Guard(
+        "what is not chosen is settled",
+        "anything",
+        64,
+        patches=((replica, "PartitionComparison", AdoptsAnything),),
+    ),
     Guard("a wiped disk is another", "moves", 148, world=SameIdentity),
     Guard("what was lost is in doubt", "ruin", 2, patches=((Placement, "is_hole", no_holes),)),
 ]
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -15,9 +15,9 @@
 from functools import partial
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.replica import Keeper, Options, Save, Send, Wish
-from badgergap.replication.idempotent_request import End, Once, Request
-from badgergap.replication.proposer import Change, Done, Grip, Op, Proposer, Result
+from badgergap.replication.replica import ReplicaNode, Options, Save, Send, Proposal
+from badgergap.replication.idempotent_request import End, IdempotentRequest, RequestSpec
+from badgergap.replication.proposer import Change, Done, PreparedBallot, Operation, Proposer, Result
 from badgergap.replication.idempotency_record import Record, Repeats, digest_of
 from badgergap.replication.acceptor import Bounds
 from tests.consensus.simulation import MS, S, Timed, Violation
@@ -26,24 +26,30 @@
 TICK_US = 25 * MS
 LEASE_US = 2_400 * MS
 PATIENCE_US = 4 * S
-PARTS = 4
+PARTITIONS = 4
 KEEP_US = 600 * S
 
 
 class Watched(Proposer):
     """Shows the checks what each change saw and what it left."""
 
-    tried: Callable[[Op, list[tuple[Record | None, Record | None]], int, Result | None], None]
+    tried: Callable[[Operation, list[tuple[Record | None, Record | None]], int, Result | None], None]
     now: Callable[[], int]
 
     def __init__(self, *given: object) -> None:
         super().__init__(*given)  # type: ignore[arg-type]
         # What is under way: its change, what it saw and wanted, since when.
-        self.tries: dict[int, tuple[Op, list[tuple[Record | None, Record | None]], int]] = {}
+        self.tries: dict[int, tuple[Operation, list[tuple[Record | None, Record | None]], int]] = {}
 
     def change(
-        self, now_us: int, key: bytes, change: Change, done: Done, until_us: int, grip: Grip | None = None
-    ) -> Op:
+        self,
+        now_us: int,
+        key: bytes,
+        change: Change,
+        done: Done,
+        until_us: int,
+        prepared: PreparedBallot | None = None,
+    ) -> Operation:
         seen: list[tuple[Record | None, Record | None]] = []
         began = self.now()
 
@@ -53,22 +59,22 @@
             return wanted
 
         def over(result: Result) -> None:
-            self.tried(op, seen, began, result)
+            self.tried(operation, seen, began, result)
             done(result)
 
-        op = super().change(now_us, key, watched, over, until_us, grip)
-        self.tries[op.number] = (op, seen, began)
-        return op
+        operation = super().change(now_us, key, watched, over, until_us, prepared)
+        self.tries[operation.number] = (operation, seen, began)
+        return operation
 
-    def _finish(self, op: Op, result: Result) -> None:
-        self.tries.pop(op.number, None)
-        super()._finish(op, result)
+    def _finish(self, operation: Operation, result: Result) -> None:
+        self.tries.pop(operation.number, None)
+        super()._finish(operation, result)
 
 
-class Watch(Keeper):
+class Watch(ReplicaNode):
     """A keeper with such a proposer. Tests put ones in its place that lack a guard."""
 
-    proposers = Watched
+    proposer_class = Watched
 
 
 class Disk:
@@ -89,11 +95,11 @@
     zone: str
     rate: float
     offset_us: int
-    holder: str
+    disk_id: str
     disk: Disk = field(default_factory=Disk)
-    keeper: Watch | None = None
-    once: type[Once] = Once
-    life: int = 0
+    replica_node: Watch | None = None
+    once: type[IdempotentRequest] = IdempotentRequest
+    incarnation: int = 0
     stopped_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)
     held: list[Send] = field(default_factory=list)
@@ -149,18 +155,18 @@
     def __init__(self, world: World, node: Node, key: bytes, ended: Callable[[Asked], None]) -> None:
         self.world, self.node, self.ended = world, node, ended
         self.asked = Asked(key, node.name, world.now)
-        self.life = node.life
+        self.incarnation = node.incarnation
         self.only: tuple[int, ...] | None = None
         self.attempts = 0
         self.turn = 0  # of the decisions: what an earlier one was told counts no more
         self.over = False
         world.asked.append(self.asked)
-        keeper = node.keeper
+        replica_node = node.replica_node
         world.after(PATIENCE_US, lambda: self.finish("left"))
-        if keeper is None or node.stopped_until > world.now or not world.may_act(node):
+        if replica_node is None or node.stopped_until > world.now or not world.may_act(node):
             world.after(MS, lambda: self.finish("refused"))
             return
-        request = Request(
+        request = RequestSpec(
             key,
             digest_of(b"POST", b"/", b"", key),
             "",
@@ -169,17 +175,17 @@
             Repeats(60 * S, True) if world.boxes_know else Repeats(),
         )
         until = world.local(node) + PATIENCE_US - 20 * MS
-        self.once = node.once(keeper, self, request, lambda: world.local(node), until)
+        self.once = node.once(replica_node, self, request, lambda: world.local(node), until)
 
     def begin(self) -> None:
         if not self.over and hasattr(self, "once"):
-            self.world.do(self.node, self.life, lambda keeper: self.once.begin())
+            self.world.do(self.node, self.incarnation, lambda replica_node: self.once.begin())
 
     def finish(self, how: str, body: bytes = b"") -> None:
         if not self.over:
             self.over = True
             if how == "left" and hasattr(self, "once"):
-                self.world.do(self.node, self.life, lambda keeper: self.once.left())
+                self.world.do(self.node, self.incarnation, lambda replica_node: self.once.left())
             self.asked.ended, self.asked.how, self.asked.body = self.world.now, how, body
             self.ended(self.asked)
 
@@ -200,8 +206,8 @@
         self.finish(how.name)
 
     def after(self, delay_us: int, what: Callable[[], None]) -> None:
-        node, life = self.node, self.life
-        self.world.after(delay_us, lambda: self.world.do(node, life, lambda keeper: what()))
+        node, incarnation = self.node, self.incarnation
+        self.world.after(delay_us, lambda: self.world.do(node, incarnation, lambda replica_node: what()))
 
     # Decisions
 
@@ -270,17 +276,17 @@
         nodes: int = 5,
         copies: int = 3,
         boxes_know: bool = False,
-        keeper: type[Watch] = Watch,
-        once: type[Once] = Once,
+        replica_node: type[Watch] = Watch,
+        once: type[IdempotentRequest] = IdempotentRequest,
         keep_us: int = KEEP_US,
         zones: int = 3,
         checked: bool = True,
-        parts: int = PARTS,
+        partitions: int = PARTITIONS,
     ) -> None:
         super().__init__()
         self.seed, self.random = seed, random.Random(seed)
-        self.kind, self.copies, self.boxes_know, self.keep_us = keeper, copies, boxes_know, keep_us
-        self.checked, self.parts = checked, parts
+        self.kind, self.copies, self.boxes_know, self.keep_us = replica_node, copies, boxes_know, keep_us
+        self.checked, self.partitions = checked, partitions
         self.log: list[tuple[str, int, bytes]] = []
         self.numbers: dict[str, int] = defaultdict(int)
         self.leader = ""
@@ -316,75 +322,81 @@
     # Processes
 
     def boot(self, node: Node) -> None:
-        node.life += 1
+        node.incarnation += 1
         node.held, node.stopped_until, node.applied, node.broken = [], 0, 0, False
-        keeper = node.keeper = self.kind(
+        replica_node = node.replica_node = self.kind(
             Options(
-                node.name, node.zone, self.copies, 4000, Bounds(), parts=self.parts, longest_us=self.keep_us
+                node.name,
+                node.zone,
+                self.copies,
+                4000,
+                Bounds(),
+                partitions=self.partitions,
+                longest_us=self.keep_us,
             ),
-            node.holder,
+            node.disk_id,
             list(node.disk.durable),
             self.local(node),
             random.Random(self.random.random()),
         )
-        life, watch = node.life, keeper.proposer
+        incarnation, watch = node.incarnation, replica_node.proposer
         assert isinstance(watch, Watched)
-        watch.tried = self.op_over
+        watch.tried = self.operation_over
         watch.now = lambda: self.now
         self.settle(node)
-        self.tick(node, life)
+        self.tick(node, incarnation)
 
     def boot_if_down(self, node: Node) -> None:
-        if node.keeper is None and not node.removed:
+        if node.replica_node is None and not node.removed:
             self.boot(node)
 
-    def tick(self, node: Node, life: int) -> None:
-        if node.keeper is None or node.life != life:
+    def tick(self, node: Node, incarnation: int) -> None:
+        if node.replica_node is None or node.incarnation != incarnation:
             return
         if node.stopped_until <= self.now:
             self.read_log(node)
-        self.do(node, life, lambda keeper: keeper.tick(self.local(node)))
-        self.after(TICK_US + self.random.randrange(4 * MS), lambda: self.tick(node, life))
+        self.do(node, incarnation, lambda replica_node: replica_node.tick(self.local(node)))
+        self.after(TICK_US + self.random.randrange(4 * MS), lambda: self.tick(node, incarnation))
 
-    def do(self, node: Node, life: int, what: Callable[[Watch], None]) -> None:
-        if node.keeper is None or node.life != life:
+    def do(self, node: Node, incarnation: int, what: Callable[[Watch], None]) -> None:
+        if node.replica_node is None or node.incarnation != incarnation:
             return
         if node.stopped_until > self.now:
-            node.inbox.append(lambda: self.do(node, life, what))
+            node.inbox.append(lambda: self.do(node, incarnation, what))
             return
-        node.keeper.now_us = self.local(node)
-        what(node.keeper)
+        node.replica_node.now_us = self.local(node)
+        what(node.replica_node)
         self.settle(node)
 
     def settle(self, node: Node) -> None:
-        keeper, life = node.keeper, node.life
-        assert keeper is not None
-        for todo in keeper.take():
-            match todo:
+        replica_node, incarnation = node.replica_node, node.incarnation
+        assert replica_node is not None
+        for action in replica_node.take():
+            match action:
                 case Save():
                     if not node.disk.waiting:
                         most = 300 * MS if node.slow_disk else 8 * MS
-                        self.after(self.random.randrange(MS, most), lambda: self.flush(node, life))
-                    node.disk.waiting.append(todo)
+                        self.after(self.random.randrange(MS, most), lambda: self.flush(node, incarnation))
+                    node.disk.waiting.append(action)
                 case Send():
-                    if todo.after > keeper.durable:
-                        node.held.append(todo)
+                    if action.after > replica_node.durable:
+                        node.held.append(action)
                     else:
-                        self.send(node, todo)
-                case Wish():
-                    if node.name == self.leader and todo.number == self.numbers[todo.kind] + 1:
-                        self.numbers[todo.kind] = todo.number
-                        self.log.append((todo.kind, todo.number, todo.data))
-
-    def flush(self, node: Node, life: int) -> None:
-        if node.keeper is None or node.life != life or not node.disk.waiting:
+                        self.send(node, action)
+                case Proposal():
+                    if node.name == self.leader and action.number == self.numbers[action.kind] + 1:
+                        self.numbers[action.kind] = action.number
+                        self.log.append((action.kind, action.number, action.data))
+
+    def flush(self, node: Node, incarnation: int) -> None:
+        if node.replica_node is None or node.incarnation != incarnation or not node.disk.waiting:
             return
         if node.stopped_until > self.now:
-            node.inbox.append(lambda: self.flush(node, life))
+            node.inbox.append(lambda: self.flush(node, incarnation))
             return
         saves, node.disk.waiting = node.disk.waiting, []
         if node.broken:
-            node.keeper.failed("full")
+            node.replica_node.failed("full")
             node.held.clear()
             self.settle(node)
             return
@@ -392,7 +404,7 @@
             if not (node.disk.lies and self.random.random() < 0.3):
                 node.disk.durable += save.lines
         token = saves[-1].token
-        node.keeper.saved(self.local(node), token)
+        node.replica_node.saved(self.local(node), token)
         ready = [send for send in node.held if send.after <= token]
         node.held = [send for send in node.held if send.after > token]
         for send in ready:
@@ -408,19 +420,21 @@
             return
         for _ in range(2 if to is not node and self.random.random() < self.twice else 1):
             delay = self.random.randrange(100, max(200, self.slow_us)) if to is not node else 10
-            self.after(delay, partial(self.deliver, to, to.life, node.name, send))
+            self.after(delay, partial(self.deliver, to, to.incarnation, node.name, send))
 
-    def deliver(self, to: Node, life: int, name: str, send: Send) -> None:
-        self.do(to, life, lambda keeper: keeper.receive(self.local(to), name, send.word))
+    def deliver(self, to: Node, incarnation: int, name: str, send: Send) -> None:
+        self.do(
+            to, incarnation, lambda replica_node: replica_node.receive(self.local(to), name, send.message)
+        )
 
     # The group
 
     def in_touch(self, node: Node) -> bool:
         """Whether it reaches a majority of the members."""
-        if node.keeper is None or node.stopped_until > self.now or node.removed:
+        if node.replica_node is None or node.stopped_until > self.now or node.removed:
             return False
         reached = sum(
-            other.keeper is not None
+            other.replica_node is not None
             and other.stopped_until <= self.now
             and (node.name, other.name) not in self.cuts
             and (other.name, node.name) not in self.cuts
@@ -445,18 +459,18 @@
         node.in_touch_us = self.now
         if node.lags_until > self.now:
             return
-        keeper = node.keeper
-        assert keeper is not None
+        replica_node = node.replica_node
+        assert replica_node is not None
         # Some read it later than others.
         upto = len(self.log) if self.random.random() < 0.8 else node.applied
         for kind, number, data in self.log[node.applied : upto]:
             if kind == "time":
-                keeper.ticked(self.local(node), number, data)
+                replica_node.ticked(self.local(node), number, data)
             else:
-                keeper.agreed(self.local(node), number, data)
+                replica_node.agreed(self.local(node), number, data)
         node.applied = max(node.applied, upto)
         members = [each.name for each in self.nodes.values() if not each.removed]
-        keeper.led_by(self.local(node), self.leader, self.leader == node.name, members)
+        replica_node.led_by(self.local(node), self.leader, self.leader == node.name, members)
 
     # Boxes
 
@@ -476,13 +490,17 @@
 
     # What is seen
 
-    def op_over(
-        self, op: Op, seen: list[tuple[Record | None, Record | None]], began: int, result: Result | None
+    def operation_over(
+        self,
+        operation: Operation,
+        seen: list[tuple[Record | None, Record | None]],
+        began: int,
+        result: Result | None,
     ) -> None:
         """What a change may have made of its register, and what it did; `result` None: its process died."""
         if not self.checked:
             return
-        steps = self.steps[op.key]
+        steps = self.steps[operation.key]
         moves = [(_short(there), _short(left)) for there, left in seen]
         made = result is not None and not result.why
         steps += [Step(s, t, began) for s, t in dict.fromkeys(moves[: len(moves) - made]) if s != t]
@@ -494,27 +512,27 @@
     # Faults
 
     def crash(self, node: Node) -> None:
-        if node.keeper is not None:
-            watch = node.keeper.proposer
+        if node.replica_node is not None:
+            watch = node.replica_node.proposer
             assert isinstance(watch, Watched)
-            for op, seen, began in watch.tries.values():
-                self.op_over(op, seen, began, None)
-            node.keeper = None
-            node.life += 1
+            for operation, seen, began in watch.tries.values():
+                self.operation_over(operation, seen, began, None)
+            node.replica_node = None
+            node.incarnation += 1
             node.disk.crash(self.random)
             node.inbox.clear()
 
     def wipe(self, node: Node) -> None:
         self.crash(node)
-        node.disk, node.holder = Disk(), f"h{next(self.ids)}"
+        node.disk, node.disk_id = Disk(), f"h{next(self.ids)}"
 
     def stop(self, node: Node, for_us: int) -> None:
         node.stopped_until = max(node.stopped_until, self.now + for_us)
-        life = node.life
-        self.after(for_us + 1, lambda: self.go_on(node, life))
+        incarnation = node.incarnation
+        self.after(for_us + 1, lambda: self.go_on(node, incarnation))
 
-    def go_on(self, node: Node, life: int) -> None:
-        if node.life != life or node.stopped_until > self.now:
+    def go_on(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.stopped_until > self.now:
             return
         inbox, node.inbox = node.inbox, []
         for what in inbox:
@@ -586,32 +604,34 @@
     """A disk that refused is opened anew."""
     if node.broken:
         node.broken = False
-        if node.keeper is not None and node.keeper.broken:
-            node.keeper.now_us = world.local(node)
-            node.keeper.reopen(node.holder, list(node.disk.durable))
+        if node.replica_node is not None and node.replica_node.broken:
+            node.replica_node.now_us = world.local(node)
+            node.replica_node.reopen(node.disk_id, list(node.disk.durable))
             world.settle(node)
 
 
 def whole(world: World) -> bool:
     """Whether every seat is held, by disks that have read what they should: what a further loss leaves."""
-    placements = [node.keeper.placement for node in world.nodes.values() if node.keeper is not None]
+    placements = [
+        node.replica_node.placement for node in world.nodes.values() if node.replica_node is not None
+    ]
     if not placements:
         return False
     newest = max(placements, key=lambda placement: placement.epoch)
-    held = {seat.name: seat.holder for seat in newest.seats}
-    there = held == {node.name: node.holder for node in world.nodes.values() if not node.removed}
+    held = {replica.name: replica.disk_id for replica in newest.replicas}
+    there = held == {node.name: node.disk_id for node in world.nodes.values() if not node.removed}
     return newest.epoch > 0 and newest.before is None and there and in_step(world)
 
 
 def in_step(world: World) -> bool:
     """Whether all copies of each part are alike."""
     for node in world.nodes.values():
-        if node.keeper is None or node.broken or node.keeper.passes or node.disk.waiting:
+        if node.replica_node is None or node.broken or node.replica_node.comparisons or node.disk.waiting:
             return False
-    for part in range(PARTS):
-        keepers = [node.keeper for node in world.nodes.values() if node.keeper is not None]
-        sums = {k.shelf.sums_of(part) for k in keepers if part in k.parts}
-        if len(sums) > 1:
+    for partition in range(PARTITIONS):
+        keepers = [node.replica_node for node in world.nodes.values() if node.replica_node is not None]
+        checksums = {k.store.checksums_of(partition) for k in keepers if partition in k.partitions}
+        if len(checksums) > 1:
             return False
     return True
 
@@ -740,14 +760,19 @@
 def ruin(world: World) -> None:
     """Two machines with their disks at once: what was kept is given or in doubt, and never run anew."""
     chance = world.random
-    placed = next(n.keeper.placement for n in world.nodes.values() if n.keeper is not None)
-    part = chance.randrange(PARTS)
-    holders = [world.nodes[seat.name] for seat in placed.sets(part)[0]]
+    placed = next(n.replica_node.placement for n in world.nodes.values() if n.replica_node is not None)
+    partition = chance.randrange(PARTITIONS)
+    holders = [world.nodes[replica.name] for replica in placed.sets(partition)[0]]
     blind = holders.pop(chance.randrange(3)) if chance.random() < 0.7 else None
     if blind is not None:  # what is written now, the third one knows nothing of
         world.cut(blind, 3 * S)
     for n in range(chance.randrange(3, 8)):
-        ask(world, bytes([part * 256 // PARTS + chance.randrange(256 // PARTS), n]) if n % 2 else None)
+        ask(
+            world,
+            bytes([partition * 256 // PARTITIONS + chance.randrange(256 // PARTITIONS), n])
+            if n % 2
+            else None,
+        )
     world.run(world.now + chance.randrange(300 * MS, 2 * S))
     world.lost_majority = True
     for node in holders if blind is not None else chance.sample(list(world.nodes.values()), 2):
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -15,9 +15,15 @@
 
 from badgergap.balancing.choice import CEILING, FLOOR, RING, State
 from badgergap.replication import learned_state
-from badgergap.replication.learned_state import BadLesson, Have, Keep, Kept, Lesson
-from badgergap.replication.learned_state_service import LessonsRoom
-from badgergap.replication.placement import Seat
+from badgergap.replication.learned_state import (
+    BadHealthSnapshotError,
+    StoredSnapshot,
+    StoreSnapshot,
+    SnapshotStore,
+    HealthSnapshot,
+)
+from badgergap.replication.learned_state_service import LearnedStateService
+from badgergap.replication.placement import Replica
 from badgergap.standins.rig import rig
 from tests.replication.load import keyed, post
 from tests.replication.test_process import placed, played
@@ -39,9 +45,9 @@
     return driver
 
 
-def carried(raw: learned_state.Learnt) -> learned_state.Learnt:
+def carried(raw: learned_state.BalancerSnapshot) -> learned_state.BalancerSnapshot:
     """As it comes out at the other end."""
-    data = learned_state.pack(Lesson(1, ("a",), {"": raw}))
+    data = learned_state.pack(HealthSnapshot(1, ("a",), {"": raw}))
     assert data is not None
     return learned_state.unpack(data).pools[""]
 
@@ -55,7 +61,7 @@
     new = Driver()
     now_us = START_US + 7_200 * S + skew_us
     age_us = left_us // 2
-    older = learned_state.aged(raw, age_us, now_us - age_us - old.now_us)
+    older = learned_state.age_snapshot(raw, age_us, now_us - age_us - old.now_us)
     new.balancer.restore(now_us, older)
     new.now_us = now_us
     breaker = new.balancer.servers[0].breakers[0]
@@ -67,7 +73,7 @@
 @given(st.integers(0, 20 * 60 * S), st.integers(-(10**15), 10**15))
 def test_the_older_it_is_the_less_it_says(age_us: int, shift_us: int) -> None:
     raw = experienced().balancer.snapshot()
-    older = learned_state.aged(raw, age_us, shift_us)
+    older = learned_state.age_snapshot(raw, age_us, shift_us)
     for before, after in zip(raw["servers"], older["servers"], strict=True):
         assert before[1] <= after[1] <= CEILING
         assert all(len(a[3]) <= len(b[3]) <= RING for a, b in zip(after[8], before[8], strict=True))
@@ -80,75 +86,75 @@
 def test_nonsense_is_named_and_changes_nothing() -> None:
     raw: Any = experienced().balancer.snapshot()
     for key, value in (("servers", [[1, 2]]), ("asked", 7), ("shed", "x"), ("servers", None)):
-        with pytest.raises(BadLesson):
-            learned_state.aged({**raw, key: value}, 0, 0)
-    with pytest.raises(BadLesson):
-        learned_state.aged({}, 0, 0)
-    data = learned_state.pack(Lesson(1, (), {}))
+        with pytest.raises(BadHealthSnapshotError):
+            learned_state.age_snapshot({**raw, key: value}, 0, 0)
+    with pytest.raises(BadHealthSnapshotError):
+        learned_state.age_snapshot({}, 0, 0)
+    data = learned_state.pack(HealthSnapshot(1, (), {}))
     assert data is not None
     for bad in (b"", b"x" * 20, data[:-2], msgspec.msgpack.encode([1])):
-        with pytest.raises(BadLesson):
+        with pytest.raises(BadHealthSnapshotError):
             learned_state.unpack(bad)
 
 
 def test_what_is_kept_for_others_is_bounded() -> None:
-    kept = Kept()
+    kept = SnapshotStore()
     for n in range(100):
-        kept.keep(n, f"g{n}", bytes(learned_state.LESSON_BYTES))
+        kept.keep(n, f"g{n}", bytes(learned_state.SNAPSHOT_BYTES_LIMIT))
     assert kept.size <= learned_state.KEPT_BYTES and kept.have(100, "g0") is None
-    assert kept.have(100, "g99") == Have(bytes(learned_state.LESSON_BYTES), 1)
+    assert kept.have(100, "g99") == StoredSnapshot(bytes(learned_state.SNAPSHOT_BYTES_LIMIT), 1)
     kept.keep(200, "g99", b"newer")
-    assert kept.have(300, "g99") == Have(b"newer", 100)
-    kept.keep(300, "g99", bytes(learned_state.LESSON_BYTES + 1))  # none at all rather than an old one
+    assert kept.have(300, "g99") == StoredSnapshot(b"newer", 100)
+    kept.keep(300, "g99", bytes(learned_state.SNAPSHOT_BYTES_LIMIT + 1))  # none at all rather than an old one
     assert kept.have(300, "g99") is None
-    assert kept.have(101 + learned_state.OLDEST_US, "g98") is None and not kept.lessons
-    assert learned_state.decode(learned_state.encode(Keep(b"x"))) == Keep(b"x")
+    assert kept.have(101 + learned_state.OLDEST_US, "g98") is None and not kept.snapshots
+    assert learned_state.decode(learned_state.encode(StoreSnapshot(b"x"))) == StoreSnapshot(b"x")
 
 
 @given(st.integers(1, 9), st.integers(1, 4))
 def test_others_keep_it_and_of_other_zones_first(members: int, zones: int) -> None:
-    seats = tuple(Seat(f"g{n}", f"z{n % zones}", "h") for n in range(members))
-    for own in seats:
-        names = learned_state.holders(own, seats)
-        chosen = [seat for seat in seats if seat.name in names]
-        assert own.name not in names and len(names) == min(learned_state.HOLDERS, members - 1) == len(chosen)
-        away = {seat.zone for seat in seats} - {own.zone}
-        assert len({seat.zone for seat in chosen} - {own.zone}) >= min(len(away), len(chosen))
-        assert learned_state.holders(own, tuple(reversed(seats))) == names
+    replicas = tuple(Replica(f"g{n}", f"z{n % zones}", "h") for n in range(members))
+    for own in replicas:
+        names = learned_state.choose_keepers(own, replicas)
+        chosen = [replica for replica in replicas if replica.name in names]
+        assert own.name not in names and len(names) == min(learned_state.KEEPERS, members - 1) == len(chosen)
+        away = {replica.zone for replica in replicas} - {own.zone}
+        assert len({replica.zone for replica in chosen} - {own.zone}) >= min(len(away), len(chosen))
+        assert learned_state.choose_keepers(own, tuple(reversed(replicas))) == names
 
 
-def room_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LessonsRoom:
+def room_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LearnedStateService:
     names = SimpleNamespace(names=SimpleNamespace(classes=classes))
     proxy: Any = SimpleNamespace(
         balancer=driver.balancer, clock=SimpleNamespace(now_us=lambda: driver.now_us), filed=names
     )
-    return LessonsRoom(SimpleNamespace(), SimpleNamespace(), lambda: {"": proxy})  # type: ignore[arg-type]
+    return LearnedStateService(SimpleNamespace(), SimpleNamespace(), lambda: {"": proxy})  # type: ignore[arg-type]
 
 
 def test_a_lesson_is_taken_before_anything_is_sent_and_only_if_it_fits() -> None:
     old = experienced()
     raw = old.balancer.snapshot()
-    good = learned_state.pack(Lesson(old.now_us, ("a",), {"": raw, "gone": raw}))
-    bad = learned_state.pack(Lesson(old.now_us, ("a",), {"": {**raw, "reach": float("nan")}}))
+    good = learned_state.pack(HealthSnapshot(old.now_us, ("a",), {"": raw, "gone": raw}))
+    bad = learned_state.pack(HealthSnapshot(old.now_us, ("a",), {"": {**raw, "reach": float("nan")}}))
     assert good is not None and bad is not None
-    assert room_of(Driver(servers=0)).take_back("g1", Have(good, S)) is False  # until there is a list
+    assert room_of(Driver(servers=0)).restore("g1", StoredSnapshot(good, S)) is False  # until there is a list
     room = room_of(taken := Driver())
-    assert room.take_back("g1", Have(good, S)) and room.taken_back == 3
+    assert room.restore("g1", StoredSnapshot(good, S)) and room.restored_count == 3
     assert taken.balancer.servers[0].breakers[0].state is State.OPEN
     for room, have in (
-        (room_of(Driver(), ("b",)), Have(good, S)),
-        (room_of(Driver()), Have(good, learned_state.OLDEST_US + 1)),
-        (room_of(Driver()), Have(bad, S)),
-        (room_of(Driver()), Have(good[:-3], S)),
+        (room_of(Driver(), ("b",)), StoredSnapshot(good, S)),
+        (room_of(Driver()), StoredSnapshot(good, learned_state.OLDEST_US + 1)),
+        (room_of(Driver()), StoredSnapshot(bad, S)),
+        (room_of(Driver()), StoredSnapshot(good[:-3], S)),
     ):
         (proxy,) = room.proxies().values()
         before = proxy.balancer.snapshot()
-        assert room.take_back("g1", have) and room.taken_back == 0  # and it is not asked for again
+        assert room.restore("g1", have) and room.restored_count == 0  # and it is not asked for again
         assert proxy.balancer.snapshot() == before
     fresh = Driver()
-    assert not room_of(fresh).touched()
+    assert not room_of(fresh).has_sent_requests()
     fresh.arrive()
-    assert room_of(fresh).touched()
+    assert room_of(fresh).has_sent_requests()
 
 
 def test_a_gateway_that_lost_its_disk_knows_its_boxes_again(tmp_path: Path) -> None:
