--- a/tests/replication/test_schedules.py
+++ b/tests/replication/test_schedules.py
@@ -10,9 +10,9 @@
 from badgergap.replication import replica as keepers
 from badgergap.replication import placement
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.replica import Keeper, Options, Save, Send
-from badgergap.replication.placement import Seat
-from badgergap.replication.acceptor import Bounds, Shelf
+from badgergap.replication.replica import ReplicaNode, Options, Save, Send
+from badgergap.replication.placement import Replica
+from badgergap.replication.acceptor import Bounds, AcceptorStore
 from badgergap.replication.messages import Prepare
 from tests.consensus.simulation import S
 from tests.replication.guards import GUARDS, Guard
@@ -42,19 +42,19 @@
 
 def test_promises_wait_for_their_reserve_and_hold_over_a_restart() -> None:
     """Two seats that died 40 ms after a promise let a lower round by (seed 100031 of `anything`, once)."""
-    seats = (Seat("a", "", "h"),)
-    it = Keeper(Options("a"), "h", [], 0, random.Random(1))
-    it.agreed(0, 1, placement.encode(placement.Placement(1, 1, seats)))
-    entered = next(todo for todo in it.take() if isinstance(todo, Save))
+    replicas = (Replica("a", "", "h"),)
+    it = ReplicaNode(Options("a"), "h", [], 0, random.Random(1))
+    it.agreed(0, 1, placement.encode(placement.Placement(1, 1, replicas)))
+    entered = next(action for action in it.take() if isinstance(action, Save))
     it.saved(0, entered.token)
     for n in (1, 2):
         it.receive(0, "b", Prepare(n, 1, "h", bytes([n]) * 16, (1, 10 + n, 7, 0)))
     todos = it.take()
-    (save,) = (todo for todo in todos if isinstance(todo, Save))
+    (save,) = (action for action in todos if isinstance(action, Save))
     it.receive(0, "b", Prepare(3, 1, "h", bytes(16), (1, 13, 7, 0)))  # while that is on its way to the disk
-    told = [todo for todo in (*todos, *it.take()) if isinstance(todo, Send)]
-    assert len(told) == 3 and all(todo.after == save.token for todo in told)
-    again = Shelf([*entered.lines, *save.lines])
+    told = [action for action in (*todos, *it.take()) if isinstance(action, Send)]
+    assert len(told) == 3 and all(action.after == save.token for action in told)
+    again = AcceptorStore([*entered.lines, *save.lines])
     assert not again.prepare(bytes(16), (1, 999, 7, 0)).ok  # it may have promised as much
     assert again.prepare(bytes(16), (1, again.reserve + 1, 7, 0)).ok
 
@@ -65,38 +65,40 @@
     for n in range(8):
         ask(world, bytes([n * 32, 1]))
     world.run(10 * S)
-    keepers = [node.keeper for node in world.nodes.values() if node.keeper is not None]
-    shelf = keepers[0].shelf
-    key, entry = next(iter(shelf.entries.items()))
+    keepers = [node.replica_node for node in world.nodes.values() if node.replica_node is not None]
+    store = keepers[0].store
+    key, entry = next(iter(store.entries.items()))
     bad = msgspec.structs.replace(records.decode(entry.value), body=b"another answer")
-    shelf._put(key, entry.ballot, records.encode(bad))
+    store._put(key, entry.ballot, records.encode(bad))
     world.run(world.now + 130 * S)
-    there = [k.shelf.get(key) for k in keepers if key in k.shelf.entries]
+    there = [k.store.get(key) for k in keepers if key in k.store.entries]
     assert len(there) == 3 and all(record == there[0] for record in there) and there[0] != bad
     assert keepers[0].mended == 1
 
 
 def test_a_part_of_more_records_than_one_answer_tells_of_is_filled(monkeypatch: pytest.MonkeyPatch) -> None:
     """A seat of 390,000 records in 10 parts was never filled: each answer told of the same first buckets."""
-    monkeypatch.setattr(keepers, "MARKS_LIMIT", 40)  # of some 300 that a part lacks
+    monkeypatch.setattr(keepers, "DIGESTS_LIMIT", 40)  # of some 300 that a part lacks
     count = 600
-    world = World(5, 3, parts=2, checked=False)
+    world = World(5, 3, partitions=2, checked=False)
     world.run(8 * S)
     begun = records.begun("c", "n0", 1, b"d" * 16, "", "k", 0, 36_000 * S)
     done = records.encode(records.done(begun, 200, ((b"a", b"b"),), b"x"))
     for n in range(count):
         for node in world.nodes.values():
-            assert node.keeper is not None
-            line = node.keeper.shelf.adopt(records.key_of("", "r", b"%d" % n), (1, 1, 1, 0), done, 0)
+            assert node.replica_node is not None
+            line = node.replica_node.store.adopt_chosen(
+                records.key_of("", "r", b"%d" % n), (1, 1, 1, 0), done, 0
+            )
             node.disk.durable.append(line)
     lost = world.nodes["n1"]
     world.wipe(lost)
     world.boot(lost)
-    assert lost.keeper is not None
+    assert lost.replica_node is not None
     began = world.now
-    while lost.keeper.shelf.records < count and world.now - began < 30 * S:
+    while lost.replica_node.store.records < count and world.now - began < 30 * S:
         world.run(world.now + S)
-    assert lost.keeper.shelf.records == count
+    assert lost.replica_node.store.records == count
     seen = world.messages
     world.run(world.now + 10 * S)
     assert world.messages - seen < 1500, "and it rests"
@@ -104,21 +106,21 @@
 
 def test_at_the_bound_a_new_key_is_refused_and_nothing_is_dropped() -> None:
     """By records and by a tenant's share; what was begun has room for its answer."""
-    shelf = Shelf(bounds=Bounds(records=4, bytes=1 << 20, share=0.5))
+    store = AcceptorStore(bounds=Bounds(records=4, bytes=1 << 20, tenant_share=0.5))
 
     def put(n: int, tenant: str) -> bool:
         record = records.begun(f"c{n}", "g", 1, b"d", tenant, "k", 0, 600 * S)
-        return shelf.accept(bytes([n]) * 16, (1, 1, 1, 0), (1, 1, 1, 0), records.encode(record)).ok
+        return store.accept(bytes([n]) * 16, (1, 1, 1, 0), (1, 1, 1, 0), records.encode(record)).ok
 
     assert [put(n, "one") for n in range(3)] == [True, True, False]
     assert [put(n, "two") for n in range(4, 7)] == [True, True, False]
-    begun = shelf.get(bytes(16))
-    assert begun is not None and shelf.records == 4
+    begun = store.get(bytes(16))
+    assert begun is not None and store.records == 4
     done = records.encode(records.done(begun, 200, (), b"x" * records.BODY_LIMIT))
-    assert shelf.accept(bytes(16), (1, 1, 1, 1), (1, 1, 1, 0), done).ok
-    few = Shelf(bounds=Bounds(records=100, bytes=200_000, share=1.0))
+    assert store.accept(bytes(16), (1, 1, 1, 1), (1, 1, 1, 0), done).ok
+    few = AcceptorStore(bounds=Bounds(records=100, bytes=200_000, tenant_share=1.0))
     sizes = [few.accept(bytes([n]) * 16, (1, 1, 1, 0), (1, 1, 1, 0), records.encode(begun)) for n in range(4)]
-    assert [reply.full for reply in sizes] == [False, False, False, True]  # 64 KiB each are kept free
+    assert [reply.no_capacity for reply in sizes] == [False, False, False, True]  # 64 KiB each are kept free
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=lambda guard: guard.name)
