--- a/badgergap/balancing/settings.py
+++ b/badgergap/balancing/settings.py
@@ -47,10 +47,14 @@
     late_weight: float = 0.0  # share of that value left after the objective
     idempotency: Idempotency = Idempotency.UNSAFE
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # for KEYED
-    deduplication_window_us: int = 0  # for KEYED: how long repeats are dropped, from the first attempt's sending
+    deduplication_window_us: int = (
+        0  # for KEYED: how long repeats are dropped, from the first attempt's sending
+    )
     in_order: bool = False  # requests with one key run one at a time, in order of arrival
     streamed: bool = False  # the answer is a stream; the start of the stream says so too
-    aim_stretch: float = 0.0  # the objective is later by this multiple of the request's own work (not used yet)
+    aim_stretch: float = (
+        0.0  # the objective is later by this multiple of the request's own work (not used yet)
+    )
 
     def __post_init__(self) -> None:
         """Reject values that no decision can be made from."""
