--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -175,9 +175,9 @@
         kept = self.store.load() if self.store is not None else []
         proxy.roster.restore(will.drains if will is not None else kept)
         if will is not None and will.lame_s is not None:
-            downstream.send_away(will.lame_s)
+            downstream.enter_lame_duck(will.lame_s)
         proxy.by_hand.append(self.changed_by_hand)
-        downstream.on_lame.append(self.changed_lame)
+        downstream.lame_duck_observers.append(self.changed_lame)
 
     def teach(self) -> None:
         """Go on with what was learnt of hosts, in pools that have some by now and have not used them."""
@@ -235,7 +235,7 @@
             self.before.send({"end": True})
 
     def adopt(self, sock: socket.socket) -> None:
-        made = partial(ClientConnection, self.downstream, asked=True)
+        made = partial(ClientConnection, self.downstream, adopted=True)
         task = self.loop.create_task(self.loop.connect_accepted_socket(made, sock))
         self.tasks.add(task)
         task.add_done_callback(self.adopted)
@@ -249,7 +249,7 @@
         """What the processes before hold: connections of clients, and to hosts."""
         self.told_holds = holds
         clients, hosts = holds
-        self.downstream.elsewhere = clients + (OTHERS_OWN if self.before is not None else 0)
+        self.downstream.connections_elsewhere = clients + (OTHERS_OWN if self.before is not None else 0)
         self.proxy.upstream.elsewhere = hosts
 
     # As the old one
@@ -311,7 +311,7 @@
             self.heard(link, message)
 
     def make_will(self) -> Will:
-        proxy, lame = self.proxy, self.downstream.lame
+        proxy, lame = self.proxy, self.downstream.lame_duck
         words = proxy.roster.sources[PLATFORM].words if PLATFORM in proxy.roster.sources else {}
         index = proxy.discovery.index if proxy.discovery is not None else 0
         return Will(
@@ -332,7 +332,7 @@
         for proxy in self.proxies().values():
             proxy.balancer.yields = True
             proxy.upstream.close_all_idle()
-        self.downstream.give_way(self.give)
+        self.downstream.hand_over(self.give)
         for name, part in self.parts.items():
             part.give_way(partial(self.give_to, name))
         self.tell_holds()
@@ -366,7 +366,7 @@
         for proxy in self.proxies().values():
             proxy.balancer.yields = False
         if self.config.listen is not None:
-            self.downstream.take_back()
+            self.downstream.resume_accepting()
         for part in self.parts.values():
             part.take_back()
         self.listen()
@@ -381,7 +381,7 @@
                 case {"hand": [str(name), str(by), bool(out)]}:
                     self.carry_out(name, by, out)
                 case {"lame": bool(lame)}:
-                    (self.downstream.send_away if lame else self.downstream.rejoin)()
+                    (self.downstream.enter_lame_duck if lame else self.downstream.leave_lame_duck)()
                 case {"holds": [int(clients), int(hosts)]} if link is self.before:
                     self.count((max(0, clients), max(0, hosts)))
                 case _:
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -140,10 +140,16 @@
                 return self.state()
             case "LAMEDUCK":
                 self.check_listens()
-                return "sends clients away" if self.downstream.send_away() else "sends clients away already"
+                return (
+                    "sends clients away"
+                    if self.downstream.enter_lame_duck()
+                    else "sends clients away already"
+                )
             case "REJOIN":
                 self.check_listens()
-                return "takes clients again" if self.downstream.rejoin() else "takes clients as before"
+                return (
+                    "takes clients again" if self.downstream.leave_lame_duck() else "takes clients as before"
+                )
             case "DETACH":
                 return self.by_hand(call.name, out=True)
             case _:
@@ -171,7 +177,7 @@
         if self.downstream.draining:
             raise CallError("this process ends and takes no clients")
         main, *_ = proxies = self.proxies()
-        drains, lame = main.roster.drains, self.downstream.lame
+        drains, lame = main.roster.drains, self.downstream.lame_duck
         age = f" {lame.age(self.downstream.loop.time()):.0f} s ago" if lame else ""
         words = [
             f"{main.config.name} (process {os.getpid()})",
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -6,16 +6,16 @@
 
 | what ends it | who answers | the connection |
 | --- | --- | --- |
-| the endpoint's response, complete | `Final`, as it comes, or `answer` | goes on, unless it was its last |
-| the endpoint's response breaks off once it was begun | nobody: `cut` | reset |
-| the balancer rejects it, or its time is over | the proxy, by `answer` | goes on |
-| it is malformed, or too long | `lose_framing`, in its turn | closed behind the response |
-| its body goes wrong, and its response was begun | nobody: `lose_framing` | reset |
-| too many are read ahead | `turn_away`: one response to all | closed behind the response |
-| the client brings no more of it | `check_time`, by `lose_framing` (408) | closed behind the response |
+| the endpoint's response | `FinalResponseWriter` or `send_response` | goes on, unless it was the last |
+| the endpoint's response breaks off once it was begun | nobody: `abort_response` | reset |
+| the balancer rejects it, or its time is over | the proxy, by `send_response` | goes on |
+| it is malformed, or too long | `reject_and_close`, in its turn | closed behind the response |
+| its body goes wrong, and its response was begun | nobody: `reject_and_close` | reset |
+| too many are read ahead | `reject_pipeline`: one response to all | closed behind the response |
+| the client brings no more of it | `check_time`, by `reject_and_close` (408) | closed behind the response |
 | the client takes nothing of its response | nobody: `check_time` | reset |
 | the client has left | nobody: `abandon_all` | closed |
-| the gateway sends its clients away | `send_away`, or `take` | closed behind the response |
+| the gateway is a lame duck | `check_lame_duck`, or `dispatch` | closed behind the response |
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 from badgergap.proxy.downstream import request_reader
 from badgergap.proxy.downstream.forwarding import exchange_spec
 from badgergap.proxy.downstream.http_connection import AFTER_FRAMING_LOST
-from badgergap.proxy.downstream.incoming_request import Incoming
+from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_reader import ReaderContext, RequestReader
-from badgergap.proxy.downstream.request_validation import BadRequest, Intake
-from badgergap.proxy.downstream.response import answer_bytes, head_of
-from badgergap.proxy.downstream.response_writer import Written
+from badgergap.proxy.downstream.request_validation import BadRequest, RequestValidator
+from badgergap.proxy.downstream.response import complete_response, response_head
+from badgergap.proxy.downstream.response_writer import RespondedRequest
 from badgergap.proxy.lifecycle.lame_duck import Fate, LameDuck
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.proxy import RETRY_AFTER, Books, Proxy, Request, plain, refused
@@ -44,18 +44,18 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 5.0  # a connection between requests
-UNREAD_S = 10.0  # a client that takes nothing of its answer for so long is cut
-HOST_QUIET_S = 10.0  # a host that has begun to answer and says nothing for so long
-LAME_LINGER_S = 0.3
+IDLE_S = 5.0  # a connection between requests is closed
+UNREAD_S = 10.0  # a client that takes nothing of its response for so long is reset
+ENDPOINT_QUIET_S = 10.0  # an endpoint that has begun its response and sends nothing for so long has failed
+LAME_DUCK_LINGER_S = 0.3
 
 
 class ListenerContext(ReaderContext, Protocol):
     """What a connection needs of the listener that accepted it."""
 
     proxy: Proxy
-    intake: Intake
-    lame: LameDuck
+    validator: RequestValidator
+    lame_duck: LameDuck
     unsent_limit: int  # bytes written to a client and not taken, beyond which its endpoint is not read
 
     @property
@@ -63,8 +63,8 @@
         """Whether each response is its connection's last."""
 
     def add(self, connection: ClientConnection) -> None: ...
-    def drop(self, connection: ClientConnection) -> None: ...
-    def rest(self, connection: ClientConnection) -> None:
+    def discard(self, connection: ClientConnection) -> None: ...
+    def on_idle(self, connection: ClientConnection) -> None:
         """It has no request in hand."""
 
 
@@ -73,9 +73,9 @@
 
     server: ListenerContext
 
-    def __init__(self, server: ListenerContext, asked: bool = False) -> None:
-        """`asked`: another process of this gateway has served it before."""
-        super().__init__(server, asked=2 * asked)
+    def __init__(self, server: ListenerContext, adopted: bool = False) -> None:
+        """`adopted`: another process of this gateway has served it before."""
+        super().__init__(server, requests_read=2 * adopted)
         self.request: Request | None = None  # the current one, once the proxy has taken it
 
     # Transport
@@ -86,206 +86,214 @@
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.drop(self)
+        self.server.discard(self)
         self.write_paused = False
         self.abandon_all()
-        self.incoming = Incoming()
+        self.incoming = IncomingRequest()
         self.account_memory()
 
     def abandon_current(self) -> None:
-        """Nothing of the current request is wanted any more."""
-        current, request, self.current, self.request = self.current, self.request, None, None
+        """Drop the current request: its attempts are cancelled, and it gets no response."""
+        current, request = self.current, self.request
+        self.current = self.request = None
         if current is None:
             return
-        self.let_go(current)
+        self.release(current)
         if current.source is not None:
             source, current.source = current.source, None
             source.client_left()
         elif request is not None:
             self.server.proxy.leave(request)
 
-    def lose_framing(self, refusal: BadRequest) -> None:
-        """Where the next request begins is unknown: answer this one in its turn, then close."""
+    def reject_and_close(self, refusal: BadRequest) -> None:
+        """Answer the newest request with `refusal` in its turn, then close.
+
+        For errors after which nobody knows where the next request begins.
+        """
         if self.is_closing:
             return
         self.state = AFTER_FRAMING_LOST[self.state]
         incoming = self.incoming
         if incoming is self.current and not incoming.upload.complete:
-            # Its head was good and its body is not: it ends here, whatever has become of it.
+            # Its head was valid and its body is not: the attempts that have begun are cancelled.
             if incoming.source is not None:
                 self.reset()
                 return
             self.abandon_current()
             self.current = incoming
-            incoming.keep_alive, incoming.refusal = False, refusal
-            self.answer(incoming, refusal.answer)
-        elif incoming.queued and not incoming.upload.complete:
-            incoming.keep_alive, incoming.refusal = False, refusal  # it waits for its turn
+            incoming.keep_alive, incoming.rejection = False, refusal
+            self.send_response(incoming, refusal.answer)
+        elif incoming.is_queued and not incoming.upload.complete:
+            incoming.keep_alive, incoming.rejection = False, refusal  # it waits for its turn
         else:
-            self.pipeline.append(Incoming(keep_alive=False, refusal=refusal))
+            self.pipeline.append(IncomingRequest(keep_alive=False, rejection=refusal))
 
     # Requests, one at a time
 
-    def body_complete(self, incoming: Incoming) -> None:
+    def on_body_complete(self, incoming: IncomingRequest) -> None:
         if incoming is self.current and self.request is not None:
             self.server.proxy.body_came(self.request)
 
-    def say_go_on(self) -> None:
-        """Once it is its turn: before that an answer to another request would come behind it."""
+    def send_continue(self) -> None:
+        """Send 100 Continue in its turn: before that, the response to another would come behind it."""
         incoming = self.incoming
-        if incoming.wants_word and self.is_receiving and self.current is None and not self.pipeline:
-            incoming.wants_word = False
+        if incoming.expects_continue and self.is_receiving and self.current is None and not self.pipeline:
+            incoming.expects_continue = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def turn_away(self) -> None:
-        """Far more asked at once than clients do: answered once, now, and no more of it carried out.
+    def reject_pipeline(self) -> None:
+        """Answer all requests that were read ahead once, now, and execute none of them.
 
         Guards against one connection whose requests would be answered one after another for many seconds.
         """
         self.pipeline.clear()
         if self.current is not None and self.current.source is not None:
             self.stop_reading()
-            self.reset()  # in the midst of an answer there is nothing to say
+            self.reset()  # within a response there is no place for another
             return
         self.abandon_current()
-        self.lose_framing(BadRequest(400, "too many requests ahead of their turn"))
+        self.reject_and_close(BadRequest(400, "too many requests ahead of their turn"))
 
-    def next(self) -> None:
-        """Take up the next request unless one is in hand."""
+    def start_next(self) -> None:
+        """Start the next request unless one is being answered."""
         while self.current is None and self.pipeline:
             incoming = self.current = self.pipeline.popleft()
             try:
-                self.take(incoming)
+                self.dispatch(incoming)
             except BadRequest as refusal:
-                # What it asked for could not be read: it is not trusted with the connection either.
-                incoming.refusal = refusal
+                # A client whose request is invalid may not have meant what follows as one.
+                incoming.rejection = refusal
                 incoming.keep_alive = False
                 self.pipeline.clear()
-                self.answer(incoming, refusal.answer)
+                self.send_response(incoming, refusal.answer)
             except Exception:
                 log.exception("failed on a request")
-                self.answer(incoming, plain(500, "internal error"))
+                self.send_response(incoming, plain(500, "internal error"))
 
-    def take(self, incoming: Incoming) -> None:
-        if incoming.refusal is not None:
-            raise incoming.refusal
+    def dispatch(self, incoming: IncomingRequest) -> None:
+        """Answer a request here, or hand it to the proxy. Raises BadRequest."""
+        if incoming.rejection is not None:
+            raise incoming.rejection
         server, now = self.server, self.loop.time()
         path = incoming.target.partition(b"?")[0]
         if path == b"/health/ready":
             ready = server.proxy.ready and not server.ends_connections
-            self.asked += 1
-            self.answer(incoming, plain(200, "ready") if ready else plain(503, "not ready"))
+            self.requests_read += 1
+            self.send_response(incoming, plain(200, "ready") if ready else plain(503, "not ready"))
             return
         if self.over_limit:
             raise BadRequest(503, "too many connections", (b"retry-after", RETRY_AFTER))
-        if not server.lame.takes(now):
-            self.answer(incoming, refused("this gateway sends its clients away"))
+        if not server.lame_duck.takes(now):
+            self.send_response(incoming, refused("this gateway sends its clients away"))
             return
-        waited_s = now - incoming.came_at if incoming.upload.complete else 0.0
-        asked = server.intake.read(incoming, partial(self.launch, incoming), waited_s)
-        incoming.lines = b"%b %b HTTP/1.1\r\n%b" % (asked.method, asked.target, asked.headers)
-        self.asked += 1
-        incoming.request_id = server.intake.open_id(incoming)
-        request = server.proxy.arrive(asked, partial(self.answer, incoming))
+        waited_s = now - incoming.received_at if incoming.upload.complete else 0.0
+        asked = server.validator.validate(incoming, partial(self.start_attempt, incoming), waited_s)
+        incoming.forwarded_head = b"%b %b HTTP/1.1\r\n%b" % (asked.method, asked.target, asked.headers)
+        self.requests_read += 1
+        incoming.request_id = server.validator.reserve_id(incoming)
+        request = server.proxy.arrive(asked, partial(self.send_response, incoming))
         if request is not None and request.reply is not None:
             self.request = request
 
-    def launch(
-        self, incoming: Incoming, upstream: Upstream, server: int, timeout_s: float, books: Books
+    def start_attempt(
+        self, incoming: IncomingRequest, upstream: Upstream, server: int, timeout_s: float, books: Books
     ) -> Exchange:
-        """One try at a host."""
+        """Start one attempt at an endpoint, or return one that is never sent.
+
+        `timeout_s`: what the endpoint is told it has. `books`: hears how the attempt ends.
+        """
         upload = incoming.upload
-        if is_early(incoming.exchange, upload) or self.has_left():
-            second = Exchange(b"", books.ended)
-            self.loop.call_soon(second.never_sent)
-            return second
+        if is_early(incoming.exchange, upload) or self.client_has_left():
+            unsent = Exchange(b"", books.ended)
+            self.loop.call_soon(unsent.never_sent)
+            return unsent
         wanted = exchange_spec(self, incoming, timeout_s)
         incoming.exchange = carry(upstream, server, timeout_s, wanted, books)
         return incoming.exchange
 
-    # Answers
+    # Responses
 
-    def answer(self, incoming: Written, answer: Answer) -> None:
-        """A whole one."""
-        if incoming is not self.current or not isinstance(incoming, Incoming):
-            return  # its client has gone, or it had its answer
-        incoming.last = self.is_last(incoming)
-        self.write(answer_bytes(answer, incoming.last, incoming.method == b"HEAD", incoming.version))
-        self.finished(incoming)
+    def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
+        """Write a complete response."""
+        if incoming is not self.current or not isinstance(incoming, IncomingRequest):
+            return  # its client has left, or it has its response
+        incoming.is_last = self.is_last(incoming)
+        self.write(complete_response(answer, incoming.is_last, incoming.method == b"HEAD", incoming.version))
+        self.response_finished(incoming)
 
-    def is_last(self, incoming: Incoming) -> bool:
-        # A connection is never closed on a request that has been read and not answered.
+    def is_last(self, incoming: IncomingRequest) -> bool:
+        """Whether the connection ends with this response. Never with a request read and not answered."""
         if not incoming.keep_alive or not incoming.upload.complete:
             return True
         return (self.over_limit or self.server.ends_connections) and not self.pipeline
 
-    def head_lines(self, incoming: Written, head: AnswerHead) -> bytes:
-        """Of an answer that is passed on as it comes."""
-        assert isinstance(incoming, Incoming)
-        incoming.last = self.is_last(incoming)
-        lines = head_of(head.status, head.headers, incoming.last, incoming.version)
+    def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
+        """The head of a response that is streamed."""
+        assert isinstance(incoming, IncomingRequest)
+        incoming.is_last = self.is_last(incoming)
+        lines = response_head(head.status, head.headers, incoming.is_last, incoming.version)
         if incoming.chunked:
             lines.append(b"transfer-encoding: chunked")
         elif head.length is not None:
             lines.append(b"content-length: %d" % head.length)
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def finished(self, incoming: Written) -> None:
-        """The answer is written whole."""
-        assert isinstance(incoming, Incoming)
-        self.let_go(incoming)
+    def response_finished(self, incoming: RespondedRequest) -> None:
+        """Go on once the response is written: close, start the next request, or become idle."""
+        assert isinstance(incoming, IncomingRequest)
+        self.release(incoming)
         self.current = self.request = incoming.source = None
         self.phase_began_at = self.progress_at = self.loop.time()
-        if incoming.last:
+        if incoming.is_last:
             self.stop_reading()
             self.pipeline.clear()
-            if incoming.refusal is None and incoming.upload.complete and self.closes_cleanly:
+            if incoming.rejection is None and incoming.upload.complete and self.closes_cleanly:
                 self.close()
             else:
                 self.linger()
         elif self.pipeline:
-            self.loop.call_soon(self.next)
+            self.loop.call_soon(self.start_next)
         elif not self.is_receiving:
-            self.server.rest(self)
+            self.server.on_idle(self)
         else:
-            self.say_go_on()
+            self.send_continue()
         if self.read_paused:
             self.check_flow()
 
-    def cut(self, incoming: Written) -> None:
-        """An answer that was passed on has broken off: the client must not take it for whole."""
-        assert isinstance(incoming, Incoming)
-        self.let_go(incoming)
+    def abort_response(self, incoming: RespondedRequest) -> None:
+        """Reset under a response that has broken off: the client must not take it for complete."""
+        assert isinstance(incoming, IncomingRequest)
+        self.release(incoming)
         self.current = self.request = None
         self.reset()
 
-    def let_go(self, incoming: Incoming) -> None:
-        """It has had its answer, or nobody waits for it."""
-        self.server.intake.close_id(incoming.request_id)
+    def release(self, incoming: IncomingRequest) -> None:
+        """Release the id and the memory of a request that is over."""
+        self.server.validator.release_id(incoming.request_id)
         if incoming.upload.size:
             incoming.upload.let_go()
         if self.accounted_bytes:
             self.account_memory()
 
-    def has_left(self) -> bool:
-        """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on.
+    def client_has_left(self) -> bool:
+        """Whether the client has closed, as its socket tells where it is not read: nothing more is forwarded.
 
-        Of a first try of a client that is read, the loop tells soon enough.
+        Of a first attempt for a client that is read, the loop tells soon enough.
         """
         if not self.read_paused and (self.current is None or self.current.exchange is None):
             return False
         if not unread_input.has_left(self.transport):
             return False
-        self.loop.call_soon(self.gone)
+        self.loop.call_soon(self.on_client_left)
         return True
 
-    def gone(self) -> None:
-        """The client's end, which has not been read."""
+    def on_client_left(self) -> None:
+        """Handle the client's end, which has not been read."""
         self.abandon_all()
         self.abort()
 
-    def may_be_given(self) -> bool:
-        """Whether nothing of it is in this process: no part of a request, and no answer unsent."""
+    def may_migrate(self) -> bool:
+        """Whether another process can take it: no part of a request, and no unsent response, is held here."""
         transport = self.transport
         if (
             transport is None
@@ -297,21 +305,21 @@
             return False
         return not transport.get_write_buffer_size()
 
-    def given(self) -> None:
-        """Another process has its descriptor: this one's is closed, which the client does not notice."""
-        self.make_room()
+    def on_migrated(self) -> None:
+        """Close this process's descriptor: another process has its own, so the client does not notice."""
+        self.evict()
 
-    def make_room(self) -> None:
-        """Close now: its descriptor is wanted."""
+    def evict(self) -> None:
+        """Close now: its descriptor is needed for another connection."""
         self.abort()
 
-    def standing(self, now: float, for_memory: bool = False) -> eviction.Standing:
-        """What it has shown. Guards against floods: who has shown least gives way."""
+    def eviction_priority(self, now: float, for_memory: bool = False) -> eviction.Standing:
+        """How soon it is evicted. Guards against floods: a client that has shown least goes first."""
         return eviction.standing(
             now,
             closing=self.is_closing,
             owed=self.has_open_requests,
-            asked=self.asked,
+            asked=self.requests_read,
             reading=self.is_receiving,
             since=self.phase_began_at,
             progress_at=self.progress_at,
@@ -319,39 +327,40 @@
             for_memory=for_memory,
         )
 
-    def send_away(self, now: float) -> None:
-        """The gateway sends its clients away: what that means for this one."""
+    def check_lame_duck(self, now: float) -> None:
+        """Close, or reject what has come in part, as the lame duck's rules say."""
         if self.is_closing:
             return
-        match self.server.lame.fate(now, self.has_open_requests, self.is_receiving, self.phase_began_at):
+        match self.server.lame_duck.fate(now, self.has_open_requests, self.is_receiving, self.phase_began_at):
             case Fate.CLOSE if self.may_close:
                 self.close()
             case Fate.REFUSE:
                 self.stop_reading()
-                self.write(answer_bytes(refused("this gateway sends its clients away"), True, False))
-                self.linger(LAME_LINGER_S)
+                self.write(complete_response(refused("this gateway sends its clients away"), True, False))
+                self.linger(LAME_DUCK_LINGER_S)
 
     def check_time(self, now: float) -> None:
+        """Enforce the time limits at `now` (loop time, seconds)."""
         if self.current is not None and self.current.exchange is not None:
-            self.current.exchange.check_time(now, HOST_QUIET_S, HOST_QUIET_S)
-        if self.read_paused and self.has_left():
+            self.current.exchange.check_time(now, ENDPOINT_QUIET_S, ENDPOINT_QUIET_S)
+        if self.read_paused and self.client_has_left():
             return
         self.update_write_progress(now)
         if self.unsent_bytes and now - self.progress_at > UNREAD_S:
-            self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
+            self.reset()  # what it does not take cannot be kept in memory for ever
         elif self.is_closing:
             return
-        elif self.is_receiving and not self.incoming.head_read:
+        elif self.is_receiving and not self.incoming.head_complete:
             if not self.has_open_requests and now - self.phase_began_at > request_reader.REQUEST_S:
-                self.lose_framing(BadRequest(408, "the rest of the request has not come"))
-                self.next()
+                self.reject_and_close(BadRequest(408, "the rest of the request has not come"))
+                self.start_next()
         elif self.is_receiving:
             if not self.read_paused and now > self.due_at:
-                self.lose_framing(BadRequest(408, "the rest of the request has not come"))
-                self.next()
+                self.reject_and_close(BadRequest(408, "the rest of the request has not come"))
+                self.start_next()
         elif (
             not self.has_open_requests
-            and now - self.phase_began_at > (IDLE_S if self.asked else request_reader.REQUEST_S)
+            and now - self.phase_began_at > (IDLE_S if self.requests_read else request_reader.REQUEST_S)
             and self.may_close
         ):
             self.close()
--- a/badgergap/proxy/downstream/forwarding.py
+++ b/badgergap/proxy/downstream/forwarding.py
@@ -3,25 +3,25 @@
 from __future__ import annotations
 
 from badgergap.proxy.body_streams import Headers
-from badgergap.proxy.downstream.incoming_request import Incoming
+from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT
-from badgergap.proxy.downstream.response_writer import Downward, Writer
+from badgergap.proxy.downstream.response_writer import ResponseWriter, ResponseConnection
 from badgergap.proxy.upstream.stream_attempt import Wanted
 
 
-class ForHost:
+class EndpointHead:
     """A head of the platform's, whose lines are ready."""
 
-    __slots__ = ("ready",)
+    __slots__ = ("prepared_lines",)
 
     def __init__(self, ready: bytes) -> None:
-        self.ready = ready
+        self.prepared_lines = ready
 
     def lines(self) -> bytes:
-        return self.ready
+        return self.prepared_lines
 
 
-class Final(Downward):
+class FinalResponseWriter(ResponseWriter):
     """Of a host's answers the final one alone goes on: this protocol has no others."""
 
     __slots__ = ()
@@ -30,19 +30,19 @@
         """Between the gateway and the host."""
 
 
-def exchange_spec(writer: Writer, incoming: Incoming, timeout_s: float) -> Wanted:
+def exchange_spec(writer: ResponseConnection, incoming: IncomingRequest, timeout_s: float) -> Wanted:
     """Describe one attempt; the response goes to `writer`. `timeout_s`: what the endpoint is told."""
     upload = incoming.upload
     length = upload.size if upload.complete else incoming.length
-    lines = incoming.lines + b"Request-Timeout-Ms: %d\r\n" % -(-int(timeout_s * 1e6) // 1000)
+    lines = incoming.forwarded_head + b"Request-Timeout-Ms: %d\r\n" % -(-int(timeout_s * 1e6) // 1000)
     if length is None:
         lines += b"Transfer-Encoding: chunked\r\n"
     elif length or incoming.method != b"GET":
         lines += b"Content-Length: %d\r\n" % length
     return Wanted(
-        head=ForHost(lines),
+        head=EndpointHead(lines),
         upload=upload,
-        download=Final(writer, incoming),
+        download=FinalResponseWriter(writer, incoming),
         is_head=False,
         chunked=length is None,
         upgrade=False,
--- a/badgergap/proxy/downstream/http_connection.py
+++ b/badgergap/proxy/downstream/http_connection.py
@@ -16,7 +16,7 @@
 
 from badgergap.proxy import unread_input
 from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.downstream.response_writer import Written
+from badgergap.proxy.downstream.response_writer import RespondedRequest
 
 LINGER_S = 1.0  # what a client still sends behind the last response is dropped for so long
 
@@ -78,7 +78,7 @@
 AFTER_FRAMING_LOST = TRANSITIONS[ConnectionEvent.FRAMING_LOST]
 
 
-class ParsedRequest(Written, Protocol):
+class ParsedRequest(RespondedRequest, Protocol):
     """A request, as far as it is read."""
 
     target: bytes
@@ -216,7 +216,7 @@
         """Drop the current request without a response."""
         raise NotImplementedError
 
-    def serves(self, incoming: Written) -> bool:
+    def serves(self, incoming: RespondedRequest) -> bool:
         return self.current is incoming
 
     # The end from here
--- a/badgergap/proxy/downstream/incoming_request.py
+++ b/badgergap/proxy/downstream/incoming_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.downstream.request_validation import BadRequest, Head
+from badgergap.proxy.downstream.request_validation import BadRequest, RequestHead
 from badgergap.proxy.upstream.stream_attempt import Tried
 
 VERSIONS = ("1.0", "1.1")
@@ -15,26 +15,26 @@
 
 
 @dataclass(slots=True, eq=False)
-class Incoming(Head):
+class IncomingRequest(RequestHead):
     """A request as it is read, and its answer as it is written."""
 
-    came_at: float = 0.0  # loop time of its last byte
+    received_at: float = 0.0  # loop time of its last byte
     upload: Upload = NOTHING
     size: int = 0  # of its header fields, then of its body
-    raw: int = 0  # bytes since the first, however they are framed
+    raw_bytes: int = 0  # bytes since the first, however they are framed
     length: int | None = 0  # of the body; None: chunked
     version: str = "1.1"
-    head_read: bool = False
-    queued: bool = False  # it waits for its turn, or has had it
-    wants_word: bool = False  # its client sends no body before it is told to
+    head_complete: bool = False
+    is_queued: bool = False  # it waits for its turn, or has had it
+    expects_continue: bool = False  # its client sends no body before it is told to
     keep_alive: bool = True
-    refusal: BadRequest | None = None  # what it is answered in its turn, without a look at the rest
+    rejection: BadRequest | None = None  # what it is answered in its turn, without a look at the rest
     request_id: bytes = b""  # once it is among the open ones
-    lines: bytes = b""  # of its head, as a host is to hear them
+    forwarded_head: bytes = b""  # of its head, as a host is to hear them
     exchange: Tried | None = None  # the newest
     source: DownloadSource | None = None  # once an answer is passed on
     chunked: bool = False  # how that is framed
-    last: bool = False  # the connection ends with its answer
+    is_last: bool = False  # the connection ends with its answer
 
     def check_head(self, version: str) -> None:
         """What the head alone shows to be wrong, before any of the body has come."""
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -45,8 +45,10 @@
     )
 }
 # Said twice these are one list; anything else that is said twice is ambiguous.
-LISTS = frozenset((b"accept", b"accept-encoding", b"accept-language", b"content-encoding", b"tracestate"))
-READ_HERE = frozenset((b"request-timeout-ms", b"content-length", b"transfer-encoding", b"expect"))
+LIST_HEADERS = frozenset(
+    (b"accept", b"accept-encoding", b"accept-language", b"content-encoding", b"tracestate")
+)
+CONSUMED = frozenset((b"request-timeout-ms", b"content-length", b"transfer-encoding", b"expect"))
 VALUE = re.compile(rb"[\t\x20-\x7e]*")
 TARGET = re.compile(rb"/[\x21\x23-\x7e]*")  # no space, no quote, nothing beyond ASCII
 
@@ -58,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Head:
+class RequestHead:
     """The head of a request as it is read."""
 
     target: bytes = b""
@@ -67,13 +69,13 @@
 
     def add_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
-        if name not in FORWARDED and name not in READ_HERE:
+        if name not in FORWARDED and name not in CONSUMED:
             return
         if VALUE.fullmatch(value) is None:
             raise BadRequest(400, "odd bytes in a header")
         if name not in self.headers:
             self.headers[name] = value
-        elif name in LISTS:
+        elif name in LIST_HEADERS:
             self.headers[name] += b", " + value
         else:
             raise BadRequest(400, "a header is repeated")
@@ -88,13 +90,13 @@
     def check_length(self) -> None:
         """Raises BadRequest for a stated length that is none or too much, or that a GET has."""
         length = self.headers.get(b"content-length")
-        if length is not None and (whole(length) is None or int(length) > BODY_LIMIT):
+        if length is not None and (parse_number(length) is None or int(length) > BODY_LIMIT):
             raise BadRequest(413, f"body over {BODY_LIMIT} bytes")
         if self.method == b"GET" and int(length or 0) > 0:
             raise BadRequest(400, "GET with a body")
 
 
-class Intake:
+class RequestValidator:
     """The one way in: one for the gateway, shared by its transports."""
 
     def __init__(self, config: Config) -> None:
@@ -104,7 +106,7 @@
         self.tenants = {name.encode(): number for number, name in enumerate(tenants)}
         self.open_ids: set[bytes] = set()  # of the requests in hand, as their clients call them
 
-    def open_id(self, head: Head) -> bytes:
+    def reserve_id(self, head: RequestHead) -> bytes:
         """Guards against one client that names another's request: to a host the two would be one.
 
         Raises BadRequest. The id is open until it is handed to `close_id`.
@@ -115,10 +117,10 @@
         self.open_ids.add(request_id)
         return request_id
 
-    def close_id(self, request_id: bytes) -> None:
+    def release_id(self, request_id: bytes) -> None:
         self.open_ids.discard(request_id)
 
-    def read(self, head: Head, launch: Launch, waited_s: float) -> Asked:
+    def validate(self, head: RequestHead, launch: Launch, waited_s: float) -> Asked:
         """The request as the balancer and the hosts need it. `waited_s`: since its last byte came.
 
         `launch` sends it to a host. Raises BadRequest.
@@ -134,13 +136,13 @@
         request_id = headers.get(b"request-id", b"")
         if not 0 < len(request_id) <= ID_LIMIT or b" " in request_id or b"\t" in request_id:
             raise BadRequest(400, "Request-Id is missing or malformed")
-        timeout_ms = whole(headers.get(b"request-timeout-ms", b""))
+        timeout_ms = parse_number(headers.get(b"request-timeout-ms", b""))
         if timeout_ms is None or timeout_ms <= 0:
             raise BadRequest(400, "Request-Timeout-Ms is missing or malformed")
         tenant = self.tenants.get(headers.get(b"tenant", b""), None if self.tenants else 0)
         if tenant is None:
             raise BadRequest(400, "Tenant is missing or unknown")
-        work_us = whole(headers.get(b"work-hint", b""))
+        work_us = parse_number(headers.get(b"work-hint", b""))
         # Bounded by the class: one client's figures must not become the usual ones, nor last for hours.
         return Asked(
             klass=number,
@@ -175,7 +177,7 @@
     )
 
 
-def whole(text: bytes) -> int | None:
+def parse_number(text: bytes) -> int | None:
     return int(text) if text.isdigit() and len(text) < 19 else None
 
 
--- a/badgergap/proxy/downstream/response.py
+++ b/badgergap/proxy/downstream/response.py
@@ -23,7 +23,7 @@
 )
 
 
-def head_of(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
+def response_head(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
     lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
     lines += [b"%b: %b" % header for header in headers if header[0] not in HOP_HEADERS]
     if last:
@@ -33,7 +33,7 @@
     return lines
 
 
-def answer_bytes(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
-    lines = head_of(answer.status, answer.headers, last, version)
+def complete_response(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
+    lines = response_head(answer.status, answer.headers, last, version)
     lines.append(b"content-length: %d" % len(answer.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if head_only else answer.body)
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -12,7 +12,7 @@
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
-class Written(Protocol):
+class RespondedRequest(Protocol):
     """A request, as far as its answer is written."""
 
     version: str
@@ -21,30 +21,30 @@
     source: DownloadSource | None  # of the answer that is passed on
 
 
-class Writer(Protocol):
+class ResponseConnection(Protocol):
     """A client's connection."""
 
     loop: asyncio.AbstractEventLoop
     write_paused: bool  # the client takes no more for now
     progress_at: float  # loop time when the client last sent or took something
 
-    def serves(self, incoming: Written) -> bool:
+    def serves(self, incoming: RespondedRequest) -> bool:
         """Whether it is this request's turn, and its answer is not whole yet."""
 
-    def answer(self, incoming: Written, answer: Answer) -> None: ...
-    def head_lines(self, incoming: Written, head: AnswerHead) -> bytes: ...
+    def send_response(self, incoming: RespondedRequest, answer: Answer) -> None: ...
+    def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes: ...
     def write(self, data: bytes) -> None: ...
-    def finished(self, incoming: Written) -> None:
+    def response_finished(self, incoming: RespondedRequest) -> None:
         """The answer is written whole."""
 
-    def cut(self, incoming: Written) -> None:
+    def abort_response(self, incoming: RespondedRequest) -> None:
         """The answer has broken off: the client must see that it is not whole."""
 
 
-class Downward:
+class ResponseWriter:
     __slots__ = ("incoming", "writer")
 
-    def __init__(self, writer: Writer, incoming: Written) -> None:
+    def __init__(self, writer: ResponseConnection, incoming: RespondedRequest) -> None:
         self.writer, self.incoming = writer, incoming
 
     @property
@@ -52,7 +52,7 @@
         return self.writer.serves(self.incoming)
 
     def answer(self, answer: Answer) -> None:
-        self.writer.answer(self.incoming, answer)
+        self.writer.send_response(self.incoming, answer)
 
     def interim(self, status: int, headers: Headers) -> None:
         if self.open and self.incoming.version == "1.1":
@@ -91,12 +91,12 @@
         if self.open:
             if self.incoming.chunked:
                 self.writer.write(last_chunk(fields))
-            self.writer.finished(self.incoming)
+            self.writer.response_finished(self.incoming)
 
     def broke(self) -> None:
         if self.open:
             self.incoming.source = None
-            self.writer.cut(self.incoming)
+            self.writer.abort_response(self.incoming)
 
 
 def last_chunk(fields: Headers) -> bytes:
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -223,7 +223,7 @@
             config = await asyncio.to_thread(read, self.proxy.filed)
             self.proxy.take_over(config)
             if config.grows:
-                self.downstream.follow(config)
+                self.downstream.reconfigure(config)
             for room in self.rooms:
                 room.reload(config)
             for room in self.rooms:
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -23,7 +23,7 @@
     AFTER_FRAMING_LOST,
     HttpConnection,
 )
-from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
+from badgergap.proxy.downstream.response_writer import REASONS, ResponseWriter, RespondedRequest
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 from badgergap.proxy.proxy import plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
@@ -45,13 +45,13 @@
 class Incoming(Turn):
     """A request of this connection, and its answer as it is written."""
 
-    raw: int = 0  # bytes read while its head is not whole
+    raw_bytes: int = 0  # bytes read while its head is not whole
     size: int = 0  # of its header fields, or of its trailers
-    head_read: bool = False
-    refusal: Answer | None = None  # what it is answered in its turn, without a look at the rest
+    head_complete: bool = False
+    rejection: Answer | None = None  # what it is answered in its turn, without a look at the rest
     fields: Headers = field(default_factory=list)  # trailers
     chunked: bool = False  # how that is framed
-    last: bool = False  # the client was told that the connection ends with this answer
+    is_last: bool = False  # the client was told that the connection ends with this answer
 
 
 class WebListener(Protocol):
@@ -127,21 +127,26 @@
                 if self.incoming.upgrade:
                     self.rest, rest = rest, b""
             except httptools.HttpParserError:
-                self.lose_framing(plain(400, "malformed request"))
+                self.reject_and_close(plain(400, "malformed request"))
             incoming = self.incoming
-            if not incoming.head_read and not self.is_closing:
-                incoming.raw += len(data)
-                if incoming.raw > HEAD_LIMIT:
-                    self.lose_framing(plain(431, "head too long"))
+            if not incoming.head_complete and not self.is_closing:
+                incoming.raw_bytes += len(data)
+                if incoming.raw_bytes > HEAD_LIMIT:
+                    self.reject_and_close(plain(431, "head too long"))
             self.go_direct()
             data = rest
-        self.next()
+        self.start_next()
         self.check_flow()
 
     def go_direct(self) -> None:
         """The rest of a body of known length needs no parser, which would read every byte of it."""
         incoming = self.incoming
-        if self.is_receiving and incoming.head_read and incoming.length is not None and not self.is_closing:
+        if (
+            self.is_receiving
+            and incoming.head_complete
+            and incoming.length is not None
+            and not self.is_closing
+        ):
             self.left = incoming.length - incoming.upload.size
             self.parser = httptools.HttpRequestParser(self)
 
@@ -191,7 +196,7 @@
             return
         current.abandon()
 
-    def lose_framing(self, answer: Answer) -> None:
+    def reject_and_close(self, answer: Answer) -> None:
         """Where the next request begins is unknown: answer this one in its turn, then close."""
         if self.is_closing:
             return
@@ -206,9 +211,9 @@
                 return
             self.abandon_current()
             self.current = incoming
-            self.answer(incoming, answer)
+            self.send_response(incoming, answer)
         else:
-            incoming.refusal = answer
+            incoming.rejection = answer
             if not self.pipeline or self.pipeline[-1] is not incoming:
                 self.pipeline.append(incoming)
 
@@ -220,15 +225,15 @@
             return
         incoming.size += len(name) + len(value) + 4
         if incoming.size > HEAD_LIMIT:
-            self.lose_framing(plain(431, "head too long"))
+            self.reject_and_close(plain(431, "head too long"))
             return
-        if incoming.head_read:
+        if incoming.head_complete:
             incoming.fields.append((name.lower(), value))
             return
         try:
             incoming.add(name, value)
         except BadHead as bad:
-            self.lose_framing(plain(bad.status, str(bad)))
+            self.reject_and_close(plain(bad.status, str(bad)))
 
     def on_headers_complete(self) -> None:
         incoming = self.incoming
@@ -242,24 +247,24 @@
                 raise BadHead("target too long", 414)
             incoming.read()
         except BadHead as bad:
-            self.lose_framing(plain(bad.status, str(bad)))
+            self.reject_and_close(plain(bad.status, str(bad)))
             return
-        incoming.head_read, incoming.size = True, 0
+        incoming.head_complete, incoming.size = True, 0
         incoming.began_at = self.loop.time()
         if len(self.pipeline) >= PIPELINED:
-            self.lose_framing(plain(400, "too many requests ahead of their turn"))
+            self.reject_and_close(plain(400, "too many requests ahead of their turn"))
         else:
             incoming.upload.complete = incoming.length == 0
             self.pipeline.append(incoming)
-            self.next()
+            self.start_next()
 
     def on_body(self, body: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing or incoming.refusal is not None:
+        if self.is_closing or incoming.rejection is not None:
             return
         limit = incoming.upload.limit
         if limit is not None and incoming.upload.size + len(body) > limit:
-            self.lose_framing(plain(413, f"body over {limit} bytes"))
+            self.reject_and_close(plain(413, f"body over {limit} bytes"))
         else:
             incoming.upload.put(body)
 
@@ -274,12 +279,12 @@
 
     # Requests, one at a time
 
-    def next(self) -> None:
+    def start_next(self) -> None:
         """Take up the next request unless one is in hand."""
         while self.current is None and self.pipeline:
             incoming = self.current = self.pipeline.popleft()
-            if incoming.refusal is not None:
-                self.answer(incoming, incoming.refusal)
+            if incoming.rejection is not None:
+                self.send_response(incoming, incoming.rejection)
                 continue
             self.asked = True
             try:
@@ -290,50 +295,50 @@
                 log.exception("failed on a request")
                 refusal = plain(500, "internal error")
             if refusal is not None:
-                self.answer(incoming, refusal)
+                self.send_response(incoming, refusal)
             else:
-                incoming.start(self.door.ways, Tunnelling(self, incoming))
+                incoming.start(self.door.ways, TunnelResponseWriter(self, incoming))
 
     # Answers
 
-    def cut(self, incoming: Written) -> None:
+    def abort_response(self, incoming: RespondedRequest) -> None:
         self.current = None
         self.reset()
 
-    def answer(self, incoming: Written, answer: Answer) -> None:
+    def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
         """A whole answer: this gateway's own, or one of a box that was held."""
         if incoming is not self.current or not isinstance(incoming, Incoming):
             return  # its client has gone, or it had its answer
         incoming.upload.on_ready = None
         lines = self.head_lines(incoming, own_answer(answer))
         self.write(lines + (b"" if incoming.method == b"HEAD" else answer.body))
-        self.finished(incoming)
+        self.response_finished(incoming)
 
     def is_last(self, incoming: Incoming) -> bool:
         """Whether the connection ends with this answer. Never on a request that was read and has none."""
-        if incoming.last or not incoming.keep_alive or incoming.refusal is not None:
+        if incoming.is_last or not incoming.keep_alive or incoming.rejection is not None:
             return True
         if not incoming.upload.complete:
             return True
         leaves = self.door.draining or (self.door.give is not None and self.peer.scheme == b"https")
         return (self.is_closing or self.over_limit or leaves) and not self.pipeline
 
-    def head_lines(self, incoming: Written, head: AnswerHead) -> bytes:
+    def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
         assert isinstance(incoming, Incoming)
-        incoming.last = self.is_last(incoming)
+        incoming.is_last = self.is_last(incoming)
         lines = [b"HTTP/1.1 %d %b" % (head.status, REASONS.get(head.status, b""))]
         lines += [b"%b: %b" % field for field in answer_fields(head, b"1.1", incoming.number)]
         if incoming.chunked and head.length is None:
             lines.append(b"transfer-encoding: chunked")
         if self.door.ways.alt_svc and self.peer.scheme == b"https":
             lines.append(b"alt-svc: " + self.door.ways.alt_svc)
-        if incoming.last and not head.upgraded:
+        if incoming.is_last and not head.upgraded:
             lines.append(b"connection: close")
         elif incoming.version == "1.0" and not head.upgraded:
             lines.append(b"connection: keep-alive")
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def finished(self, incoming: Written) -> None:
+    def response_finished(self, incoming: RespondedRequest) -> None:
         """The answer is written whole."""
         assert isinstance(incoming, Incoming)
         last = self.tunnel or self.is_last(incoming)
@@ -343,7 +348,7 @@
         if last:
             self.stop_reading()
             self.pipeline.clear()
-            if incoming.upload.complete and incoming.refusal is None and self.closes_cleanly:
+            if incoming.upload.complete and incoming.rejection is None and self.closes_cleanly:
                 self.close()
             else:
                 self.linger()
@@ -363,7 +368,7 @@
             self.door.rest(self)
 
     def next_and_flow(self) -> None:
-        self.next()
+        self.start_next()
         self.check_flow()
 
     def linger(self, for_s: float | None = None) -> None:
@@ -410,7 +415,7 @@
             self.abandon_current()
             self.current = current
             current.keep_alive = False
-            self.answer(current, plain(504, "out of time"))
+            self.send_response(current, plain(504, "out of time"))
 
     def check_time(self, now: float) -> None:
         if self.notice_end():
@@ -425,14 +430,14 @@
             self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
         elif self.tunnel or self.is_closing:
             return
-        elif self.is_receiving and not self.incoming.head_read:
+        elif self.is_receiving and not self.incoming.head_complete:
             if now - self.phase_began_at > limits.head_s:
-                self.lose_framing(plain(408, "the rest of the head has not come"))
-                self.next()
+                self.reject_and_close(plain(408, "the rest of the head has not come"))
+                self.start_next()
         elif self.is_receiving and not self.read_paused:
             if quiet_s > limits.between_s or now - self.incoming.began_at > limits.body_s:
-                self.lose_framing(plain(408, "the rest of the body has not come"))
-                self.next()
+                self.reject_and_close(plain(408, "the rest of the body has not come"))
+                self.start_next()
         elif (
             self.is_idle
             and now - self.phase_began_at > (limits.idle_s if self.asked else limits.head_s)
@@ -441,7 +446,7 @@
             self.close()
 
 
-class Tunnelling(Downward):
+class TunnelResponseWriter(ResponseWriter):
     """The same where the answer may switch to a tunnel (RFC 9110 section 7.8)."""
 
     __slots__ = ()
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -441,7 +441,7 @@
             while not it.proxy.upstream.elsewhere:
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.05)
-            assert it.downstream.elsewhere >= 100 and it.proxy.upstream.elsewhere == 50
+            assert it.downstream.connections_elsewhere >= 100 and it.proxy.upstream.elsewhere == 50
             assert it.downstream.limit <= limit - 100
             old.send({"hand": ["h0", "anna", True]})
             while not it.proxy.roster.drains:
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -80,7 +80,7 @@
             assert (await back.ask(READY))[0] == 200
             await it.served(back)
             await it.served(back)  # on the same connection
-            assert it.downstream.looking is None or not it.downstream.lame
+            assert it.downstream.lame_duck_timer is None or not it.downstream.lame_duck
 
     run(test())
 
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -155,7 +155,7 @@
             while not any(connection.is_receiving for connection in it.downstream.connections):
                 await asyncio.sleep(0.001)
             it.downstream.stop_listening()
-            finish = asyncio.create_task(it.downstream.finish())
+            finish = asyncio.create_task(it.downstream.finish_requests())
             taken.answer()
             for client in (late, idle):
                 status, head, _ = await client.answer()
@@ -200,7 +200,7 @@
             taken.answer(body=bytes(60_000))
             await it.event(AttemptEnded)
             assert connection.transport.get_write_buffer_size() > 0
-            await it.downstream.finish()
+            await it.downstream.finish_requests()
             client.writer.transport.abort()
 
     run(test())
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -112,7 +112,7 @@
                     connection.phase_began_at -= 31.0
                     connection.progress_at -= 31.0
             assert (await slow.answer())[0] == 200
-            assert most <= it.downstream.most + 2 * it.downstream.turned_away
+            assert most <= it.downstream.connection_capacity + 2 * it.downstream.rejected_capacity
             (await it.event(AttemptEnded))
             usual = await it.client()
             assert (await usual.ask(ask("buy", body=b"y")))[2] == b"y"
@@ -135,7 +135,7 @@
             (connection,) = it.downstream.connections
             connection.progress_at -= 2 * eviction.STALLED_S
             budget.change(budget.total)
-            it.downstream.keep_to_limit()
+            it.downstream.enforce_limits()
             assert await client.closed()
             budget.change(-budget.total)
             while budget.used:
@@ -170,7 +170,7 @@
 
     async def test() -> None:
         async with beside(Echo(lambda body: with_length(body))) as it:
-            it.downstream.half_sent_s = 60.0
+            it.downstream.partial_request_s = 60.0
             slow, stalled = await it.client(), await it.client()
             whole = ask("buy", body=b"x" * 300)
             slow.send(whole[:10])
@@ -187,7 +187,7 @@
             it.downstream.draining = True
             it.downstream.stop_listening()
             theirs.progress_at -= 31.0
-            end = asyncio.create_task(it.downstream.finish())
+            end = asyncio.create_task(it.downstream.finish_requests())
             assert await stalled.closed()
             for place in range(10, len(whole), 50):
                 ours.progress_at -= 15.0
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -317,7 +317,7 @@
 def test_a_host_that_stops_in_mid_body_is_seen_and_the_client_can_tell(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_connection, "HOST_QUIET_S", 0.1)
+    monkeypatch.setattr(client_connection, "ENDPOINT_QUIET_S", 0.1)
 
     async def test() -> None:
         async with gateway() as it:
@@ -513,7 +513,10 @@
         loop.now = number * 0.1
         if number * 6400 >= got or loop.now > due_at:
             break
-        due_at = max(due_at, min(due_at + 6400 / request_reader.SLOWEST, loop.now + request_reader.STALL_S))
+        due_at = max(
+            due_at,
+            min(due_at + 6400 / request_reader.SLOWEST_UPLOAD, loop.now + request_reader.UPLOAD_STALL_S),
+        )
     assert (after_s > due_at) is late
 
 
@@ -538,7 +541,7 @@
             assert (await Reader(client.reader).answer())[0] == status
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
             await host.left.wait()
-            assert not host.bodies and not it.downstream.intake.open_ids and it.proxy.open == 0
+            assert not host.bodies and not it.downstream.validator.open_ids and it.proxy.open == 0
 
     run(test())
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -55,7 +55,7 @@
 
 def nothing_left(it: Gateway) -> None:
     """No request, id, attempt or place is held for anything that is over."""
-    assert not it.proxy.requests and it.proxy.open == 0 and not it.downstream.intake.open_ids
+    assert not it.proxy.requests and it.proxy.open == 0 and not it.downstream.validator.open_ids
     assert it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
     assert it.downstream.budget.used == 0
     assert not any(c.exchange is not None for c in it.proxy.upstream.connections)
@@ -120,7 +120,7 @@
     body: int, reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end stands behind a body that nobody takes yet, or behind requests sent ahead."""
-    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "CLEANUP_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway() as it:
@@ -195,22 +195,22 @@
 
 
 async def by_crowd(it: Gateway) -> None:
-    it.downstream.make_room()
+    it.downstream.evict_one()
 
 
 async def by_rest(it: Gateway) -> None:
     (connection,) = it.downstream.connections
-    it.downstream.most_resting = 0
-    it.downstream.rest(connection)
+    it.downstream.idle_capacity = 0
+    it.downstream.on_idle(connection)
 
 
 async def by_drain_of_the_gateway(it: Gateway) -> None:
-    it.downstream.send_away(since_s=3.0)
+    it.downstream.enter_lame_duck(since_s=3.0)
 
 
 async def by_end(it: Gateway) -> None:
     it.downstream.draining = True
-    ending = asyncio.get_running_loop().create_task(it.downstream.finish())
+    ending = asyncio.get_running_loop().create_task(it.downstream.finish_requests())
     await asyncio.sleep(0)
     assert not ending.done()
 
@@ -264,7 +264,7 @@
                 client = Client(*await asyncio.open_connection(*address))
                 client.send(ask())
                 waiting.append(client)
-            await it.downstream.take_last()
+            await it.downstream.accept_queued()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*address)
             for _ in waiting:
@@ -272,7 +272,7 @@
             for client in waiting:
                 status, head, _ = await client.answer()
                 assert status == 200 and head["connection"] == "close"
-            await it.downstream.finish()
+            await it.downstream.finish_requests()
 
     run(test())
 
@@ -318,18 +318,18 @@
             client.send(ask() + ask())
             taken = await it.host.taken.get()
             (connection,) = it.downstream.connections
-            it.downstream.half_sent_s = -1.0
-            finished = connection.finished
+            it.downstream.partial_request_s = -1.0
+            finished = connection.response_finished
 
             def crossed(incoming: Any) -> None:
                 finished(incoming)
                 assert connection.current is None and connection.pipeline
-                end = it.downstream.finish()
+                end = it.downstream.finish_requests()
                 end.send(None)  # as far as its first wait, in just this moment
                 end.close()
 
             monkey = pytest.MonkeyPatch()
-            monkey.setattr(connection, "finished", crossed)
+            monkey.setattr(connection, "response_finished", crossed)
             taken.answer()
             assert (await client.answer())[0] == 200
             monkey.undo()
@@ -815,9 +815,9 @@
             client = await it.client()
             client.send(ask("buy", Connection=how))
             taken = await it.host.taken.get()
-            assert not it.downstream.make_room()
-            it.downstream.most = 0
-            it.downstream.keep_to_limit()
+            assert not it.downstream.evict_one()
+            it.downstream.connection_capacity = 0
+            it.downstream.enforce_limits()
             taken.answer()
             assert (await client.answer())[0] == 200
             await settled(it)
@@ -839,7 +839,7 @@
             taken.answer(body=bytes(60_000))
             await settled(it)
             assert connection.transport is not None and connection.transport.get_write_buffer_size()
-            assert not connection.has_open_requests and not it.downstream.make_room()
+            assert not connection.has_open_requests and not it.downstream.evict_one()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert (await client.answer())[::2] == (200, bytes(60_000))
             await until(lambda: not it.downstream.budget.used)
@@ -858,10 +858,10 @@
             taken.answer(body=bytes(60_000))
             await settled(it)
             it.downstream.budget.total = 0
-            it.downstream.keep_to_limit()
+            it.downstream.enforce_limits()
             assert connection in it.downstream.connections
             connection.progress_at -= 2 * eviction.STALLED_S
-            it.downstream.keep_to_limit()
+            it.downstream.enforce_limits()
             assert connection not in it.downstream.connections
 
     run(test())
@@ -907,7 +907,7 @@
             unread(it)
             client.send(ask())
             await until(lambda: not unread_input.is_quiet(transport))
-            ending = asyncio.get_running_loop().create_task(it.downstream.finish())
+            ending = asyncio.get_running_loop().create_task(it.downstream.finish_requests())
             await asyncio.sleep(0)
             assert not transport.is_closing()
             transport.resume_reading()
@@ -982,11 +982,11 @@
 ) -> None:
     """What it had sent stood unread as it was closed: the reset could overtake the 503."""
     monkeypatch.setattr(listener.Downstream, "limit", 0)
-    monkeypatch.setattr(listener.Downstream, "make_room", lambda *_, **__: False)
+    monkeypatch.setattr(listener.Downstream, "evict_one", lambda *_, **__: False)
 
     async def test() -> None:
         async with gateway() as it:
-            it.downstream.turned_away = 1
+            it.downstream.rejected_capacity = 1
             assert it.downstream.socket is not None
             address = it.downstream.socket.getsockname()
             loop = asyncio.get_running_loop()
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -529,7 +529,7 @@
             await it.host.taken.get()
             first.writer.close()
             await it.event(ClientDisconnected)
-            assert not it.downstream.intake.open_ids
+            assert not it.downstream.validator.open_ids
 
     run(test())
 
@@ -574,7 +574,7 @@
             client.send(b"".join(ask() for _ in range(100)))
             assert (await client.answer())[0] == 400
             assert await client.closed()
-            assert not it.downstream.intake.open_ids and it.proxy.open == 0
+            assert not it.downstream.validator.open_ids and it.proxy.open == 0
 
     run(test())
 
@@ -649,7 +649,7 @@
                 held.append(await it.client())
                 held[-1].send(ask())
                 await it.event(RequestArrived)
-            while it.downstream.make_room():
+            while it.downstream.evict_one():
                 """All that are left are owed an answer."""
             turned_away = await it.client()
             status, head, _ = await turned_away.ask(ask())
@@ -663,14 +663,14 @@
 
     async def test() -> None:
         async with gateway(limits={"sockets": 256}) as it:
-            most = it.downstream.most_resting
+            most = it.downstream.idle_capacity
             clients = [await it.client() for _ in range(most + 1)]
             for client in clients:
                 await it.served(client)
             assert await clients[0].closed()
             assert len(it.downstream.connections) <= most < it.downstream.limit / 2
             await it.served(clients[1])
-            assert not it.downstream.intake.open_ids
+            assert not it.downstream.validator.open_ids
 
     run(test())
 
