--- a/badgergap/cli/web.py
+++ b/badgergap/cli/web.py
@@ -139,7 +139,7 @@
         tunnel_s=http.quiet_tunnels / 1e6,
         handshake_s=(site.https.handshake_within if site.https is not None else 10_000_000) / 1e6,
         end_s=http.end_within / 1e6,
-        connections=eviction.half(config.sockets),
+        connections=eviction.per_side(config.sockets),
     )
     trusted = tuple(ipaddress.ip_network(network) for network in http.trusted_proxies)
     listen_tls = site.https.listen.pair if site.https is not None else None
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -1,8 +1,8 @@
-"""The second address: operators' calls, one line to a connection. What they mean is in `calls.py`.
+"""Serves operator commands at the second address, one line to a connection; `parsing.py` has the protocol.
 
-Bounds: CALLERS connections at once, of which the one that has waited longest without a whole line gives way
-to a new one; LINE_LIMIT bytes of a line; LINE_S for it to come; UNREAD_S for its answer to be taken. So
-callers that say nothing, or half a call, never keep a good one out. Their descriptors are of the reserve.
+Bounds: MAX_CONNECTIONS at once, of which the oldest without a complete line is closed for a new one;
+LINE_LIMIT bytes of a line; LINE_TIMEOUT_S for it to come; UNREAD_S for its response to be taken. So clients
+that send nothing, or half a command, never keep another out. Their descriptors belong to the reserve.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from badgergap.proxy.commands.parsing import LINE_LIMIT, Call, CallError, answer_line
+from badgergap.proxy.commands.parsing import LINE_LIMIT, Command, CommandError, respond
 from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.pools import proxy_of
@@ -22,97 +22,103 @@
 
 log = logging.getLogger(__name__)
 
-CALLERS = 24
-LINE_S = 2.0
+MAX_CONNECTIONS = 24
+LINE_TIMEOUT_S = 2.0
 UNREAD_S = 1.0
 BACKLOG = 128
-BY = "console"  # whose wish a ban is, for people
+DRAIN_OWNER = "console"  # what operators read as the origin of such a drain
 
 
-class Caller(asyncio.Protocol):
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+class CommandConnection(asyncio.Protocol):
+    """One connection of an operator: one line, one response."""
+
+    def __init__(self, listener: CommandListener) -> None:
+        self.listener = listener
         self.transport: asyncio.Transport | None = None
         self.line = bytearray()
-        self.answered = False
+        self.is_answered = False
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        self.desk.add(self)
-        self.timer = self.desk.loop.call_later(LINE_S, self.answer, b"fail no line has come\n")
+        self.listener.add(self)
+        self.timer = self.listener.loop.call_later(LINE_TIMEOUT_S, self.respond, b"fail no line has come\n")
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
-            return  # one line to a connection
+        if self.is_answered:
+            return  # only one line to a connection
         self.line += data[: LINE_LIMIT + 1 - len(self.line)]
         end = self.line.find(b"\n")
         if end >= 0:
-            self.answer(self.desk.answer(bytes(self.line[:end])))
+            self.respond(self.listener.respond(bytes(self.line[:end])))
         elif len(self.line) > LINE_LIMIT:
-            self.answer(b"fail the line is too long\n")
+            self.respond(b"fail the line is too long\n")
 
     def eof_received(self) -> bool:
-        if self.answered:
-            return False  # it has its answer and has closed
-        self.answer(b"fail the line has no end\n")
-        return True  # until the answer is sent
-
-    def answer(self, line: bytes) -> None:
-        self.answered = True
+        if self.is_answered:
+            return False  # it has its response and has closed
+        self.respond(b"fail the line has no end\n")
+        return True  # until the response is sent
+
+    def respond(self, line: bytes) -> None:
+        """Send the response, and end the connection once it is read or UNREAD_S have passed."""
+        self.is_answered = True
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
             self.transport.write(line)
-            # Not closed before the caller has closed or had its time: unread bytes would make it a reset,
-            # which can overtake the answer.
+            # Not closed before the client has closed or had its time: unread input would make the close a
+            # reset, which can overtake the response.
             self.transport.write_eof()
-            self.timer = self.desk.loop.call_later(UNREAD_S, self.transport.abort)
+            self.timer = self.listener.loop.call_later(UNREAD_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.desk.callers.pop(self, None)
+        self.listener.connections.pop(self, None)
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-class Desk:
-    """Listens for calls and carries them out."""
+class CommandListener:
+    """Listens for operator commands and executes them."""
 
     def __init__(
         self,
         address: Address,
         loop: asyncio.AbstractEventLoop,
-        carry_out: Callable[[Call], str],
-        most: int = CALLERS,
+        execute: Callable[[Command], str],
+        max_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        """`most`: callers at a time, of the reserve of descriptors."""
-        self.address, self.loop, self.carry_out = address, loop, carry_out
-        self.callers: dict[Caller, None] = {}  # the one that came first comes first
-        self.most = most
-        self.listener: asyncio.Server | None = None
+        """`execute` returns what was done, or raises CommandError. `max_connections`: at a time."""
+        self.address, self.loop, self.execute = address, loop, execute
+        self.connections: dict[CommandConnection, None] = {}  # oldest first
+        self.max_connections = max_connections
+        self.server: asyncio.Server | None = None
 
     async def start(self) -> Address:
-        self.listener = await self.loop.create_server(
-            lambda: Caller(self), *self.address, backlog=BACKLOG, reuse_address=True
+        """Listen; returns where. Raises OSError."""
+        self.server = await self.loop.create_server(
+            lambda: CommandConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
         )
-        bound: Address = self.listener.sockets[0].getsockname()[:2]
+        bound: Address = self.server.sockets[0].getsockname()[:2]
         return bound
 
-    def add(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > self.most:
-            # Those that have had their answer only wait to be read.
-            oldest = next((c for c in self.callers if c.answered), next(iter(self.callers)))
-            del self.callers[oldest]
+    def add(self, connection: CommandConnection) -> None:
+        """Take a new connection, and close the oldest if there are too many."""
+        self.connections[connection] = None
+        if len(self.connections) > self.max_connections:
+            # Those that have their response only wait to be read.
+            oldest = next((c for c in self.connections if c.is_answered), next(iter(self.connections)))
+            del self.connections[oldest]
             oldest.abort()
 
-    def answer(self, line: bytes) -> bytes:
+    def respond(self, line: bytes) -> bytes:
+        """Execute a line and return its response, with a line feed."""
         try:
-            answer = answer_line(line, self.carry_out)
+            answer = respond(line, self.execute)
         except Exception:
             log.exception("failed on a call: %.300r", line)
             return b"fail a fault in the gateway, which is in its log\n"
@@ -120,70 +126,74 @@
         return answer
 
     def close(self) -> None:
-        if self.listener is not None:
-            self.listener.close()
-        for caller in list(self.callers):
-            caller.abort()
+        """Stop listening and end all connections."""
+        if self.server is not None:
+            self.server.close()
+        for connection in list(self.connections):
+            connection.abort()
 
 
-class Hands:
-    """What the calls do to a gateway: its listener, its hosts."""
+class CommandHandler:
+    """Executes commands on a gateway: on its listener and its endpoints."""
 
     def __init__(self, proxies: Callable[[], Sequence[Proxy]], downstream: Downstream) -> None:
-        """`proxies`: of all pools, the main one first."""
+        """`proxies` returns those of all pools, the main one first."""
         self.proxies, self.downstream = proxies, downstream
 
-    def carry_out(self, call: Call) -> str:
-        """Raises CallError."""
-        match call.word:
+    def execute(self, command: Command) -> str:
+        """Return what was done. Raises CommandError."""
+        match command.verb:
             case "PING":
                 return self.state()
             case "LAMEDUCK":
-                self.check_listens()
+                self.require_listener()
                 return (
                     "sends clients away"
                     if self.downstream.enter_lame_duck()
                     else "sends clients away already"
                 )
             case "REJOIN":
-                self.check_listens()
+                self.require_listener()
                 return (
                     "takes clients again" if self.downstream.leave_lame_duck() else "takes clients as before"
                 )
             case "DETACH":
-                return self.by_hand(call.name, out=True)
+                return self.set_drained(command.endpoint_name, drained=True)
             case _:
-                return self.by_hand(call.name, out=False)
+                return self.set_drained(command.endpoint_name, drained=False)
 
-    def by_hand(self, name: str, out: bool) -> str:
+    def set_drained(self, name: str, drained: bool) -> str:
+        """Drain an endpoint by hand, or end that. Raises CommandError."""
         proxy = proxy_of(self.proxies(), name)
         was = name in proxy.roster.drains
         try:
-            if out:
-                proxy.drain(name, BY)
+            if drained:
+                proxy.drain(name, DRAIN_OWNER)
             else:
-                proxy.undrain(name, BY)
+                proxy.undrain(name, DRAIN_OWNER)
         except RosterError as error:
-            raise CallError(str(error)) from None
-        if was is out:
-            return f"{name} was {'out' if out else 'in'} already"
-        return f"{name} is {'out' if out else 'back, cold'}"
+            raise CommandError(str(error)) from None
+        if was is drained:
+            return f"{name} was {'out' if drained else 'in'} already"
+        return f"{name} is {'out' if drained else 'back, cold'}"
 
-    def check_listens(self) -> None:
+    def require_listener(self) -> None:
+        """Raises CommandError where the platform's clients have no listener."""
         if self.downstream.config.listen is None:
-            raise CallError("this gateway has no address for the platform's clients")
+            raise CommandError("this gateway has no address for the platform's clients")
 
     def state(self) -> str:
+        """Describe the gateway in one line. Raises CommandError once it shuts down."""
         if self.downstream.draining:
-            raise CallError("this process ends and takes no clients")
+            raise CommandError("this process ends and takes no clients")
         main, *_ = proxies = self.proxies()
-        drains, lame = main.roster.drains, self.downstream.lame_duck
-        age = f" {lame.age(self.downstream.loop.time()):.0f} s ago" if lame else ""
-        words = [
+        drains, lame_duck = main.roster.drains, self.downstream.lame_duck
+        age = f" {lame_duck.age(self.downstream.loop.time()):.0f} s ago" if lame_duck else ""
+        parts = [
             f"{main.config.name} (process {os.getpid()})",
-            f"was told to send clients away{age}" if lame else "takes clients",
+            f"was told to send clients away{age}" if lame_duck else "takes clients",
             f"{sum(proxy.roster.hosts for proxy in proxies)} hosts, {len(drains)} out by hand",
             f"{sum(proxy.open for proxy in proxies)} requests open",
             f"{len(self.downstream.connections)} connections",
         ]
-        return ", ".join(words)
+        return ", ".join(parts)
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -35,7 +35,7 @@
 from badgergap.proxy.downstream.request_validation import BadRequest, RequestValidator
 from badgergap.proxy.downstream.response import complete_response, response_head
 from badgergap.proxy.downstream.response_writer import RespondedRequest
-from badgergap.proxy.lifecycle.lame_duck import Fate, LameDuck
+from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.proxy import RETRY_AFTER, Books, Proxy, Request, plain, refused
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
@@ -183,7 +183,7 @@
             return
         if self.over_limit:
             raise BadRequest(503, "too many connections", (b"retry-after", RETRY_AFTER))
-        if not server.lame_duck.takes(now):
+        if not server.lame_duck.accepts_requests(now):
             self.send_response(incoming, refused("this gateway sends its clients away"))
             return
         waited_s = now - incoming.received_at if incoming.upload.complete else 0.0
@@ -313,17 +313,17 @@
         """Close now: its descriptor is needed for another connection."""
         self.abort()
 
-    def eviction_priority(self, now: float, for_memory: bool = False) -> eviction.Standing:
+    def eviction_priority(self, now: float, for_memory: bool = False) -> eviction.EvictionPriority:
         """How soon it is evicted. Guards against floods: a client that has shown least goes first."""
-        return eviction.standing(
+        return eviction.eviction_priority(
             now,
             closing=self.is_closing,
-            owed=self.has_open_requests,
-            asked=self.requests_read,
-            reading=self.is_receiving,
-            since=self.phase_began_at,
+            awaits_response=self.has_open_requests,
+            requests_read=self.requests_read,
+            receiving=self.is_receiving,
+            phase_began_at=self.phase_began_at,
             progress_at=self.progress_at,
-            unsent=self.transport is not None and self.transport.get_write_buffer_size() > 0,
+            has_unsent=self.transport is not None and self.transport.get_write_buffer_size() > 0,
             for_memory=for_memory,
         )
 
@@ -331,10 +331,12 @@
         """Close, or reject what has come in part, as the lame duck's rules say."""
         if self.is_closing:
             return
-        match self.server.lame_duck.fate(now, self.has_open_requests, self.is_receiving, self.phase_began_at):
-            case Fate.CLOSE if self.may_close:
+        match self.server.lame_duck.action(
+            now, self.has_open_requests, self.is_receiving, self.phase_began_at
+        ):
+            case ConnectionAction.CLOSE if self.may_close:
                 self.close()
-            case Fate.REFUSE:
+            case ConnectionAction.REJECT:
                 self.stop_reading()
                 self.write(complete_response(refused("this gateway sends its clients away"), True, False))
                 self.linger(LAME_DUCK_LINGER_S)
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -14,7 +14,7 @@
 from badgergap.proxy.downstream.request_validation import RequestValidator
 from badgergap.proxy.downstream.response import complete_response
 from badgergap.proxy.lifecycle.config import Address, Config
-from badgergap.proxy.lifecycle.lame_duck import LOOK_S, LameDuck
+from badgergap.proxy.lifecycle.lame_duck import POLL_INTERVAL_S, LameDuck
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import LARGEST, LEAST
 from badgergap.proxy.proxy import Proxy, refused
@@ -44,7 +44,7 @@
         self.connection_capacity = eviction.limit(config.sockets, 0)
         self.rejected_capacity = int(eviction.reserve(config.sockets) * REJECTED_SHARE)
         self.longest_deadline_s = max(klass.client_timeout_us for klass in config.settings.classes) / 1e6
-        self.partial_request_s = eviction.half_sent_s(self.longest_deadline_s)
+        self.partial_request_s = eviction.partial_request_s(self.longest_deadline_s)
         proxy.upstream.on_open = self.enforce_limits
         # Bytes written to a client and not taken, beyond which its endpoint is not read.
         self.unsent_limit = min(LARGEST, max(LEAST, self.budget.total // (4 * self.connection_capacity)))
@@ -52,7 +52,7 @@
         self.connections: set[ClientConnection] = set()
         # Between requests; the one used last comes last.
         self.idle_connections: dict[HttpConnection[IncomingRequest], None] = {}
-        self.idle_capacity = int(eviction.half(config.sockets) * IDLE_SHARE)
+        self.idle_capacity = int(eviction.per_side(config.sockets) * IDLE_SHARE)
         self.draining = False
         self.socket: socket.socket | None = None  # that listens; another process may listen on it too
         self.migrate: Callable[[ClientConnection], bool] | None = None  # to the process that takes over
@@ -136,7 +136,7 @@
                 connection.linger(REJECTED_LINGER_S)
 
     def evict_one(
-        self, up_to: eviction.Standing = eviction.Standing.ASKING, for_memory: bool = False
+        self, up_to: eviction.EvictionPriority = eviction.EvictionPriority.RECEIVING, for_memory: bool = False
     ) -> bool:
         """Close the connection with the lowest priority, if one has no higher than `up_to`."""
         now = self.loop.time()
@@ -156,10 +156,10 @@
     def enforce_limits(self) -> None:
         """Evict connections once endpoints need their descriptors, or bodies and heads exceed the memory."""
         excess = len(self.connections) - self.limit
-        while excess > 0 and self.evict_one(eviction.Standing.NEW):
+        while excess > 0 and self.evict_one(eviction.EvictionPriority.NEW):
             excess -= 1
         if self.budget.used > self.budget.total:
-            self.evict_one(eviction.Standing.STALLED, for_memory=True)
+            self.evict_one(eviction.EvictionPriority.STALLED, for_memory=True)
 
     def discard(self, connection: ClientConnection) -> None:
         """Forget a connection that has ended or is about to."""
@@ -207,7 +207,9 @@
 
     def check_lame_duck(self) -> None:
         """Apply the rules of a lame duck to all connections, again and again while it lasts."""
-        self.lame_duck_timer = self.loop.call_later(LOOK_S, self.check_lame_duck) if self.lame_duck else None
+        self.lame_duck_timer = (
+            self.loop.call_later(POLL_INTERVAL_S, self.check_lame_duck) if self.lame_duck else None
+        )
         now = self.loop.time()
         for connection in list(self.connections):
             connection.check_lame_duck(now)
@@ -224,7 +226,7 @@
     async def drain(self) -> None:
         """Shut down gracefully: accept what still comes, answer everything, then close."""
         self.draining = True
-        self.proxy.end_within(eviction.killed_s(self.longest_deadline_s) - eviction.LAST_ANSWER_S)
+        self.proxy.end_within(eviction.kill_after_s(self.longest_deadline_s) - eviction.LAST_ANSWER_S)
         if self.migrate is None:
             await asyncio.sleep(LAST_ACCEPT_S)
             await self.accept_queued()
@@ -268,7 +270,7 @@
                     continue
                 standing = connection.eviction_priority(self.loop.time())
                 if (
-                    standing < eviction.Standing.NEW and connection.may_close
+                    standing < eviction.EvictionPriority.NEW and connection.may_close
                 ) or waited_s > self.partial_request_s:
                     connection.close()
                 if waited_s > UNREAD_DRAIN_S:
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -17,7 +17,7 @@
 from badgergap.proxy.downstream.http_connection import AFTER_BEGIN, AFTER_END, HttpConnection
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest
-from badgergap.proxy.limits.memory import Budget, Reads
+from badgergap.proxy.limits.memory import Budget, ReadBuffer
 from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE
 
 # What is not body of a request, beside so many times its body. Guards against chunk extensions and trailers
@@ -40,7 +40,7 @@
 
     loop: asyncio.AbstractEventLoop
     budget: Budget  # bytes of bodies and heads that the process may hold
-    reads: Reads  # the buffer that all connections read into
+    reads: ReadBuffer  # the buffer that all connections read into
     idle_connections: dict[
         HttpConnection[IncomingRequest], None
     ]  # between requests, the one used last comes last
@@ -85,7 +85,7 @@
         return self.server.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(self.server.reads.taken(nbytes))
+        self.data_received(self.server.reads.take(nbytes))
 
     def data_received(self, data: bytes) -> None:
         if self.is_closing:
--- a/badgergap/proxy/lifecycle/config.py
+++ b/badgergap/proxy/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""What the gateway is told at its start and on SIGHUP: the ROUTER_* variables and the file behind them."""
+"""The configuration at the start and on SIGHUP: the ROUTER_* variables and the file that they name."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from typing import Any
 
 from badgergap.balancing.interface import Settings
+from badgergap.errors import BadgergapError
 from badgergap.simulator.codec import WireError, parse_settings
 
 Address = tuple[str, int]
 
 
-class ConfigError(ValueError):
+class ConfigError(BadgergapError, ValueError):
     """The configuration is missing or cannot be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The settings' names; the balancer knows each by its place."""
+    """The names in the settings; the balancer knows each by its index."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -30,24 +31,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """One gateway's configuration. The field names stand in the log where a change needs a restart."""
+
     name: str
     listen: Address | None  # None: no listener for the platform's clients
-    discovery: Address | None  # None: the hosts come from other sources
+    discovery: Address | None  # None: the endpoints come from other sources
     seed: int
     sockets: int  # file descriptors that the process may hold
     settings: Settings
     names: Names
-    known: dict[str, Any]  # the list of hosts as last held, in discovery's form
-    filed_discovery: object  # what the file itself says of discovery, whatever the environment says
+    known: dict[str, Any]  # the endpoint list as last stored, in discovery's form
+    filed_discovery: object  # discovery in the file itself, without the environment
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
     grows: bool = False  # a later configuration may hold further classes behind those of this one
-    console: Address | None = None  # for operators' calls alone; None: no such listener
+    console: Address | None = None  # for operator commands; None: no such listener
     memory_mb: int = 0  # that the process may have; 0: not stated
 
 
 def parse_address(text: object) -> Address:
+    """Parse host:port. Raises ConfigError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65_536:
         raise ConfigError(f"{text!r} is not an address of the form host:port")
@@ -55,6 +59,7 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
+    """Read the configuration that the environment names. Raises ConfigError."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
@@ -73,9 +78,10 @@
 
 
 def reload_config(environ: Mapping[str, str], old: Config) -> Config:
-    """The file as it is now. A discovery that has moved in it counts over the environment.
+    """Read the file again. Raises ConfigError.
 
-    Guards against a variable from the start that would pin the process to a service that is going away.
+    A discovery that has changed in the file takes precedence over the environment: the variable from the
+    start would else tie the process to a service that is being replaced.
     """
     new = load_config(environ)
     if new.filed_discovery == old.filed_discovery:
@@ -84,7 +90,10 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """What differs that a running process does not take over; `known` is for a start only."""
+    """Return the names of fields that differ and that a running process does not take over.
+
+    `known` is used at the start only.
+    """
     followed = {"discovery", "filed_discovery", "known"}
     if old.grows:
         more = old.settings.classes + new.settings.classes[len(old.settings.classes) :]
@@ -102,6 +111,7 @@
 
 
 def parse_config(raw: dict[str, Any], filed_discovery: object = None) -> Config:
+    """Check a decoded configuration. Raises ConfigError."""
     name, settings, known = raw.get("name"), raw.get("settings"), raw.get("known", {})
     if not isinstance(name, str) or not name:
         raise ConfigError("name is missing")
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -16,13 +16,13 @@
 
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.lifecycle.config import Config, ConfigError
-from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
+from badgergap.proxy.commands.listener import MAX_CONNECTIONS, CommandListener, CommandHandler
 from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.proxy import Observer, Proxy
 
 log = logging.getLogger(__name__)
 
-ENDING = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 # At SIGHUP, off the loop: the configuration as it is now, given the one read last. Raises ConfigError.
 ReadAgain = Callable[[Config], Config]
@@ -131,7 +131,7 @@
     """Run until told to end, and then until everything taken is answered. `early`: SIGHUPs before it."""
     loop = asyncio.get_running_loop()
     told, hung_up = asyncio.Event(), asyncio.Event()
-    for number in ENDING:
+    for number in STOP_SIGNALS:
         loop.add_signal_handler(number, told.set)
     loop.add_signal_handler(signal.SIGHUP, hung_up.set)
     if early:
@@ -152,7 +152,7 @@
     reloader = Reloader(proxy, downstream, rooms)
     for room in rooms:
         if isinstance(room, Steering):
-            room.steers(reloader.again)
+            room.steers(reloader.reload)
     if config.listen is not None:
         proxy.listens = await downstream.start(succession.listener if succession is not None else None)
         log.info("%s listens on %s:%d", config.name, *proxy.listens)
@@ -160,8 +160,8 @@
         await room.start()
     if succession is not None:
         succession.take()
-    desk = await open_desk(config, proxy, downstream, rooms)
-    reloads = loop.create_task(reload(reloader, hung_up, read_again))
+    desk = await start_command_listener(config, proxy, downstream, rooms)
+    reloads = loop.create_task(reload_on_signal(reloader, hung_up, read_again))
     await told.wait()
     ignore_signals(loop)
     reloads.cancel()  # a process that ends follows no configuration
@@ -183,9 +183,9 @@
     proxy.close()
 
 
-async def open_desk(
+async def start_command_listener(
     config: Config, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room]
-) -> Desk | None:
+) -> CommandListener | None:
     """The second address, once clients are taken: to a call for a sign of life it says so."""
     if config.console is None:
         return None
@@ -194,8 +194,8 @@
         further = [p for room in rooms if isinstance(room, Pooled) for p in room.proxies().values()]
         return list(dict.fromkeys((proxy, *further)))
 
-    most = min(CALLERS, eviction.reserve(config.sockets) // 3)
-    desk = Desk(config.console, proxy.loop, Hands(proxies, downstream).carry_out, most)
+    most = min(MAX_CONNECTIONS, eviction.reserve(config.sockets) // 3)
+    desk = CommandListener(config.console, proxy.loop, CommandHandler(proxies, downstream).execute, most)
     log.info("operators call at %s:%d", *await desk.start())
     return desk
 
@@ -205,7 +205,7 @@
 
     Guards against a signal after the loop has closed and handed them back: it would end as a crash.
     """
-    for number in (*ENDING, signal.SIGHUP):
+    for number in (*STOP_SIGNALS, signal.SIGHUP):
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
 
@@ -213,31 +213,31 @@
 class Reloader:
     """Has one new configuration after the other taken over, beside the serving loop."""
 
-    def __init__(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room]) -> None:
-        self.proxy, self.downstream, self.rooms = proxy, downstream, rooms
-        self.turn = asyncio.Lock()
+    def __init__(self, proxy: Proxy, downstream: Downstream, components: Sequence[Room]) -> None:
+        self.proxy, self.downstream, self.components = proxy, downstream, components
+        self.lock = asyncio.Lock()
 
-    async def again(self, read: ReadAgain) -> None:
+    async def reload(self, read: ReadAgain) -> None:
         """Raises ConfigError, and then nothing has changed."""
-        async with self.turn:
+        async with self.lock:
             config = await asyncio.to_thread(read, self.proxy.filed)
             self.proxy.take_over(config)
             if config.grows:
                 self.downstream.reconfigure(config)
-            for room in self.rooms:
+            for room in self.components:
                 room.reload(config)
-            for room in self.rooms:
+            for room in self.components:
                 if isinstance(room, Following):
                     await room.followed()
 
 
-async def reload(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadAgain) -> None:
+async def reload_on_signal(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadAgain) -> None:
     """Read the file again at each SIGHUP; one that is bad changes nothing."""
     while True:
         await hung_up.wait()
         hung_up.clear()
         try:
-            await reloader.again(read_again)
+            await reloader.reload(read_again)
         except ConfigError as error:
             log.error("the old configuration stays: %s", error)
         else:
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -15,7 +15,7 @@
 
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Observer, Proxy
-from badgergap.proxy.limits.quotas import Share
+from badgergap.proxy.limits.quotas import Quota
 
 log = logging.getLogger(__name__)
 
@@ -62,8 +62,8 @@
         self.main, self.observer, self.main_weight = main, observer, main_weight
         self.pools: dict[str, Pool] = {}
         self.leaving: set[Proxy] = set()
-        self.connections = Share(main.upstream.limit)
-        self.open_requests = Share(main.settings.max_open_requests)
+        self.connections = Quota(main.upstream.limit)
+        self.open_requests = Quota(main.settings.max_open_requests)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def proxy(self, name: str) -> Proxy | None:
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -205,7 +205,7 @@
             # Of an operator file's site further listeners have the other half.
             connections=eviction.limit(config.sockets, 0)
             if not config.grows
-            else eviction.half(config.sockets),
+            else eviction.per_side(config.sockets),
             connect_timeout_us=settings.connect_timeout_us,
             idle_us=settings.idle_connection_us,
             drain_grace_us=settings.drain_grace_us,
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from badgergap.proxy.limits.memory import Budget, Reads
+from badgergap.proxy.limits.memory import Budget, ReadBuffer
 from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy import unread_input
 from badgergap.balancing.interface import Outcome, EndpointStatus
@@ -304,7 +304,7 @@
         """`rest_s`: seconds that a connection rests after an answer, before it is used again."""
         self.loop = loop
         self.budget = budget if budget is not None else Budget()
-        self.reads = Reads(self.budget)
+        self.reads = ReadBuffer(self.budget)
         self.limit = connections
         self.elsewhere = 0  # connections that another process of this gateway holds
         self.acting: Callable[[], int] | None = None  # as `Proxy.acting`
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -107,7 +107,7 @@
         return self.pool.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(self.pool.reads.taken(nbytes))
+        self.data_received(self.pool.reads.take(nbytes))
 
     def write(self, exchange: Exchange) -> None:
         transport = self.transport
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -12,19 +12,26 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.commands import listener
-from badgergap.proxy.commands.parsing import LINE_LIMIT, WORDS, Call, CallError, answer_line, parse_call
+from badgergap.proxy.commands.parsing import (
+    LINE_LIMIT,
+    COMMANDS,
+    Command,
+    CommandError,
+    respond,
+    parse_command,
+)
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
+from badgergap.proxy.commands.listener import MAX_CONNECTIONS, CommandListener, CommandHandler
 from badgergap.balancing.interface import AttemptEnded, Outcome, EndpointStatus
 from tests.sockets import Client, Gateway, ask, entry, gateway, news, chunk, run
 
 GOOD = [
-    (b"PING", Call("PING")),
-    (b"PING\r", Call("PING")),
-    (b"DETACH s-5be2a07c", Call("DETACH", "s-5be2a07c")),
-    (b"ATTACH h\r", Call("ATTACH", "h")),
-    (b"LAMEDUCK", Call("LAMEDUCK")),
-    (b"REJOIN", Call("REJOIN")),
+    (b"PING", Command("PING")),
+    (b"PING\r", Command("PING")),
+    (b"DETACH s-5be2a07c", Command("DETACH", "s-5be2a07c")),
+    (b"ATTACH h\r", Command("ATTACH", "h")),
+    (b"LAMEDUCK", Command("LAMEDUCK")),
+    (b"REJOIN", Command("REJOIN")),
 ]
 BAD = [
     b"", b" ", b"ping", b"PING ", b"PING x", b" PING", b"PINGX", b"DETACH", b"DETACH ", b"DETACH  h",
@@ -35,16 +42,16 @@
 
 
 @pytest.mark.parametrize(("line", "call"), GOOD)
-def test_a_call_is_a_word_and_what_belongs_to_it(line: bytes, call: Call) -> None:
-    assert parse_call(line) == call
+def test_a_call_is_a_word_and_what_belongs_to_it(line: bytes, call: Command) -> None:
+    assert parse_command(line) == call
 
 
 @pytest.mark.parametrize("line", BAD)
 def test_what_is_no_call_changes_nothing_and_hears_why(line: bytes) -> None:
-    def carry_out(call: Call) -> str:
+    def carry_out(call: Command) -> str:
         raise AssertionError(f"{call} was carried out")
 
-    answer = answer_line(line, carry_out)
+    answer = respond(line, carry_out)
     assert answer.startswith(b"fail ") and answer.count(b"\n") == 1 and len(answer) > len(b"fail \n")
 
 
@@ -52,23 +59,23 @@
 def test_any_line_has_one_line_for_an_answer(line: bytes, said: str) -> None:
     """Also where what is to be said holds line ends of its own."""
 
-    def carry_out(call: Call) -> str:
-        if call.word == "PING":
-            raise CallError(said)
+    def carry_out(call: Command) -> str:
+        if call.verb == "PING":
+            raise CommandError(said)
         return said
 
     for each in (line, b"PING", b"REJOIN"):
-        answer = answer_line(each, carry_out)
+        answer = respond(each, carry_out)
         assert answer.endswith(b"\n") and answer.count(b"\n") == 1
         assert answer.split()[0] in (b"ok", b"fail")
-    assert set(WORDS) == {"PING", "DETACH", "ATTACH", "LAMEDUCK", "REJOIN"}
+    assert set(COMMANDS) == {"PING", "DETACH", "ATTACH", "LAMEDUCK", "REJOIN"}
 
 
 @asynccontextmanager
 async def opened(it: Gateway) -> AsyncIterator[Address]:
     """The second address of a gateway in this process."""
-    hands = Hands(lambda: [it.proxy], it.downstream)
-    its = Desk(("127.0.0.1", 0), it.proxy.loop, hands.carry_out)
+    hands = CommandHandler(lambda: [it.proxy], it.downstream)
+    its = CommandListener(("127.0.0.1", 0), it.proxy.loop, hands.execute)
     try:
         yield await its.start()
     finally:
@@ -154,16 +161,16 @@
 
 
 def test_callers_that_say_nothing_or_too_much_keep_no_good_one_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "LINE_S", 60.0)
+    monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 60.0)
 
     async def test() -> None:
         async with gateway() as it, opened(it) as address:
-            held = [await asyncio.open_connection(*address) for _ in range(2 * CALLERS)]
+            held = [await asyncio.open_connection(*address) for _ in range(2 * MAX_CONNECTIONS)]
             for number, (_, writer) in enumerate(held):
                 writer.write((b"", b"DETACH h", b"PI", b"\xff")[number % 4])
             assert (await call(address, b"PING\n")).startswith(b"ok ")
             # Those that came first have given way; the others hold what the bound allows.
-            for reader, _ in held[:CALLERS]:
+            for reader, _ in held[:MAX_CONNECTIONS]:
                 with pytest.raises(ConnectionError):
                     if await reader.read() == b"":
                         raise ConnectionResetError
@@ -185,7 +192,7 @@
     ],
 )
 def test_no_whole_line_is_no_call(sent: bytes, end: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "LINE_S", 0.05)
+    monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with gateway() as it, opened(it) as address:
@@ -201,11 +208,11 @@
 
 
 def test_a_fault_in_a_call_is_a_no(caplog: pytest.LogCaptureFixture) -> None:
-    def carry_out(call: Call) -> str:
+    def carry_out(call: Command) -> str:
         raise ZeroDivisionError
 
     async def test() -> None:
-        its = Desk(("127.0.0.1", 0), asyncio.get_running_loop(), carry_out)
+        its = CommandListener(("127.0.0.1", 0), asyncio.get_running_loop(), carry_out)
         address = await its.start()
         assert (await call(address, b"PING\n")).startswith(b"fail ")
         assert "ZeroDivisionError" in caplog.text
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.lifecycle import lame_duck as rules
-from badgergap.proxy.lifecycle.lame_duck import Fate, LameDuck
+from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from tests.sockets import Client, ask, gateway, run
 from tests.proxy.test_bodies import beside
 from tests.proxy.commands.test_commands import call, opened
@@ -27,20 +27,20 @@
     """Whatever a connection does: by 4 s it is closed, or has a request that came more than 2 s before."""
     lame = LameDuck()
     now = began + passed
-    assert lame.fate(now, owed, reading, now) is Fate.KEEP and lame.takes(now)
+    assert lame.action(now, owed, reading, now) is ConnectionAction.KEEP and lame.accepts_requests(now)
     assert lame.begin(began) and not lame.begin(now)
     if owed:
-        assert lame.fate(now, owed, reading, now) is Fate.KEEP
+        assert lame.action(now, owed, reading, now) is ConnectionAction.KEEP
     elif passed >= HELD_S - 0.5:
-        assert lame.fate(now, owed, reading, now) is not Fate.KEEP
+        assert lame.action(now, owed, reading, now) is not ConnectionAction.KEEP
     # A request that is carried out has come early enough to be allowed at the end.
-    assert not (lame.takes(now) and passed > HELD_S - RECENT_S)
+    assert not (lame.accepts_requests(now) and passed > HELD_S - RECENT_S)
     assert lame.end() and not lame.end()
-    assert lame.fate(now, owed, reading, now) is Fate.KEEP and lame.takes(now)
+    assert lame.action(now, owed, reading, now) is ConnectionAction.KEEP and lame.accepts_requests(now)
 
 
 def hurry(monkeypatch: pytest.MonkeyPatch, factor: float = 0.1) -> None:
-    for name in ("IDLE_S", "REST_S", "LAST_S", "HALF_S"):
+    for name in ("CLOSE_IDLE_AFTER_S", "MIN_IDLE_S", "REJECT_AFTER_S", "REJECT_PARTIAL_AFTER_S"):
         monkeypatch.setattr(rules, name, getattr(rules, name) * factor)
 
 
@@ -86,8 +86,8 @@
 
 
 def test_a_request_that_comes_late_in_a_drain_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rules, "LAST_S", 0.0)
-    monkeypatch.setattr(rules, "IDLE_S", 60.0)
+    monkeypatch.setattr(rules, "REJECT_AFTER_S", 0.0)
+    monkeypatch.setattr(rules, "CLOSE_IDLE_AFTER_S", 60.0)
 
     async def test() -> None:
         async with gateway() as it, opened(it) as address:
@@ -116,7 +116,7 @@
 
             async def cross(client: Client) -> tuple[str, int]:
                 request = ask()
-                await asyncio.sleep(rules.IDLE_S + draw.uniform(-0.02, 0.12))
+                await asyncio.sleep(rules.CLOSE_IDLE_AFTER_S + draw.uniform(-0.02, 0.12))
                 client.send(request)
                 number = request.split(b"Request-Id: ")[1].split(b"\r\n")[0].decode()
                 try:
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -11,7 +11,7 @@
 
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.downstream import client_connection, listener, request_reader
-from badgergap.proxy.limits.eviction import Standing
+from badgergap.proxy.limits.eviction import EvictionPriority
 from badgergap.balancing.interface import AttemptEnded
 from tests.sockets import ask, gateway, run
 from tests.proxy.test_bodies import Echo, beside, with_length
@@ -26,9 +26,9 @@
     hosts = min(hosts, eviction.limit(sockets, clients))
     clients = min(clients, eviction.limit(sockets, hosts))
     assert hosts + clients <= whole
-    least = int(whole * eviction.LEAST_SHARE)
+    least = int(whole * eviction.MIN_SHARE)
     assert eviction.limit(sockets, whole) == least and eviction.limit(sockets, 0) == whole - least
-    assert 32 <= eviction.reserve(sockets) <= eviction.RESERVE
+    assert 32 <= eviction.reserve(sockets) <= eviction.RESERVE_MAX
 
 
 @given(*(st.booleans(),) * 4, st.integers(0, 3), st.booleans(), *(st.floats(0, 5),) * 2)
@@ -43,27 +43,27 @@
     quiet: float,
 ) -> None:
     quiet = min(quiet, age)
-    found = eviction.standing(
+    found = eviction.eviction_priority(
         10.0,
         closing=closing,
-        owed=owed,
-        asked=asked,
-        reading=reading,
-        since=10.0 - age,
+        awaits_response=owed,
+        requests_read=asked,
+        receiving=reading,
+        phase_began_at=10.0 - age,
         progress_at=10.0 - quiet,
-        unsent=unsent,
+        has_unsent=unsent,
         for_memory=for_memory,
     )
     taken = unsent and not (for_memory and quiet > eviction.STALLED_S)
-    assert (found is Standing.OWED) is (owed or taken)
-    assert (found is Standing.CLOSING) is (closing and not owed and not unsent)
+    assert (found is EvictionPriority.AWAITING_RESPONSE) is (owed or taken)
+    assert (found is EvictionPriority.CLOSING) is (closing and not owed and not unsent)
     if unsent and not owed and not taken:
-        assert found is Standing.STALLED
+        assert found is EvictionPriority.STALLED
     elif not closing and not owed and not unsent:
         comes_on = reading and quiet <= eviction.STALLED_S
-        assert (found is Standing.ASKING) is comes_on
+        assert (found is EvictionPriority.RECEIVING) is comes_on
         if not reading and not asked and age > eviction.SILENT_S:
-            assert found is Standing.SILENT
+            assert found is EvictionPriority.SILENT
 
 
 @pytest.mark.parametrize(
@@ -72,9 +72,9 @@
 def test_what_has_come_in_part_is_waited_for_while_it_can_be_answered(
     deadline_s: float, half_s: float
 ) -> None:
-    assert eviction.half_sent_s(deadline_s) == pytest.approx(half_s)
+    assert eviction.partial_request_s(deadline_s) == pytest.approx(half_s)
     killed_s = min(deadline_s, eviction.DEADLINE_MOST_S) + eviction.KILLED_AFTER_S
-    assert half_s <= max(eviction.HALF_SENT_LEAST_S, killed_s)
+    assert half_s <= max(eviction.PARTIAL_REQUEST_MIN_S, killed_s)
 
 
 def test_a_request_that_is_written_slowly_gets_in_through_a_crowd(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/limits/test_memory.py
+++ b/tests/proxy/limits/test_memory.py
@@ -6,11 +6,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.proxy.limits.memory import ITSELF, LARGEST, LEAST, SMALLEST, UNSTATED, Budget, Reads, total_of
+from badgergap.proxy.limits.memory import (
+    PROCESS_BASELINE,
+    LARGEST,
+    LEAST,
+    MIN_TOTAL,
+    DEFAULT_TOTAL,
+    Budget,
+    ReadBuffer,
+    total_of,
+)
 
 
 @given(
-    st.integers(SMALLEST, UNSTATED),
+    st.integers(MIN_TOTAL, DEFAULT_TOTAL),
     st.lists(st.tuples(st.integers(0, 400), st.booleans()), max_size=2000),
 )
 def test_what_is_held_stays_near_the_total(total: int, steps: list[tuple[int, bool]]) -> None:
@@ -33,7 +42,7 @@
         budget.change(step)
         reads.append(budget.read)
     assert reads == sorted(reads, reverse=True) and reads[-1] == LEAST
-    assert len(Reads(budget).buffer()) == LEAST
+    assert len(ReadBuffer(budget).buffer()) == LEAST
     budget.change(-20 * step)
     assert budget.read == LARGEST and budget.used == 0
 
@@ -42,6 +51,6 @@
 def test_the_total_leaves_room_for_the_process(memory_mb: int) -> None:
     total = total_of(memory_mb)
     if memory_mb == 0:
-        assert total == UNSTATED
+        assert total == DEFAULT_TOTAL
     else:
-        assert SMALLEST <= total <= max(SMALLEST, memory_mb * 1024 * 1024 - ITSELF)
+        assert MIN_TOTAL <= total <= max(MIN_TOTAL, memory_mb * 1024 * 1024 - PROCESS_BASELINE)
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -301,7 +301,9 @@
                 await it.host.taken.get()
             request = next(iter(it.proxy.requests.values()))
             left_s = (request.deadline_us - it.proxy.clock.now_us()) / 1e6
-            assert left_s <= eviction.killed_s(60.0) - eviction.LAST_ANSWER_S - (loop.time() - told) + 0.05
+            assert (
+                left_s <= eviction.kill_after_s(60.0) - eviction.LAST_ANSWER_S - (loop.time() - told) + 0.05
+            )
             assert (await client.answer())[0] in ((503, 504) if klass == "look" else (502, 504))
             await end
             nothing_left(it)
