--- a/badgergap/cli/etcd.py
+++ b/badgergap/cli/etcd.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 from badgergap.proxy.lifecycle.config import ConfigError
-from badgergap.proxy.lifecycle.process import Room
+from badgergap.proxy.lifecycle.component import Component
 from badgergap.site.schema import EtcdTable
 
 
-def etcd_room(table: EtcdTable, folder: Path, environ: Mapping[str, str]) -> Room:
+def etcd_room(table: EtcdTable, folder: Path, environ: Mapping[str, str]) -> Component:
     """Raises ConfigError for certificates or a password that cannot be read. Imports the libraries."""
     try:
         from badgergap.etcd import EtcdRoom, Login, Options, Times
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -17,7 +17,8 @@
 from badgergap.cli.setup import Setup
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Observer, Proxy
-from badgergap.proxy.lifecycle.process import Room, Succeed, log_to_stderr, run
+from badgergap.proxy.lifecycle.component import Component, Succeed
+from badgergap.proxy.lifecycle.process import log_to_stderr, run
 from badgergap.site import SiteRoom
 from badgergap.site.web import never
 
@@ -38,7 +39,7 @@
     aims = (klass.objective_us for klass in config.settings.classes)
     figures = Figures(tuple(zip(config.names.classes, aims, strict=True)), config.names.tenants)
     admin = AdminRoom(setup.socket, config, figures, store)
-    rooms: list[Room] = [SiteRoom(lambda: setup.site, store), admin]
+    rooms: list[Component] = [SiteRoom(lambda: setup.site, store), admin]
     observer: Observer = figures
     if setup.site.etcd is not None:
         rooms.insert(1, etcd_room(setup.site.etcd, path.parent, environ))
@@ -105,7 +106,7 @@
     return room
 
 
-def keep_copies(setup: Setup, group: GroupRoom | None, admin: AdminRoom, rooms: list[Room]) -> Guard:
+def keep_copies(setup: Setup, group: GroupRoom | None, admin: AdminRoom, rooms: list[Component]) -> Guard:
     """Raises ConfigError."""
     assert group is not None  # the file was checked
     try:
@@ -126,7 +127,9 @@
     return guard
 
 
-def take_part(group: GroupRoom | None, admin: AdminRoom, rooms: list[Room], figures: Figures) -> Observer:
+def take_part(
+    group: GroupRoom | None, admin: AdminRoom, rooms: list[Component], figures: Figures
+) -> Observer:
     """In changes that go through the group by stages. What counts for their judge. Raises ConfigError."""
     from badgergap.cli.staged import WithChanges, changes_room
 
@@ -139,7 +142,7 @@
     return meter
 
 
-def fleet_tls(setup: Setup) -> Room:
+def fleet_tls(setup: Setup) -> Component:
     """TLS to the main pool's boxes. Raises ConfigError."""
     from badgergap.cli.tls import BoxTls
 
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -40,7 +40,7 @@
 from badgergap.proxy.lifecycle.config import Address, Config, ConfigError
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain, RosterError
-from badgergap.proxy.lifecycle.process import Again
+from badgergap.proxy.lifecycle.component import Reload
 from badgergap.proxy.pools import proxy_of
 from badgergap.storage.record_format import Unusable
 from badgergap.storage.record_log import Log
@@ -119,7 +119,7 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         self.proxies: Callable[[], Mapping[str, Proxy]] = lambda: {"": self.main}
         self.proxy: Proxy | None = None
-        self.again: Again | None = None
+        self.again: Reload | None = None
         self.life = 0  # of the member: a word of the disk to an earlier one is none to this one
         self.held: deque[member.Send] = deque()  # rely on saves that are not durable
         self.durable_token = 0
@@ -169,7 +169,7 @@
             self.led_at = clock_us()
         return clock_us() - self.led_at
 
-    def steers(self, again: Again) -> None:
+    def steers(self, again: Reload) -> None:
         self.again = again
 
     async def start(self) -> None:
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -40,7 +40,7 @@
 from badgergap.proxy.pools import MAIN, proxy_of
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.endpoints.registry import HandDrain, RosterError
-from badgergap.proxy.lifecycle.process import Pooled, Room
+from badgergap.proxy.lifecycle.component import Component, PoolOwner
 from badgergap.proxy.endpoints.sources import PLATFORM
 from badgergap.hot_restart.state_transfer import Will, WillError, list_of, read_will, whose, write_will
 
@@ -78,7 +78,7 @@
         self.loop = asyncio.get_running_loop()
         self.disk = ThreadPoolExecutor(1)  # one save after the other
         self.parts: dict[str, Part] = {}
-        self.rooms: Sequence[Room] = ()
+        self.rooms: Sequence[Component] = ()
         self.will: Will | None = None
         self.listener: socket.socket | None = None  # of clients, handed over
         self.listeners: dict[str, socket.socket] = {}  # of the parts, handed over and not taken yet
@@ -98,7 +98,10 @@
     def proxies(self) -> Mapping[str, Proxy]:
         """Of all pools there are by now. Read with suspicion: a room may have none yet."""
         pools = {
-            name: p for room in self.rooms if isinstance(room, Pooled) for name, p in room.proxies().items()
+            name: p
+            for room in self.rooms
+            if isinstance(room, PoolOwner)
+            for name, p in room.proxies().items()
         }
         return {MAIN: self.proxy, **pools}
 
@@ -164,7 +167,7 @@
             sock.close()
         self.listeners.clear()
 
-    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room] = ()) -> None:
+    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Component] = ()) -> None:
         """Before anything has started: what the will says of hosts out by hand, and of a drain."""
         self.proxy, self.downstream, self.rooms = proxy, downstream, rooms
         self.parts = {room.part: room for room in rooms if isinstance(room, Part)}
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -1,4 +1,4 @@
-"""One gateway as a process: start, signals, the end. Rooms beside the core are let in by one protocol."""
+"""One gateway as a process: start, signals, reloads, graceful shutdown; `component.py` is what it runs."""
 
 from __future__ import annotations
 
@@ -6,204 +6,164 @@
 import gc
 import logging
 import signal
-import socket
 import sys
-from collections.abc import Awaitable, Callable, Mapping, Sequence
+from collections.abc import Sequence
 from dataclasses import replace
-from typing import Any, Protocol, runtime_checkable
 
 import uvloop
 
-from badgergap.proxy.limits import eviction
-from badgergap.proxy.lifecycle.config import Config, ConfigError
-from badgergap.proxy.commands.listener import MAX_CONNECTIONS, CommandListener, CommandHandler
+from badgergap.proxy.commands.listener import MAX_CONNECTIONS, CommandHandler, CommandListener
 from badgergap.proxy.downstream.listener import Downstream
+from badgergap.proxy.lifecycle.component import (
+    AsyncReload,
+    Component,
+    ConfigurationSource,
+    Drainable,
+    PoolOwner,
+    ReadConfig,
+    Succeed,
+    Succession,
+)
+from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.limits import eviction
 from badgergap.proxy.proxy import Observer, Proxy
 
 log = logging.getLogger(__name__)
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
-# At SIGHUP, off the loop: the configuration as it is now, given the one read last. Raises ConfigError.
-ReadAgain = Callable[[Config], Config]
-
-
-class Room(Protocol):
-    """Something that lives beside the core in its process: a console's socket, a further source of hosts."""
-
-    def join(self, proxy: Proxy) -> None:
-        """Before anything has started: add sources, restore what was kept."""
-
-    async def start(self) -> None:
-        """The gateway listens. An OSError ends the process with exit code 1."""
-
-    def reload(self, config: Config) -> None:
-        """The configuration was read again, and the core has taken it over."""
-
-    async def close(self) -> None:
-        """All requests are answered; the process is about to end."""
-
-
-@runtime_checkable
-class Pooled(Protocol):
-    """A room that divides the hosts among pools."""
-
-    def proxies(self) -> Mapping[str, Proxy]:
-        """Of all pools, the main one among them; empty before it has started."""
-
-
-# Has the configuration read by this and taken over by all; returns once that is so. Raises ConfigError.
-Again = Callable[[ReadAgain], Awaitable[None]]
-
-
-@runtime_checkable
-class Steering(Protocol):
-    """A room that brings configurations of its own, beside those of SIGHUP."""
-
-    def steers(self, again: Again) -> None:
-        """Before it is started."""
-
-
-@runtime_checkable
-class Following(Protocol):
-    """A room that needs a while to follow a new configuration."""
-
-    async def followed(self) -> None:
-        """Returns once it does."""
-
 
-@runtime_checkable
-class Taking(Protocol):
-    """A room that takes requests itself."""
+class GatewayProcess:
+    """The parts of one gateway, in the order in which they start and end."""
+
+    def __init__(
+        self,
+        config: Config,
+        proxy: Proxy,
+        downstream: Downstream,
+        components: Sequence[Component],
+        succession: Succession | None,
+    ) -> None:
+        self.config = config
+        self.proxy = proxy
+        self.downstream = downstream
+        self.components = components
+        self.succession = succession
+
+    async def start(self) -> Reloader:
+        """Start everything that serves. Raises OSError."""
+        if self.succession is not None:
+            self.succession.join(self.proxy, self.downstream, self.components)
+        for component in self.components:
+            component.join(self.proxy)
+        await self.proxy.start()
+        if self.succession is not None:
+            self.succession.teach()
+        reloader = Reloader(self.proxy, self.downstream, self.components)
+        for component in self.components:
+            if isinstance(component, ConfigurationSource):
+                component.steers(reloader.reload)
+        if self.config.listen is not None:
+            inherited = self.succession.listener if self.succession is not None else None
+            self.proxy.listens = await self.downstream.start(inherited)
+            log.info("%s listens on %s:%d", self.config.name, *self.proxy.listens)
+        for component in self.components:
+            await component.start()
+        if self.succession is not None:
+            self.succession.take()
+        return reloader
 
     async def drain(self) -> None:
-        """The process was told to end: returns once all that the room has taken is answered."""
-
-
-class Inherited(Protocol):
-    """What a process hands over that a gateway begins with."""
-
-    @property
-    def known(self) -> dict[str, Any]:
-        """The list of hosts, as `Config.known`."""
-
-    @property
-    def offset_ns(self) -> int:
-        """Of its clock against the monotonic one."""
-
-
-class Succession(Protocol):
-    """What takes over from another process of this gateway, and gives over to the next."""
-
-    listener: socket.socket | None  # of clients, handed over
-
-    async def inherit(self) -> Inherited | None:
-        """What the process that serves hands over, or None where there is none."""
-
-    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room]) -> None:
-        """Before anything has started."""
-
-    def teach(self) -> None:
-        """The hosts are listed, as far as they were handed over."""
-
-    def take(self) -> None:
-        """Clients are taken here from now on."""
-
-    def end(self) -> None:
-        """This process was told to end."""
+        """Answer all requests that were accepted.
+
+        A component that fails does not keep the others from answering theirs: its error is logged.
+        """
+        if self.succession is not None:
+            self.succession.end()
+        drains = [component.drain() for component in self.components if isinstance(component, Drainable)]
+        if self.config.listen is not None:
+            drains.append(self.downstream.drain())
+        for error in await asyncio.gather(*drains, return_exceptions=True):
+            if error is not None:
+                log.error("the end was not as planned", exc_info=error)
 
     async def close(self) -> None:
-        """All requests are answered."""
-
-
-# Where there can be one. Called on the loop.
-Succeed = Callable[[Config], Succession | None]
+        """End all parts, the one that started last first."""
+        for component in reversed(self.components):
+            await component.close()
+        if self.succession is not None:
+            await self.succession.close()
+        self.proxy.close()
 
 
 async def serve(
     config: Config,
-    read_again: ReadAgain,
-    rooms: Sequence[Room] = (),
+    read_again: ReadConfig,
+    components: Sequence[Component] = (),
     observer: Observer | None = None,
     early: Sequence[int] = (),
     succeed: Succeed | None = None,
 ) -> None:
-    """Run until told to end, and then until everything taken is answered. `early`: SIGHUPs before it."""
+    """Run until SIGTERM or SIGINT, and then until all accepted requests are answered.
+
+    `early`: SIGHUPs that came before the loop ran. Raises OSError where an address cannot be bound.
+    """
     loop = asyncio.get_running_loop()
-    told, hung_up = asyncio.Event(), asyncio.Event()
-    for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, told.set)
-    loop.add_signal_handler(signal.SIGHUP, hung_up.set)
+    stopped, hung_up = watch_signals(loop)
     if early:
         hung_up.set()
     succession = succeed(config) if succeed is not None else None
-    will = await succession.inherit() if succession is not None else None
-    proxy = Proxy(config if will is None else replace(config, known=will.known), loop, observer)
-    if will is not None:
-        proxy.clock.offset_ns = will.offset_ns
+    inherited = await succession.inherit() if succession is not None else None
+    proxy = Proxy(config if inherited is None else replace(config, known=inherited.known), loop, observer)
+    if inherited is not None:
+        proxy.clock.offset_ns = inherited.offset_ns
     downstream = Downstream(config, proxy, loop)
-    if succession is not None:
-        succession.join(proxy, downstream, rooms)
-    for room in rooms:
-        room.join(proxy)
-    await proxy.start()
-    if succession is not None:
-        succession.teach()
-    reloader = Reloader(proxy, downstream, rooms)
-    for room in rooms:
-        if isinstance(room, Steering):
-            room.steers(reloader.reload)
-    if config.listen is not None:
-        proxy.listens = await downstream.start(succession.listener if succession is not None else None)
-        log.info("%s listens on %s:%d", config.name, *proxy.listens)
-    for room in rooms:
-        await room.start()
-    if succession is not None:
-        succession.take()
-    desk = await start_command_listener(config, proxy, downstream, rooms)
+    gateway = GatewayProcess(config, proxy, downstream, components, succession)
+    reloader = await gateway.start()
+    commands = await start_command_listener(config, proxy, downstream, components)
     reloads = loop.create_task(reload_on_signal(reloader, hung_up, read_again))
-    await told.wait()
+    await stopped.wait()
     ignore_signals(loop)
-    reloads.cancel()  # a process that ends follows no configuration
-    if succession is not None:
-        succession.end()
-    # A room that fails must not keep the others from answering what they have taken.
-    ends = [room.drain() for room in rooms if isinstance(room, Taking)]
-    if config.listen is not None:
-        ends.append(downstream.drain())
-    for failed in await asyncio.gather(*ends, return_exceptions=True):
-        if failed is not None:
-            log.error("the end was not as planned", exc_info=failed)
-    if desk is not None:
-        desk.close()
-    for room in reversed(rooms):
-        await room.close()
-    if succession is not None:
-        await succession.close()
-    proxy.close()
+    reloads.cancel()  # a process that ends applies no configuration
+    await gateway.drain()
+    if commands is not None:
+        commands.close()
+    await gateway.close()
+
+
+def watch_signals(loop: asyncio.AbstractEventLoop) -> tuple[asyncio.Event, asyncio.Event]:
+    """Return the events that are set by a signal to stop, and by SIGHUP."""
+    stopped, hung_up = asyncio.Event(), asyncio.Event()
+    for number in STOP_SIGNALS:
+        loop.add_signal_handler(number, stopped.set)
+    loop.add_signal_handler(signal.SIGHUP, hung_up.set)
+    return stopped, hung_up
 
 
 async def start_command_listener(
-    config: Config, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room]
+    config: Config, proxy: Proxy, downstream: Downstream, components: Sequence[Component]
 ) -> CommandListener | None:
-    """The second address, once clients are taken: to a call for a sign of life it says so."""
+    """Listen at the second address, if there is one. Started last: PING says that clients are served."""
     if config.console is None:
         return None
 
     def proxies() -> list[Proxy]:
-        further = [p for room in rooms if isinstance(room, Pooled) for p in room.proxies().values()]
+        owners = [component for component in components if isinstance(component, PoolOwner)]
+        further = [each for owner in owners for each in owner.proxies().values()]
         return list(dict.fromkeys((proxy, *further)))
 
-    most = min(MAX_CONNECTIONS, eviction.reserve(config.sockets) // 3)
-    desk = CommandListener(config.console, proxy.loop, CommandHandler(proxies, downstream).execute, most)
-    log.info("operators call at %s:%d", *await desk.start())
-    return desk
+    max_connections = min(MAX_CONNECTIONS, eviction.reserve(config.sockets) // 3)
+    handler = CommandHandler(proxies, downstream)
+    listener = CommandListener(config.console, proxy.loop, handler.execute, max_connections)
+    log.info("operators call at %s:%d", *await listener.start())
+    return listener
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """From here on the process ends by itself.
+    """Ignore all signals from here on: the process ends by itself.
 
-    Guards against a signal after the loop has closed and handed them back: it would end as a crash.
+    Guards against one that comes after the loop has closed and restored the default handlers: the process
+    would end as if it had crashed.
     """
     for number in (*STOP_SIGNALS, signal.SIGHUP):
         loop.remove_signal_handler(number)
@@ -211,28 +171,28 @@
 
 
 class Reloader:
-    """Has one new configuration after the other taken over, beside the serving loop."""
+    """Applies one new configuration after the other while the gateway serves."""
 
-    def __init__(self, proxy: Proxy, downstream: Downstream, components: Sequence[Room]) -> None:
+    def __init__(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component]) -> None:
         self.proxy, self.downstream, self.components = proxy, downstream, components
         self.lock = asyncio.Lock()
 
-    async def reload(self, read: ReadAgain) -> None:
-        """Raises ConfigError, and then nothing has changed."""
+    async def reload(self, read: ReadConfig) -> None:
+        """Read a configuration and apply it. Raises ConfigError, and then nothing has changed."""
         async with self.lock:
             config = await asyncio.to_thread(read, self.proxy.filed)
             self.proxy.take_over(config)
             if config.grows:
                 self.downstream.reconfigure(config)
-            for room in self.components:
-                room.reload(config)
-            for room in self.components:
-                if isinstance(room, Following):
-                    await room.followed()
+            for component in self.components:
+                component.reload(config)
+            for component in self.components:
+                if isinstance(component, AsyncReload):
+                    await component.followed()
 
 
-async def reload_on_signal(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadAgain) -> None:
-    """Read the file again at each SIGHUP; one that is bad changes nothing."""
+async def reload_on_signal(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadConfig) -> None:
+    """Apply the file again at each SIGHUP; an invalid one changes nothing."""
     while True:
         await hung_up.wait()
         hung_up.clear()
@@ -246,23 +206,24 @@
 
 def run(
     config: Config,
-    read_again: ReadAgain,
-    rooms: Sequence[Room] = (),
+    read_again: ReadConfig,
+    components: Sequence[Component] = (),
     observer: Observer | None = None,
     hung_up: Sequence[int] = (),
     succeed: Succeed | None = None,
 ) -> int:
-    """Serve until told to end; returns the exit code. `hung_up`: SIGHUPs that came while it started."""
-    gc.freeze()  # what the imports made is never garbage
+    """Serve until a signal to stop; return the exit code. `hung_up`: SIGHUPs that came during the start."""
+    gc.freeze()  # the objects of the imports are never garbage
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, read_again, rooms, observer, hung_up, succeed))
+            runner.run(serve(config, read_again, components, observer, hung_up, succeed))
     except OSError as error:
-        why = error if error.errno is not None else error.strerror  # of our own there is no number
+        why = error if error.errno is not None else error.strerror  # this package's own have no number
         print(f"badgergap: cannot start: {why}", file=sys.stderr)
         return 1
     return 0
 
 
 def log_to_stderr() -> None:
+    """Send the log to stderr, with times."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -16,7 +16,7 @@
 from badgergap.cli.tls import ClientTls
 from badgergap.cli.web import web_room
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.lifecycle.process import Room
+from badgergap.proxy.lifecycle.component import Component
 from badgergap.site import SiteRoom
 from badgergap.standins.app import App
 from badgergap.standins.net import small_socket
@@ -108,7 +108,7 @@
     setup: Setup
     proxy: Proxy
     figures: Figures
-    rooms: list[Room]
+    rooms: list[Component]
     apps: list[App]
     tls: ClientTls | None = None
 
@@ -198,7 +198,7 @@
     figures = Figures(tuple((name, 20_000_000) for name in setup.config.names.classes))
     proxy = Proxy(setup.config, asyncio.get_running_loop(), figures)
     web, tls_files = web_room(setup, {}, figures)
-    rooms: list[Room] = [SiteRoom(lambda: setup.site, None), web]
+    rooms: list[Component] = [SiteRoom(lambda: setup.site, None), web]
     if setup.site.fleet.ca is not None:
         rooms.insert(0, fleet_tls(setup))
     it = Site(setup, proxy, figures, rooms, apps, tls_files)
