--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -43,7 +43,7 @@
 from badgergap.h3.driver import Driver, Sender
 from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
 from badgergap.balancing.interface import Outcome
-from badgergap.proxy.header_fields import BadHead, ForBox, answer_headers, trailers
+from badgergap.proxy.header_fields import BadHead, ForwardedHead, response_headers, trailers
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, Tried, Wanted, outcome_of
 
 LINKS = 4
@@ -85,7 +85,7 @@
 
     def begin_request(self, link: BoxLink) -> None:
         wanted, head = self.wanted, self.wanted.head
-        assert isinstance(head, ForBox)  # this room carries ordinary requests only
+        assert isinstance(head, ForwardedHead)  # this room carries ordinary requests only
         fields = [
             (b":method", head.method),
             (b":scheme", b"https"),
@@ -93,7 +93,7 @@
             (b":path", head.target),
             *head.fields,
         ]
-        if head.says_length and head.length is not None:
+        if head.states_length and head.length is not None:
             fields.append((b"content-length", b"%d" % head.length))
         held = wanted.upload.attach(self, self.committed)
         if wanted.expects and not wanted.upload.size and not wanted.upload.complete:
@@ -153,14 +153,14 @@
             if status == 100:
                 self.go_on()
             else:
-                self.wanted.download.interim(status, answer_headers(rest))
+                self.wanted.download.interim(status, response_headers(rest))
             return
         lengths = {value for name, value in rest if name == b"content-length"}
         if len(lengths) > 1 or not all(value.isdigit() and len(value) < 19 for value in lengths):
             raise BadHead("an answer of ambiguous length")
         has_body = not (self.wanted.is_head or status in NO_BODY)
         length = int(lengths.pop()) if lengths else (0 if ended and has_body else None)
-        self.held = head = AnswerHead(status, answer_headers(rest), length, has_body)
+        self.held = head = AnswerHead(status, response_headers(rest), length, has_body)
         self.outcome = outcome_of(status, rest, self.wanted.failing)
         if self.outcome is Outcome.SUCCESS:
             self.begin(head)
--- a/badgergap/ordinary/heads.py
+++ b/badgergap/ordinary/heads.py
@@ -22,7 +22,16 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from badgergap.proxy.header_fields import FORWARDED, HOP, KEPT, OWN, TOKEN, VALUE, BadHead, ForBox
+from badgergap.proxy.header_fields import (
+    FORWARDED,
+    HOP_BY_HOP,
+    ALWAYS_KEPT,
+    REWRITTEN,
+    TOKEN,
+    VALUE,
+    BadHead,
+    ForwardedHead,
+)
 from badgergap.proxy.body_streams import AnswerHead, Headers
 from badgergap.proxy.upstream.connection_pool import Answer
 
@@ -159,13 +168,13 @@
     peer: Peer,
     number: bytes,
     tenant: bytes = b"",
-) -> ForBox:
+) -> ForwardedHead:
     """`host`: as the client named it; `number`: the id; `tenant`: the route's, which nobody else can say."""
-    listed = connection_list(head.by_name) - KEPT
+    listed = connection_list(head.by_name) - ALWAYS_KEPT
     fields: Headers = []
     cookies = []
     for name, value in head.headers:
-        if name in HOP or name in OWN or name in listed:
+        if name in HOP_BY_HOP or name in REWRITTEN or name in listed:
             continue
         if name in FORWARDED and not peer.trusted:
             continue
@@ -187,7 +196,7 @@
     fields.append((b"via", b"%b%b %b" % (via_before, head.version.encode(), NAME)))
     fields.append((b"x-request-id", number))
     says_length = b"content-length" in head.by_name or head.method in (b"POST", b"PUT", b"PATCH")
-    return ForBox(
+    return ForwardedHead(
         head.method,
         path + query,
         host,
--- a/badgergap/proxy/downstream/forwarding.py
+++ b/badgergap/proxy/downstream/forwarding.py
@@ -10,7 +10,7 @@
 
 
 class EndpointHead:
-    """A head of the platform's, whose lines are ready."""
+    """A head of the platform's, whose lines are prepared."""
 
     __slots__ = ("prepared_lines",)
 
@@ -22,16 +22,16 @@
 
 
 class FinalResponseWriter(ResponseWriter):
-    """Of a host's answers the final one alone goes on: this protocol has no others."""
+    """Forwards the final response alone: the platform's protocol has no interim ones."""
 
     __slots__ = ()
 
     def interim(self, status: int, headers: Headers) -> None:
-        """Between the gateway and the host."""
+        """Interim responses end at the gateway."""
 
 
 def exchange_spec(writer: ResponseConnection, incoming: IncomingRequest, timeout_s: float) -> Wanted:
-    """Describe one attempt; the response goes to `writer`. `timeout_s`: what the endpoint is told."""
+    """Describe one attempt; its response goes to `writer`. `timeout_s`: the deadline that is forwarded."""
     upload = incoming.upload
     length = upload.size if upload.complete else incoming.length
     lines = incoming.forwarded_head + b"Request-Timeout-Ms: %d\r\n" % -(-int(timeout_s * 1e6) // 1000)
@@ -54,5 +54,5 @@
 
 
 def is_failure(status: int) -> bool:
-    """The platform's hosts serve with 200 and nothing else."""
+    """Whether a status is a failure: the platform's endpoints serve with 200 and nothing else."""
     return status != 200
--- a/badgergap/proxy/downstream/incoming_request.py
+++ b/badgergap/proxy/downstream/incoming_request.py
@@ -10,34 +10,34 @@
 
 VERSIONS = ("1.0", "1.1")
 
-# The body of all requests that have none: whole from the start, and nothing to hold.
-NOTHING = Upload(lambda on: None, complete=True)
+# The body of all requests that have none: complete from the start, and with nothing to hold.
+NO_BODY = Upload(lambda on: None, complete=True)
 
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest(RequestHead):
-    """A request as it is read, and its answer as it is written."""
+    """A request while it is read, and its response while it is written."""
 
     received_at: float = 0.0  # loop time of its last byte
-    upload: Upload = NOTHING
-    size: int = 0  # of its header fields, then of its body
-    raw_bytes: int = 0  # bytes since the first, however they are framed
+    upload: Upload = NO_BODY
+    size: int = 0  # bytes of its header fields, then of its body
+    raw_bytes: int = 0  # read for it, with its framing
     length: int | None = 0  # of the body; None: chunked
     version: str = "1.1"
     head_complete: bool = False
-    is_queued: bool = False  # it waits for its turn, or has had it
-    expects_continue: bool = False  # its client sends no body before it is told to
+    is_queued: bool = False  # it waits for its turn, or it has had it
+    expects_continue: bool = False  # its client waits for 100 Continue
     keep_alive: bool = True
-    rejection: BadRequest | None = None  # what it is answered in its turn, without a look at the rest
-    request_id: bytes = b""  # once it is among the open ones
-    forwarded_head: bytes = b""  # of its head, as a host is to hear them
-    exchange: Tried | None = None  # the newest
-    source: DownloadSource | None = None  # once an answer is passed on
-    chunked: bool = False  # how that is framed
-    is_last: bool = False  # the connection ends with its answer
+    rejection: BadRequest | None = None  # its response, whatever the rest of it
+    request_id: bytes = b""  # once it is reserved
+    forwarded_head: bytes = b""  # its head as it is forwarded, but for the deadline and the length
+    exchange: Tried | None = None  # the newest attempt
+    source: DownloadSource | None = None  # of the response that is streamed
+    chunked: bool = False  # how the response is framed
+    is_last: bool = False  # the connection ends with its response
 
     def check_head(self, version: str) -> None:
-        """What the head alone shows to be wrong, before any of the body has come."""
+        """Check the head before any of the body has come. Raises BadRequest."""
         if version not in VERSIONS:
             raise BadRequest(505, "neither HTTP/1.0 nor HTTP/1.1")
         self.version = version
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -20,19 +20,19 @@
 from badgergap.proxy.limits.memory import Budget, ReadBuffer
 from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE
 
-# What is not body of a request, beside so many times its body. Guards against chunk extensions and trailers
-# that go on without end; a body may come in chunks of one byte.
+# Bytes of a request that are no body, beside FRAMING_SHARE times its body. Guards against chunk extensions
+# and trailers without end; a body may come in chunks of one byte.
 RAW_LIMIT = 4 * HEAD_LIMIT
-ACCOUNTED_HEAD_BYTES = 2048  # bytes of a head that is not whole, from which on the budget is told
-PIPELINE_LIMIT = 8  # requests read ahead of their turn on one connection
-# For a whole request: the first on a connection from its accept, a later one from its first byte. Guards
-# against clients that say nothing, or say it without end, and hold a descriptor meanwhile.
+ACCOUNTED_HEAD_BYTES = 2048  # of an incomplete head, from which on the budget counts it
+PIPELINE_LIMIT = 8  # requests read ahead of their turn
+# For a complete request: the first on a connection from its accept, a later one from its first byte. Guards
+# against clients that send nothing, or a request without end, and hold a descriptor meanwhile.
 REQUEST_S = 2.25
-# Of a body: bytes a second that a client has to bring, and how long it may bring none. A client that brings
-# its body at half the pace of the slowest there are is still read.
+# Of a body: bytes a second that a client has to send, and how long it may send none. Half the rate of the
+# slowest clients is enough.
 SLOWEST_UPLOAD = 32_000
 UPLOAD_STALL_S = 2.0
-UPLOAD_START_S = 1.0  # for the first of it, behind a head that took its time
+UPLOAD_START_S = 1.0  # for its first bytes, after a head that took long
 
 
 class ReaderContext(Protocol):
@@ -47,24 +47,24 @@
 
 
 class RequestReader(HttpConnection[IncomingRequest], asyncio.BufferedProtocol):
-    """The reading half of a connection: requests that are complete, or held as far as may be, are queued."""
+    """The reading half of a connection: it queues requests that are complete or held as far as may be."""
 
     def __init__(self, server: ReaderContext, requests_read: int) -> None:
         """`asked`: requests that were read on this connection before."""
         super().__init__(server.loop, IncomingRequest())
         self.server = server
-        self.requests_read = requests_read  # requests that could be read
-        self.accounted_bytes = 0  # what the budget knows of: held of a body, and not taken of an answer
-        self.due_at = 0.0  # of a body: when more of it has to have come
+        self.requests_read = requests_read  # valid requests so far
+        self.accounted_bytes = 0  # reported to the budget: held of a body, and not taken of a response
+        self.due_at = 0.0  # loop time by which more of a body has to have come
 
-    # What the other half does
+    # What the subclass does
 
     def start_next(self) -> None:
-        """Take up the next request unless one is in hand."""
+        """Start the next request unless one is being answered."""
         raise NotImplementedError
 
     def reject_and_close(self, refusal: BadRequest) -> None:
-        """Where the next request begins is unknown: answer this one in its turn, then close."""
+        """Answer the newest request with `refusal` in its turn, then close."""
         raise NotImplementedError
 
     def send_continue(self) -> None:
@@ -72,7 +72,7 @@
         raise NotImplementedError
 
     def on_body_complete(self, incoming: IncomingRequest) -> None:
-        """The last of a body has come, maybe with its request on its way to an endpoint already."""
+        """Handle the end of a body whose request may be on its way to an endpoint already."""
         raise NotImplementedError
 
     def reject_pipeline(self) -> None:
@@ -98,7 +98,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.make_newest_last()  # the request stands; what follows it is no HTTP
+            self.make_newest_last()  # the request is valid; what follows it is no HTTP
         except httptools.HttpParserError:
             self.reject_and_close(BadRequest(400, "malformed request"))
         if self.is_receiving and not self.is_closing:
@@ -113,37 +113,37 @@
         self.start_next()
 
     def begin(self) -> None:
-        """The first byte of a request, also one that the parser skips."""
+        """Handle the first byte of a request, also one that the parser skips."""
         self.incoming = IncomingRequest()
         self.state = AFTER_BEGIN[self.state]
         if self.requests_read:
             self.phase_began_at = self.loop.time()
 
     def make_newest_last(self) -> None:
-        """Nothing after the newest request is read: its answer is the connection's last."""
+        """Read nothing after the newest request: its response is the connection's last."""
         self.stop_reading()
         self.incoming.keep_alive = False
 
     def on_upload_flow(self, incoming: IncomingRequest, on: bool) -> None:
-        """The body's taker takes more, or no more for now."""
+        """Read on, or not: whoever takes the body takes more, or no more for now."""
         if incoming is not self.incoming or self.upload_paused is not on:
             return
         self.upload_paused = not on
         if on:
-            self.due_at = self.loop.time() + UPLOAD_STALL_S  # what was not read is not the client's delay
+            self.due_at = self.loop.time() + UPLOAD_STALL_S  # the client is not blamed for what was not read
         self.check_flow()
 
     def must_pause_reading(self) -> bool:
         """Whether nothing more can be taken from the client for now.
 
-        Guards against a client that asks and asks but reads no answers: they would pile up in memory. What
-        the request in hand still needs is read all the same: it may be sent whole before its client reads.
+        Guards against a client that sends requests but reads no responses: they would pile up in memory. The
+        rest of the current request is read all the same: its client may read only once it has sent it all.
         """
         unread = self.write_paused and not (self.is_receiving and self.incoming is self.current)
         return not self.is_closing and (self.upload_paused or unread)
 
     def account_memory(self) -> None:
-        """Tell the budget what is held here."""
+        """Report to the budget the bytes that are held here."""
         held = 0
         if self.transport is not None and self.write_paused:
             held += self.transport.get_write_buffer_size()
@@ -158,7 +158,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing or incoming.head_complete:  # trailers say nothing that counts
+        if self.is_closing or incoming.head_complete:  # trailers are dropped
             return
         incoming.size += len(name) + len(value) + 4
         try:
@@ -220,7 +220,7 @@
             self.reject_pipeline()
 
     def enqueue(self, incoming: IncomingRequest) -> None:
-        """It is whole, or as much of it is here as is held."""
+        """Queue a request that is complete, or of which as much is here as is held."""
         if not incoming.is_queued:
             incoming.is_queued = True
             self.pipeline.append(incoming)
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -1,7 +1,7 @@
-"""What makes a request valid, whatever transport it came by: its head, its class, its bounds, its id.
+"""Validates requests of the platform's clients: head, class, bounds and id, whatever the transport.
 
-A transport hands over a `Head` line by line as it reads it, and the body; it gets an `Asked` for the proxy,
-or a `BadRequest` that holds the answer. What is bounded per connection (raw bytes, time) is its own affair.
+A transport fills a `RequestHead` field by field, and gets an `Asked` for the proxy or a `BadRequest` with
+the response. What is bounded per connection (raw bytes, time) is checked by the transport.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Asked, Launch, plain
 from badgergap.balancing.interface import Idempotency
+from badgergap.errors import BadgergapError
 
 BODY_LIMIT = 32 * 1024 * 1024
 HEAD_LIMIT = 16 * 1024
 TARGET_LIMIT = 4 * 1024
 ID_LIMIT = 128
 
-# What goes on to a host, each once and in this spelling; the deadline and the length are written anew. Guards
-# against heads that a host reads in another way than the gateway does: its 400 would count against the host.
+# The fields that are forwarded, each once and in this spelling; the deadline and the length are written anew.
+# Guards against heads that an endpoint reads in another way than the gateway: its 400 would count as a fault.
 FORWARDED = {
     name.lower(): name
     for name in (
@@ -44,7 +45,7 @@
         b"Tracestate",
     )
 }
-# Said twice these are one list; anything else that is said twice is ambiguous.
+# Repeated, these are one list; any other field that is repeated is ambiguous.
 LIST_HEADERS = frozenset(
     (b"accept", b"accept-encoding", b"accept-language", b"content-encoding", b"tracestate")
 )
@@ -53,7 +54,9 @@
 TARGET = re.compile(rb"/[\x21\x23-\x7e]*")  # no space, no quote, nothing beyond ASCII
 
 
-class BadRequest(Exception):
+class BadRequest(BadgergapError):
+    """A request that is rejected; `answer` is the response."""
+
     def __init__(self, status: int, why: str, *headers: tuple[bytes, bytes]) -> None:
         super().__init__(why)
         self.answer = plain(status, why, *headers)
@@ -61,13 +64,16 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """The head of a request as it is read."""
+    """The head of a request while it is read."""
 
     target: bytes = b""
     method: bytes = b""
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # of those that count, by lower name
+    headers: dict[bytes, bytes] = field(
+        default_factory=dict
+    )  # those that are forwarded or used, by lower-case name
 
     def add_header(self, name: bytes, value: bytes) -> None:
+        """Add a field; those that nobody uses are dropped. Raises BadRequest."""
         name = name.lower()
         if name not in FORWARDED and name not in CONSUMED:
             return
@@ -81,14 +87,14 @@
             raise BadRequest(400, "a header is repeated")
 
     def check_target(self) -> None:
-        """Raises BadRequest for a target that is too long or holds odd bytes."""
+        """Raises BadRequest for a target that is too long or holds invalid bytes."""
         if len(self.target) > TARGET_LIMIT:
             raise BadRequest(414, f"target over {TARGET_LIMIT} bytes")
         if TARGET.fullmatch(self.target) is None:
             raise BadRequest(400, "odd bytes in the target")
 
     def check_length(self) -> None:
-        """Raises BadRequest for a stated length that is none or too much, or that a GET has."""
+        """Raises BadRequest for a Content-Length that is invalid or too large, or that a GET has."""
         length = self.headers.get(b"content-length")
         if length is not None and (parse_number(length) is None or int(length) > BODY_LIMIT):
             raise BadRequest(413, f"body over {BODY_LIMIT} bytes")
@@ -97,19 +103,19 @@
 
 
 class RequestValidator:
-    """The one way in: one for the gateway, shared by its transports."""
+    """Validates requests and tracks their ids: one for the gateway, shared by its transports."""
 
     def __init__(self, config: Config) -> None:
         self.settings = config.settings
         self.classes = {name.encode(): number for number, name in enumerate(config.names.classes)}
-        tenants = config.names.tenants if config.settings.tenants else ()  # else they are the routes' affair
+        tenants = config.names.tenants if config.settings.tenants else ()  # else the routes have them
         self.tenants = {name.encode(): number for number, name in enumerate(tenants)}
-        self.open_ids: set[bytes] = set()  # of the requests in hand, as their clients call them
+        self.open_ids: set[bytes] = set()  # Request-Id of each open request
 
     def reserve_id(self, head: RequestHead) -> bytes:
-        """Guards against one client that names another's request: to a host the two would be one.
+        """Reserve a request's id until `release_id`, and return it. Raises BadRequest if it is in use.
 
-        Raises BadRequest. The id is open until it is handed to `close_id`.
+        Guards against a client that uses the id of another's request: an endpoint takes both for one.
         """
         request_id = head.headers[b"request-id"]
         if request_id in self.open_ids:
@@ -118,20 +124,21 @@
         return request_id
 
     def release_id(self, request_id: bytes) -> None:
+        """Release an id, if it is reserved."""
         self.open_ids.discard(request_id)
 
     def validate(self, head: RequestHead, launch: Launch, waited_s: float) -> Asked:
-        """The request as the balancer and the hosts need it. `waited_s`: since its last byte came.
+        """Return the request as the proxy and the endpoints need it. Raises BadRequest.
 
-        `launch` sends it to a host. Raises BadRequest.
+        `launch` sends it to an endpoint. `waited_s`: seconds since its last byte came.
         """
         headers = head.headers
-        number = self._class(head.target, headers)
-        klass = self.settings.classes[number]
-        method = b"GET" if klass.idempotency is Idempotency.SAFE else b"POST"
+        class_index = self._request_class(head.target, headers)
+        request_class = self.settings.classes[class_index]
+        method = b"GET" if request_class.idempotency is Idempotency.SAFE else b"POST"
         if head.method != method:
             raise BadRequest(405, "the class wants another method", (b"allow", method))
-        if klass.idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
+        if request_class.idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
             raise BadRequest(400, "Idempotency-Key is missing")
         request_id = headers.get(b"request-id", b"")
         if not 0 < len(request_id) <= ID_LIMIT or b" " in request_id or b"\t" in request_id:
@@ -143,24 +150,24 @@
         if tenant is None:
             raise BadRequest(400, "Tenant is missing or unknown")
         work_us = parse_number(headers.get(b"work-hint", b""))
-        # Bounded by the class: one client's figures must not become the usual ones, nor last for hours.
+        # Bounded by the class: the figures of one client must not become typical, nor last for hours.
         return Asked(
-            klass=number,
-            timeout_us=min(timeout_ms * 1000, klass.client_timeout_us),
+            klass=class_index,
+            timeout_us=min(timeout_ms * 1000, request_class.client_timeout_us),
             waited_us=int(waited_s * 1e6),
             method=head.method,
             target=head.target,
-            headers=_rebuilt(headers),
+            headers=_forwarded_lines(headers),
             launch=launch,
-            passes_failures=False,  # what it promises a client is for the gateway to say
-            key=_key(head.target),
-            work_us=min(work_us, klass.client_timeout_us) if work_us else None,
+            passes_failures=False,  # the platform's clients get the gateway's own failures
+            key=_affinity_key(head.target),
+            work_us=min(work_us, request_class.client_timeout_us) if work_us else None,
             is_retry=headers.get(b"client-retry") == b"1",
             tenant=tenant,
             is_write=b"isWrite=1" in headers.get(b"request-info", b"").split(b","),
         )
 
-    def _class(self, target: bytes, headers: dict[bytes, bytes]) -> int:
+    def _request_class(self, target: bytes, headers: dict[bytes, bytes]) -> int:
         first = target.partition(b"?")[0].split(b"/")[1:2]
         name = headers.get(b"request-class", b"")
         if not first or first[0] not in self.classes or name not in self.classes:
@@ -170,19 +177,20 @@
         return self.classes[name]
 
 
-def _rebuilt(headers: dict[bytes, bytes]) -> bytes:
-    """The head that goes on, as lines."""
+def _forwarded_lines(headers: dict[bytes, bytes]) -> bytes:
+    """Return the fields that are forwarded, as lines."""
     return b"".join(
-        b"%b: %b\r\n" % (spelt, headers[name]) for name, spelt in FORWARDED.items() if name in headers
+        b"%b: %b\r\n" % (spelling, headers[name]) for name, spelling in FORWARDED.items() if name in headers
     )
 
 
 def parse_number(text: bytes) -> int | None:
+    """Return a decimal number, or None if it is none or has more than 18 digits."""
     return int(text) if text.isdigit() and len(text) < 19 else None
 
 
-def _key(target: bytes) -> int | None:
-    """What the request is about; the same number at every gateway."""
+def _affinity_key(target: bytes) -> int | None:
+    """Return a number for the user that the request is about, the same at every gateway; None without one."""
     query = target.partition(b"?")[2]
     if not query:
         return None
--- a/badgergap/proxy/downstream/response.py
+++ b/badgergap/proxy/downstream/response.py
@@ -6,7 +6,7 @@
 from badgergap.proxy.downstream.response_writer import REASONS
 from badgergap.proxy.upstream.connection_pool import Answer
 
-# Of a host's answer: between two machines only, or written anew by the gateway.
+# Of an endpoint's response: hop-by-hop, or written anew by the gateway.
 HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -24,6 +24,7 @@
 
 
 def response_head(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
+    """Return the lines of a head without those that frame its body. `last`: the connection ends with it."""
     lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
     lines += [b"%b: %b" % header for header in headers if header[0] not in HOP_HEADERS]
     if last:
@@ -34,6 +35,7 @@
 
 
 def complete_response(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
+    """Return a complete response as bytes. `head_only`: without its body, as a HEAD request wants it."""
     lines = response_head(answer.status, answer.headers, last, version)
     lines.append(b"content-length: %d" % len(answer.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if head_only else answer.body)
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""The client's side of one answer that is passed on over HTTP/1.1, whoever the client is."""
+"""Writes one response to a client over HTTP/1.1 while it comes from an endpoint."""
 
 from __future__ import annotations
 
@@ -13,35 +13,37 @@
 
 
 class RespondedRequest(Protocol):
-    """A request, as far as its answer is written."""
+    """A request, as far as its response needs it."""
 
     version: str
-    keep_alive: bool  # False: the connection ends with its answer
-    chunked: bool  # how the answer is framed
-    source: DownloadSource | None  # of the answer that is passed on
+    keep_alive: bool  # False: the connection ends with its response
+    chunked: bool  # how the response is framed
+    source: DownloadSource | None  # of the response that is streamed
 
 
 class ResponseConnection(Protocol):
-    """A client's connection."""
+    """A client's connection, as a response needs it."""
 
     loop: asyncio.AbstractEventLoop
     write_paused: bool  # the client takes no more for now
     progress_at: float  # loop time when the client last sent or took something
 
     def serves(self, incoming: RespondedRequest) -> bool:
-        """Whether it is this request's turn, and its answer is not whole yet."""
+        """Whether it is this request's turn, and its response is not complete."""
 
     def send_response(self, incoming: RespondedRequest, answer: Answer) -> None: ...
     def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes: ...
     def write(self, data: bytes) -> None: ...
     def response_finished(self, incoming: RespondedRequest) -> None:
-        """The answer is written whole."""
+        """The response is complete."""
 
     def abort_response(self, incoming: RespondedRequest) -> None:
-        """The answer has broken off: the client must see that it is not whole."""
+        """The response has broken off: the client must see that it is not complete."""
 
 
 class ResponseWriter:
+    """Takes the response of one attempt; once one has begun, the sources of others are cancelled."""
+
     __slots__ = ("incoming", "writer")
 
     def __init__(self, writer: ResponseConnection, incoming: RespondedRequest) -> None:
@@ -74,7 +76,7 @@
             head.has_body and head.length is None and incoming.version == "1.1" and not head.upgraded
         )
         if head.has_body and head.length is None and not incoming.chunked and not head.upgraded:
-            incoming.keep_alive = False  # only the connection's end tells
+            incoming.keep_alive = False  # only the connection's end ends the body
         writer.progress_at = writer.loop.time()
         writer.write(writer.head_lines(incoming, head))
         if writer.write_paused:
@@ -100,4 +102,5 @@
 
 
 def last_chunk(fields: Headers) -> bytes:
+    """Return the end of a chunked body, with its trailers."""
     return b"0\r\n" + b"".join(b"%b: %b\r\n" % field for field in fields) + b"\r\n"
--- a/badgergap/proxy/unread_input.py
+++ b/badgergap/proxy/unread_input.py
@@ -1,4 +1,4 @@
-"""What a socket has to tell that its transport has not read: asked before something is ended or sent on."""
+"""Looks at what a socket holds that its transport has not read, before a close or an attempt."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 import select
 import socket
 
-# Linux tells a peer's end apart from its data; elsewhere only a reset is seen.
-END = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+# Linux reports a peer's close apart from its data; elsewhere only a reset is seen.
+CLOSE_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 def is_quiet(transport: asyncio.BaseTransport | None) -> bool:
     """Whether nothing waits to be read, neither data nor an end.
 
-    The loop runs timers before it reads: what has come meanwhile stands in the socket.
+    Guards against a close that crosses a request: the loop runs timers before it reads, so what has come
+    meanwhile stands in the socket, and closing would reset the connection under it.
     """
     return _poll(transport, select.POLLIN) == 0
 
 
 def has_left(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the other side has ended, also where it is not read: its end stands behind what it has sent.
+    """Whether the other side has closed, also where it is not read: its close comes after what it has sent.
 
     Not seen while more than the system holds for a socket waits to be read.
     """
-    return _poll(transport, END) & END != 0
+    return _poll(transport, CLOSE_EVENTS) & CLOSE_EVENTS != 0
 
 
 def is_bound(sock: socket.socket, address: tuple[str, int]) -> bool:
-    """Whether it listens where this is; port 0 is any port."""
+    """Whether a socket is bound to `address`; port 0 is any port."""
     try:
         host, port = sock.getsockname()[:2]
     except (OSError, ValueError):
@@ -37,7 +38,7 @@
 
 
 def _poll(transport: asyncio.BaseTransport | None, events: int) -> int:
-    """The events of a socket; of one that is closing all of them."""
+    """Return which of `events` a socket has; all of them if its transport is closing."""
     if transport is None or transport.is_closing():
         return events
     poll = select.poll()
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -30,7 +30,7 @@
 from badgergap.balancing.interface import Outcome
 from badgergap.proxy.limits.memory import LEAST
 from badgergap.proxy.downstream.response_writer import last_chunk
-from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
+from badgergap.proxy.header_fields import BadHead, response_headers, trailers
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, Tried, Wanted, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to a box and not yet sent, beyond which the client is not read
@@ -318,7 +318,7 @@
             if status == 100:
                 exchange.go_on()
             else:
-                exchange.wanted.download.interim(status, answer_headers(headers))
+                exchange.wanted.download.interim(status, response_headers(headers))
             return
         self.head_read = True
         if status == 101:
@@ -335,7 +335,7 @@
         if self.outcome is Outcome.SUCCESS and not fits:
             exchange.begin(self.passed(head))
         else:
-            self.answer = Answer(status, headers if wanted.holds else answer_headers(headers))
+            self.answer = Answer(status, headers if wanted.holds else response_headers(headers))
             self.held = head
             self.until_told = self.outcome is Outcome.SUCCESS and head.has_body and head.length is None
         if not head.has_body:
@@ -348,12 +348,12 @@
         if not exchange.wanted.upgrade or upgrade.lower() != b"websocket":
             raise ValueError("an upgrade that nobody asked for")
         self.tunnel = True
-        kept = [*answer_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
+        kept = [*response_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
         exchange.begin(AnswerHead(101, kept, None, has_body=True, upgraded=True))
 
     def passed(self, head: AnswerHead) -> AnswerHead:
         """A head as the client gets it. Raises BadHead."""
-        return replace(head, headers=answer_headers(head.headers))
+        return replace(head, headers=response_headers(head.headers))
 
     def read_head(self, wanted: Wanted, status: int, headers: Headers) -> AnswerHead:
         """What frames the answer; its fields as they came."""
--- a/tests/web/test_checks.py
+++ b/tests/web/test_checks.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.body_streams import Headers
-from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
+from badgergap.proxy.header_fields import BadHead, response_headers, trailers
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 from tests.sockets import run
 from tests.web.harness import Site, request, site
@@ -232,12 +232,12 @@
     assert trailers([(b"x-t", b"1"), (b"content-length", b"9"), (b"host", b"b"), (b"x_t", b"1")]) == [
         (b"x-t", b"1")
     ]
-    kept = answer_headers(
+    kept = response_headers(
         [(b"connection", b"x-a"), (b"x-a", b"1"), (b"set-cookie", b"a"), (b"set-cookie", b"b")]
     )
     assert kept == [(b"set-cookie", b"a"), (b"set-cookie", b"b")]
     with pytest.raises(BadHead):
-        answer_headers([(b"x-a", b"1\r\nx-b: 2")])
+        response_headers([(b"x-a", b"1\r\nx-b: 2")])
 
 
 names = st.one_of(
