--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -42,7 +42,7 @@
 from badgergap.consensus.version_loader import SettingsLoader, VersionLoader
 from badgergap.consensus.versions import Outcome, ProposeVersion, VersionContent
 from badgergap.proxy.lifecycle.config import Config, ConfigError
-from badgergap.proxy.lifecycle.process import Again
+from badgergap.proxy.lifecycle.component import Reload
 from badgergap.proxy.proxy import Proxy
 from badgergap.storage.errors import UnsupportedVersionError
 from badgergap.storage.log_session import LogSession
@@ -121,7 +121,7 @@
         if self.options.one_list and dynamic:
             self.endpoint_list = EndpointListFollower(proxy, dynamic[0], self, clock_us, self._alert)
 
-    def steers(self, again: Again) -> None:
+    def steers(self, again: Reload) -> None:
         """`again` has the gateway take over other settings."""
         self.versions.reload = again
 
--- a/badgergap/consensus/version_loader.py
+++ b/badgergap/consensus/version_loader.py
@@ -14,7 +14,7 @@
 from badgergap.consensus.settings_text import decode_tables
 from badgergap.consensus.versions import VersionContent
 from badgergap.proxy.lifecycle.config import Config, ConfigError
-from badgergap.proxy.lifecycle.process import Again
+from badgergap.proxy.lifecycle.component import Reload
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
         self.member = member
         self.on_loaded = on_loaded
         self.settle = settle
-        self.reload: Again | None = None
+        self.reload: Reload | None = None
         self.acting_on = VersionContent()
         self.body = ""  # the settings that are acted on: of a version, or what `overlay` puts in their place
         self.epoch = 0  # the newest version that contradicted the one before it
--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -43,7 +43,7 @@
 from badgergap.h3.driver import Driver, Sender
 from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
 from badgergap.balancing.interface import Outcome
-from badgergap.proxy.header_fields import BadHead, ForBox, answer_headers, trailers
+from badgergap.proxy.header_fields import BadHead, ForwardedHead, response_headers, trailers
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
 
 LINKS = 4
@@ -98,7 +98,7 @@
 
     def begin_request(self, link: BoxLink) -> None:
         spec, head = self.spec, self.spec.head
-        assert isinstance(head, ForBox)  # this room carries ordinary requests only
+        assert isinstance(head, ForwardedHead)  # this room carries ordinary requests only
         fields = [
             (b":method", head.method),
             (b":scheme", b"https"),
@@ -106,7 +106,7 @@
             (b":path", head.target),
             *head.fields,
         ]
-        if head.says_length and head.length is not None:
+        if head.states_length and head.length is not None:
             fields.append((b"content-length", b"%d" % head.length))
         held = spec.upload.attach(self, self.commit)
         if spec.expects_continue and not spec.upload.size and not spec.upload.complete:
@@ -166,14 +166,14 @@
             if status == 100:
                 self.on_continue()
             else:
-                self.spec.download.interim(status, answer_headers(rest))
+                self.spec.download.interim(status, response_headers(rest))
             return
         lengths = {value for name, value in rest if name == b"content-length"}
         if len(lengths) > 1 or not all(value.isdigit() and len(value) < 19 for value in lengths):
             raise BadHead("an answer of ambiguous length")
         has_body = not (self.spec.is_head or status in NO_BODY)
         length = int(lengths.pop()) if lengths else (0 if ended and has_body else None)
-        self.held = head = AnswerHead(status, answer_headers(rest), length, has_body)
+        self.held = head = AnswerHead(status, response_headers(rest), length, has_body)
         self.outcome = outcome_of(status, rest, self.spec.is_failure)
         if self.outcome is Outcome.SUCCESS:
             self.start_response(head)
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -53,7 +53,7 @@
 from badgergap.proxy.endpoints.registry import HandDrain, RosterError
 from badgergap.proxy.endpoints.sources import PLATFORM
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.lifecycle.process import Pooled, Room
+from badgergap.proxy.lifecycle.component import Component, PoolOwner
 from badgergap.proxy.pools import MAIN, proxy_of
 from badgergap.proxy.proxy import Proxy
 
@@ -104,7 +104,7 @@
         self.loop = asyncio.get_running_loop()
         self.drain_writer = ThreadPoolExecutor(1)  # one save after the other
         self.components: dict[str, TransferableComponent] = {}
-        self.rooms: Sequence[Room] = ()
+        self.rooms: Sequence[Component] = ()
         self.proxy: Proxy
         self.downstream: Downstream
         self.serving = False
@@ -129,7 +129,7 @@
         pools = {
             name: proxy
             for room in self.rooms
-            if isinstance(room, Pooled)
+            if isinstance(room, PoolOwner)
             for name, proxy in room.proxies().items()
         }
         return {MAIN: self.proxy, **pools}
@@ -211,7 +211,7 @@
             sock.close()
         self.component_listeners.clear()
 
-    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Room] = ()) -> None:
+    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Component] = ()) -> None:
         """Before anything has started: restore the manual drains and a drain of the gateway."""
         self.proxy = proxy
         self.downstream = downstream
@@ -228,9 +228,9 @@
                 component.import_listeners(self.component_listeners, self.ready)
             proxy.roster.restore(state.drains)
             if state.lame_duck_age_s is not None:
-                downstream.send_away(state.lame_duck_age_s)
+                downstream.enter_lame_duck(state.lame_duck_age_s)
         proxy.by_hand.append(self.on_manual_drain)
-        downstream.on_lame.append(self.on_lame_duck)
+        downstream.lame_duck_observers.append(self.on_lame_duck)
 
     def restore_learned_state(self) -> None:
         """In pools that have endpoints by now and have not used them."""
@@ -266,7 +266,7 @@
         if component is not None:
             component.adopt_client(sock)
             return
-        make = partial(ClientConnection, self.downstream, asked=True)
+        make = partial(ClientConnection, self.downstream, adopted=True)
         task = self.loop.create_task(self.loop.connect_accepted_socket(make, sock))
         self.tasks.add(task)
         task.add_done_callback(self._on_client_adopted)
@@ -280,7 +280,7 @@
         """What the processes before this one hold, which the limits here must leave room for."""
         self.counts = counts
         others = OTHER_DESCRIPTORS if self.predecessor is not None else 0
-        self.downstream.elsewhere = counts.clients + others
+        self.downstream.connections_elsewhere = counts.clients + others
         self.proxy.upstream.connections_elsewhere = counts.endpoints
 
     # As the predecessor
@@ -354,7 +354,7 @@
 
     def current_state(self) -> TransferredState:
         """What a successor needs to go on as this process would."""
-        proxy, lame = self.proxy, self.downstream.lame
+        proxy, lame = self.proxy, self.downstream.lame_duck
         platform = proxy.roster.sources.get(PLATFORM)
         entries = [word.entry for word in platform.words.values()] if platform is not None else []
         index = proxy.discovery.index if proxy.discovery is not None else 0
@@ -378,7 +378,7 @@
         for proxy in self.proxies().values():
             proxy.balancer.yields = True
             proxy.upstream.close_all_idle()
-        self.downstream.give_way(self._export_connection)
+        self.downstream.hand_over(self._export_connection)
         for name, component in self.components.items():
             component.release_clients(partial(self._export_descriptor, name))
         self._report_counts()
@@ -418,7 +418,7 @@
         for proxy in self.proxies().values():
             proxy.balancer.yields = False
         if self.config.listen is not None:
-            self.downstream.take_back()
+            self.downstream.resume_accepting()
         for component in self.components.values():
             component.reclaim_clients()
         self.listen_for_successors()
@@ -433,7 +433,7 @@
                 case messages.ManualDrainChanged():
                     self._apply_manual_drain(message)
                 case messages.LameDuckChanged(lame):
-                    (self.downstream.send_away if lame else self.downstream.rejoin)()
+                    (self.downstream.enter_lame_duck if lame else self.downstream.leave_lame_duck)()
                 case messages.ConnectionCounts() if link is self.predecessor:
                     self.update_counts(message)
                 case _:
--- a/badgergap/proxy/downstream/forwarding.py
+++ b/badgergap/proxy/downstream/forwarding.py
@@ -3,46 +3,46 @@
 from __future__ import annotations
 
 from badgergap.proxy.body_streams import Headers
-from badgergap.proxy.downstream.incoming_request import Incoming
+from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT
-from badgergap.proxy.downstream.response_writer import Downward, Writer
+from badgergap.proxy.downstream.response_writer import ResponseWriter, ResponseConnection
 from badgergap.proxy.upstream.stream_attempt import ExchangeSpec
 
 
-class ForHost:
-    """A head of the platform's, whose lines are ready."""
+class EndpointHead:
+    """A head of the platform's, whose lines are prepared."""
 
-    __slots__ = ("ready",)
+    __slots__ = ("prepared_lines",)
 
     def __init__(self, ready: bytes) -> None:
-        self.ready = ready
+        self.prepared_lines = ready
 
     def lines(self) -> bytes:
-        return self.ready
+        return self.prepared_lines
 
 
-class Final(Downward):
-    """Of a host's answers the final one alone goes on: this protocol has no others."""
+class FinalResponseWriter(ResponseWriter):
+    """Forwards the final response alone: the platform's protocol has no interim ones."""
 
     __slots__ = ()
 
     def interim(self, status: int, headers: Headers) -> None:
-        """Between the gateway and the host."""
+        """Interim responses end at the gateway."""
 
 
-def exchange_spec(writer: Writer, incoming: Incoming, timeout_s: float) -> ExchangeSpec:
-    """Describe one attempt; the response goes to `writer`. `timeout_s`: what the endpoint is told."""
+def exchange_spec(writer: ResponseConnection, incoming: IncomingRequest, timeout_s: float) -> ExchangeSpec:
+    """Describe one attempt; its response goes to `writer`. `timeout_s`: the deadline that is forwarded."""
     upload = incoming.upload
     length = upload.size if upload.complete else incoming.length
-    lines = incoming.lines + b"Request-Timeout-Ms: %d\r\n" % -(-int(timeout_s * 1e6) // 1000)
+    lines = incoming.forwarded_head + b"Request-Timeout-Ms: %d\r\n" % -(-int(timeout_s * 1e6) // 1000)
     if length is None:
         lines += b"Transfer-Encoding: chunked\r\n"
     elif length or incoming.method != b"GET":
         lines += b"Content-Length: %d\r\n" % length
     return ExchangeSpec(
-        head=ForHost(lines),
+        head=EndpointHead(lines),
         upload=upload,
-        download=Final(writer, incoming),
+        download=FinalResponseWriter(writer, incoming),
         is_head=False,
         chunked=length is None,
         allows_upgrade=False,
@@ -54,5 +54,5 @@
 
 
 def is_failure(status: int) -> bool:
-    """The platform's hosts serve with 200 and nothing else."""
+    """Whether a status is a failure: the platform's endpoints serve with 200 and nothing else."""
     return status != 200
--- a/badgergap/proxy/downstream/response.py
+++ b/badgergap/proxy/downstream/response.py
@@ -6,7 +6,7 @@
 from badgergap.proxy.downstream.response_writer import REASONS
 from badgergap.proxy.upstream.connection_pool import Answer
 
-# Of a host's answer: between two machines only, or written anew by the gateway.
+# Of an endpoint's response: hop-by-hop, or written anew by the gateway.
 HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -23,7 +23,8 @@
 )
 
 
-def head_of(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
+def response_head(status: int, headers: Headers, last: bool, version: str) -> list[bytes]:
+    """Return the lines of a head without those that frame its body. `last`: the connection ends with it."""
     lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
     lines += [b"%b: %b" % header for header in headers if header[0] not in HOP_HEADERS]
     if last:
@@ -33,7 +34,8 @@
     return lines
 
 
-def answer_bytes(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
-    lines = head_of(answer.status, answer.headers, last, version)
+def complete_response(answer: Answer, last: bool, head_only: bool, version: str = "1.1") -> bytes:
+    """Return a complete response as bytes. `head_only`: without its body, as a HEAD request wants it."""
+    lines = response_head(answer.status, answer.headers, last, version)
     lines.append(b"content-length: %d" % len(answer.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + (b"" if head_only else answer.body)
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -31,7 +31,7 @@
 from badgergap.balancing.interface import Outcome
 from badgergap.proxy.limits.memory import LEAST
 from badgergap.proxy.downstream.response_writer import last_chunk
-from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
+from badgergap.proxy.header_fields import BadHead, response_headers, trailers
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to a box and not yet sent, beyond which the client is not read
@@ -110,7 +110,7 @@
         return self.pool.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(self.pool.reads.taken(nbytes))
+        self.data_received(self.pool.reads.take(nbytes))
 
     def write(self, exchange: Exchange) -> None:
         transport = self.transport
@@ -329,7 +329,7 @@
             if status == 100:
                 exchange.on_continue()
             else:
-                exchange.spec.download.interim(status, answer_headers(headers))
+                exchange.spec.download.interim(status, response_headers(headers))
             return
         self.head_read = True
         if status == 101:
@@ -346,7 +346,7 @@
         if self.outcome is Outcome.SUCCESS and not fits:
             exchange.start_response(self.passed(head))
         else:
-            self.answer = Answer(status, headers if spec.buffers_success else answer_headers(headers))
+            self.answer = Answer(status, headers if spec.buffers_success else response_headers(headers))
             self.held = head
             self.until_told = self.outcome is Outcome.SUCCESS and head.has_body and head.length is None
         if not head.has_body:
@@ -359,12 +359,12 @@
         if not exchange.spec.allows_upgrade or upgrade.lower() != b"websocket":
             raise ValueError("an upgrade that nobody asked for")
         self.tunnel = True
-        kept = [*answer_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
+        kept = [*response_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
         exchange.start_response(AnswerHead(101, kept, None, has_body=True, upgraded=True))
 
     def passed(self, head: AnswerHead) -> AnswerHead:
         """A head as the client gets it. Raises BadHead."""
-        return replace(head, headers=answer_headers(head.headers))
+        return replace(head, headers=response_headers(head.headers))
 
     def read_head(self, spec: ExchangeSpec, status: int, headers: Headers) -> AnswerHead:
         """What frames the answer; its fields as they came."""
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -23,7 +23,7 @@
     AFTER_FRAMING_LOST,
     HttpConnection,
 )
-from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
+from badgergap.proxy.downstream.response_writer import REASONS, ResponseWriter, RespondedRequest
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 from badgergap.proxy.proxy import plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
@@ -37,21 +37,21 @@
 log = logging.getLogger(__name__)
 
 TARGET_LIMIT = 8 * 1024
-PIPELINED = 64  # requests of one read that are answered in turn
-BUFFER = 64 * 1024  # bytes written to a client and not yet sent, beyond which the box is not read
+PIPELINE_LIMIT = 64  # requests of one read that are answered in turn
+UNSENT_LIMIT = 64 * 1024  # bytes written to a client and not yet sent, beyond which the box is not read
 
 
 @dataclass(slots=True, eq=False)
 class Incoming(Turn):
     """A request of this connection, and its answer as it is written."""
 
-    raw: int = 0  # bytes read while its head is not whole
+    raw_bytes: int = 0  # bytes read while its head is not whole
     size: int = 0  # of its header fields, or of its trailers
-    head_read: bool = False
-    refusal: Answer | None = None  # what it is answered in its turn, without a look at the rest
+    head_complete: bool = False
+    rejection: Answer | None = None  # what it is answered in its turn, without a look at the rest
     fields: Headers = field(default_factory=list)  # trailers
     chunked: bool = False  # how that is framed
-    last: bool = False  # the client was told that the connection ends with this answer
+    is_last: bool = False  # the client was told that the connection ends with this answer
 
 
 class WebListener(Protocol):
@@ -59,9 +59,9 @@
 
     loop: asyncio.AbstractEventLoop
     ways: Ways
-    resting: dict[Front, None]  # between requests, the one used last comes last
+    idle_connections: dict[Front, None]  # between requests, the one used last comes last
     draining: bool
-    give: Callable[[int], bool] | None  # hands a descriptor over to the process that takes over
+    migrate: Callable[[int], bool] | None  # hands a descriptor over to the process that takes over
 
     @property
     def limits(self) -> Limits:
@@ -69,8 +69,8 @@
 
     def peer_of(self, transport: asyncio.Transport) -> Peer: ...
     def add(self, front: Front) -> None: ...
-    def drop(self, front: Front) -> None: ...
-    def rest(self, front: Front) -> None:
+    def discard(self, front: Front) -> None: ...
+    def on_idle(self, front: Front) -> None:
         """It has no request in hand."""
 
 
@@ -81,27 +81,27 @@
         super().__init__(door.loop, Incoming())
         self.door = door
         self.peer = Peer("")
-        self.asked = False
-        self.rest = b""  # what came behind a request that may end in a tunnel
-        self.left = 0  # of a body of known length, which is read without the parser
-        self.tunnel = False
+        self.has_requested = False
+        self.unparsed = b""  # what came behind a request that may end in a tunnel
+        self.body_left = 0  # of a body of known length, which is read without the parser
+        self.in_tunnel = False
 
     # Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        self.transport.set_write_buffer_limits(high=BUFFER)
+        self.transport.set_write_buffer_limits(high=UNSENT_LIMIT)
         self.peer = self.door.peer_of(self.transport)
         self.door.add(self)
 
     def data_received(self, data: bytes) -> None:
         self.progress_at = self.loop.time()
-        if self.tunnel and self.current is not None and self.current.source is not None:
+        if self.in_tunnel and self.current is not None and self.current.source is not None:
             self.current.source.send_body(data)
         elif self.is_closing:
             return
-        elif self.rest or self.may_switch:
-            self.rest += data
+        elif self.unparsed or self.may_switch:
+            self.unparsed += data
             self.check_flow()
         else:
             self.read(data)
@@ -113,8 +113,8 @@
 
     def read(self, data: bytes) -> None:
         while data and not self.is_closing:
-            if self.left:
-                data = self.pass_on(data)
+            if self.body_left:
+                data = self.feed_body(data)
                 continue
             if not self.is_receiving:
                 self.begin()
@@ -125,44 +125,49 @@
                 rest = data[switch.args[0] :]
                 self.parser = httptools.HttpRequestParser(self)
                 if self.incoming.upgrade:
-                    self.rest, rest = rest, b""
+                    self.unparsed, rest = rest, b""
             except httptools.HttpParserError:
-                self.lose_framing(plain(400, "malformed request"))
+                self.reject_and_close(plain(400, "malformed request"))
             incoming = self.incoming
-            if not incoming.head_read and not self.is_closing:
-                incoming.raw += len(data)
-                if incoming.raw > HEAD_LIMIT:
-                    self.lose_framing(plain(431, "head too long"))
-            self.go_direct()
+            if not incoming.head_complete and not self.is_closing:
+                incoming.raw_bytes += len(data)
+                if incoming.raw_bytes > HEAD_LIMIT:
+                    self.reject_and_close(plain(431, "head too long"))
+            self.bypass_parser()
             data = rest
-        self.next()
+        self.start_next()
         self.check_flow()
 
-    def go_direct(self) -> None:
+    def bypass_parser(self) -> None:
         """The rest of a body of known length needs no parser, which would read every byte of it."""
         incoming = self.incoming
-        if self.is_receiving and incoming.head_read and incoming.length is not None and not self.is_closing:
-            self.left = incoming.length - incoming.upload.size
+        if (
+            self.is_receiving
+            and incoming.head_complete
+            and incoming.length is not None
+            and not self.is_closing
+        ):
+            self.body_left = incoming.length - incoming.upload.size
             self.parser = httptools.HttpRequestParser(self)
 
-    def pass_on(self, data: bytes) -> bytes:
+    def feed_body(self, data: bytes) -> bytes:
         """What of a read belongs to the body goes on; what lies behind it is returned."""
-        body, rest = data[: self.left], data[self.left :]
-        self.left -= len(body)
+        body, rest = data[: self.body_left], data[self.body_left :]
+        self.body_left -= len(body)
         self.on_body(body)
-        if not self.left:
+        if not self.body_left:
             self.on_message_complete()
         return rest
 
     def begin(self) -> None:
         self.incoming = Incoming(peer=self.peer)
-        self.incoming.upload.flow = partial(self.upload_flow, self.incoming)
+        self.incoming.upload.flow = partial(self.on_upload_flow, self.incoming)
         self.state = AFTER_BEGIN[self.state]
-        self.door.resting.pop(self, None)
-        if self.asked:
+        self.door.idle_connections.pop(self, None)
+        if self.has_requested:
             self.phase_began_at = self.loop.time()
 
-    def upload_flow(self, incoming: Incoming, on: bool) -> None:
+    def on_upload_flow(self, incoming: Incoming, on: bool) -> None:
         if incoming is self.incoming:
             self.upload_paused = not on
             self.progress_at = self.loop.time()
@@ -175,13 +180,13 @@
         send all of a body before it reads.
         """
         receives_current = self.is_receiving and self.incoming is self.current
-        unread = self.write_paused and not self.tunnel and not receives_current
+        unread = self.write_paused and not self.in_tunnel and not receives_current
         return not self.is_closing and (
-            self.upload_paused or bool(self.pipeline) or len(self.rest) > HEAD_LIMIT or unread
+            self.upload_paused or bool(self.pipeline) or len(self.unparsed) > HEAD_LIMIT or unread
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.door.drop(self)
+        self.door.discard(self)
         self.abandon_all()
 
     def abandon_current(self) -> None:
@@ -191,7 +196,7 @@
             return
         current.abandon()
 
-    def lose_framing(self, answer: Answer) -> None:
+    def reject_and_close(self, answer: Answer) -> None:
         """Where the next request begins is unknown: answer this one in its turn, then close."""
         if self.is_closing:
             return
@@ -206,9 +211,9 @@
                 return
             self.abandon_current()
             self.current = incoming
-            self.answer(incoming, answer)
+            self.send_response(incoming, answer)
         else:
-            incoming.refusal = answer
+            incoming.rejection = answer
             if not self.pipeline or self.pipeline[-1] is not incoming:
                 self.pipeline.append(incoming)
 
@@ -220,15 +225,15 @@
             return
         incoming.size += len(name) + len(value) + 4
         if incoming.size > HEAD_LIMIT:
-            self.lose_framing(plain(431, "head too long"))
+            self.reject_and_close(plain(431, "head too long"))
             return
-        if incoming.head_read:
+        if incoming.head_complete:
             incoming.fields.append((name.lower(), value))
             return
         try:
             incoming.add(name, value)
         except BadHead as bad:
-            self.lose_framing(plain(bad.status, str(bad)))
+            self.reject_and_close(plain(bad.status, str(bad)))
 
     def on_headers_complete(self) -> None:
         incoming = self.incoming
@@ -242,24 +247,24 @@
                 raise BadHead("target too long", 414)
             incoming.read()
         except BadHead as bad:
-            self.lose_framing(plain(bad.status, str(bad)))
+            self.reject_and_close(plain(bad.status, str(bad)))
             return
-        incoming.head_read, incoming.size = True, 0
+        incoming.head_complete, incoming.size = True, 0
         incoming.began_at = self.loop.time()
-        if len(self.pipeline) >= PIPELINED:
-            self.lose_framing(plain(400, "too many requests ahead of their turn"))
+        if len(self.pipeline) >= PIPELINE_LIMIT:
+            self.reject_and_close(plain(400, "too many requests ahead of their turn"))
         else:
             incoming.upload.complete = incoming.length == 0
             self.pipeline.append(incoming)
-            self.next()
+            self.start_next()
 
     def on_body(self, body: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing or incoming.refusal is not None:
+        if self.is_closing or incoming.rejection is not None:
             return
         limit = incoming.upload.limit
         if limit is not None and incoming.upload.size + len(body) > limit:
-            self.lose_framing(plain(413, f"body over {limit} bytes"))
+            self.reject_and_close(plain(413, f"body over {limit} bytes"))
         else:
             incoming.upload.put(body)
 
@@ -270,18 +275,18 @@
                 self.stop_reading()  # its answer is the connection's last
             if not self.incoming.upload.complete:
                 self.incoming.upload.end(trailers(self.incoming.fields))
-            self.settled()
+            self.report_idle()
 
     # Requests, one at a time
 
-    def next(self) -> None:
+    def start_next(self) -> None:
         """Take up the next request unless one is in hand."""
         while self.current is None and self.pipeline:
             incoming = self.current = self.pipeline.popleft()
-            if incoming.refusal is not None:
-                self.answer(incoming, incoming.refusal)
+            if incoming.rejection is not None:
+                self.send_response(incoming, incoming.rejection)
                 continue
-            self.asked = True
+            self.has_requested = True
             try:
                 refusal = (
                     refused("too many connections") if self.over_limit else self.door.ways.take(incoming)
@@ -290,80 +295,80 @@
                 log.exception("failed on a request")
                 refusal = plain(500, "internal error")
             if refusal is not None:
-                self.answer(incoming, refusal)
+                self.send_response(incoming, refusal)
             else:
-                incoming.start(self.door.ways, Tunnelling(self, incoming))
+                incoming.start(self.door.ways, TunnelResponseWriter(self, incoming))
 
     # Answers
 
-    def cut(self, incoming: Written) -> None:
+    def abort_response(self, incoming: RespondedRequest) -> None:
         self.current = None
         self.reset()
 
-    def answer(self, incoming: Written, answer: Answer) -> None:
+    def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
         """A whole answer: this gateway's own, or one of a box that was held."""
         if incoming is not self.current or not isinstance(incoming, Incoming):
             return  # its client has gone, or it had its answer
         incoming.upload.on_ready = None
         lines = self.head_lines(incoming, own_answer(answer))
         self.write(lines + (b"" if incoming.method == b"HEAD" else answer.body))
-        self.finished(incoming)
+        self.response_finished(incoming)
 
     def is_last(self, incoming: Incoming) -> bool:
         """Whether the connection ends with this answer. Never on a request that was read and has none."""
-        if incoming.last or not incoming.keep_alive or incoming.refusal is not None:
+        if incoming.is_last or not incoming.keep_alive or incoming.rejection is not None:
             return True
         if not incoming.upload.complete:
             return True
-        leaves = self.door.draining or (self.door.give is not None and self.peer.scheme == b"https")
+        leaves = self.door.draining or (self.door.migrate is not None and self.peer.scheme == b"https")
         return (self.is_closing or self.over_limit or leaves) and not self.pipeline
 
-    def head_lines(self, incoming: Written, head: AnswerHead) -> bytes:
+    def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
         assert isinstance(incoming, Incoming)
-        incoming.last = self.is_last(incoming)
+        incoming.is_last = self.is_last(incoming)
         lines = [b"HTTP/1.1 %d %b" % (head.status, REASONS.get(head.status, b""))]
         lines += [b"%b: %b" % field for field in answer_fields(head, b"1.1", incoming.number)]
         if incoming.chunked and head.length is None:
             lines.append(b"transfer-encoding: chunked")
         if self.door.ways.alt_svc and self.peer.scheme == b"https":
             lines.append(b"alt-svc: " + self.door.ways.alt_svc)
-        if incoming.last and not head.upgraded:
+        if incoming.is_last and not head.upgraded:
             lines.append(b"connection: close")
         elif incoming.version == "1.0" and not head.upgraded:
             lines.append(b"connection: keep-alive")
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def finished(self, incoming: Written) -> None:
+    def response_finished(self, incoming: RespondedRequest) -> None:
         """The answer is written whole."""
         assert isinstance(incoming, Incoming)
-        last = self.tunnel or self.is_last(incoming)
+        last = self.in_tunnel or self.is_last(incoming)
         self.current = None
         incoming.source = None
         self.phase_began_at = self.progress_at = self.loop.time()
         if last:
             self.stop_reading()
             self.pipeline.clear()
-            if incoming.upload.complete and incoming.refusal is None and self.closes_cleanly:
+            if incoming.upload.complete and incoming.rejection is None and self.closes_cleanly:
                 self.close()
             else:
                 self.linger()
             return
-        if self.rest:
+        if self.unparsed:
             # It might have ended in a tunnel and has not: what follows is HTTP after all.
-            rest, self.rest = self.rest, b""
+            rest, self.unparsed = self.unparsed, b""
             self.loop.call_soon(self.read, rest)
         elif self.pipeline:
-            self.loop.call_soon(self.next_and_flow)
+            self.loop.call_soon(self.start_next_and_check_flow)
         else:
-            self.settled()
+            self.report_idle()
         self.check_flow()
 
-    def settled(self) -> None:
+    def report_idle(self) -> None:
         if self.is_idle and not self.is_closing:
-            self.door.rest(self)
+            self.door.on_idle(self)
 
-    def next_and_flow(self) -> None:
-        self.next()
+    def start_next_and_check_flow(self) -> None:
+        self.start_next()
         self.check_flow()
 
     def linger(self, for_s: float | None = None) -> None:
@@ -372,16 +377,16 @@
             super().linger(for_s)
 
     @property
-    def may_be_given(self) -> bool:
+    def may_migrate(self) -> bool:
         """Whether nothing of it is in this process: no part of a request, no answer unsent, no keys."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.peer.scheme == b"https":
             return False
-        here = self.is_closing or self.over_limit or self.tunnel or self.left or self.rest
+        here = self.is_closing or self.over_limit or self.in_tunnel or self.body_left or self.unparsed
         return self.is_idle and not here and not transport.get_write_buffer_size()
 
     @property
-    def gives_way(self) -> bool:
+    def may_evict(self) -> bool:
         """Between requests: whether nothing that it has asked, or has been answered, goes with it."""
         transport = self.transport
         return transport is None or (not transport.get_write_buffer_size() and self.may_close)
@@ -391,17 +396,17 @@
         if now - self.progress_at <= for_s:
             return False
         brings = self.is_receiving and not self.upload_paused and self.current in (None, self.incoming)
-        return self.write_paused or brings or not (self.asked or self.has_open_requests)
+        return self.write_paused or brings or not (self.has_requested or self.has_open_requests)
 
-    def notice_end(self) -> bool:
+    def client_has_left(self) -> bool:
         """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on."""
-        if not self.read_paused or self.tunnel or not unread_input.has_left(self.transport):
+        if not self.read_paused or self.in_tunnel or not unread_input.has_left(self.transport):
             return False
         self.abandon_all()
         self.abort()
         return True
 
-    def out_of_time(self, current: Incoming) -> None:
+    def time_out(self, current: Incoming) -> None:
         """The route's whole time is over: an answer on its way ends in a reset, and no box is to blame."""
         if current.source is not None:
             self.abandon_current()
@@ -410,38 +415,38 @@
             self.abandon_current()
             self.current = current
             current.keep_alive = False
-            self.answer(current, plain(504, "out of time"))
+            self.send_response(current, plain(504, "out of time"))
 
     def check_time(self, now: float) -> None:
-        if self.notice_end():
+        if self.client_has_left():
             return
         limits, current = self.door.limits, self.current
         self.update_write_progress(now)
         quiet_s = now - self.progress_at
-        if current is not None and current.is_out_of_time(now, limits.tunnel_s if self.tunnel else None):
-            self.out_of_time(current)
+        if current is not None and current.is_out_of_time(now, limits.tunnel_s if self.in_tunnel else None):
+            self.time_out(current)
             return
         if self.unsent_bytes and quiet_s > limits.unread_s:
             self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
-        elif self.tunnel or self.is_closing:
+        elif self.in_tunnel or self.is_closing:
             return
-        elif self.is_receiving and not self.incoming.head_read:
+        elif self.is_receiving and not self.incoming.head_complete:
             if now - self.phase_began_at > limits.head_s:
-                self.lose_framing(plain(408, "the rest of the head has not come"))
-                self.next()
+                self.reject_and_close(plain(408, "the rest of the head has not come"))
+                self.start_next()
         elif self.is_receiving and not self.read_paused:
             if quiet_s > limits.between_s or now - self.incoming.began_at > limits.body_s:
-                self.lose_framing(plain(408, "the rest of the body has not come"))
-                self.next()
+                self.reject_and_close(plain(408, "the rest of the body has not come"))
+                self.start_next()
         elif (
             self.is_idle
-            and now - self.phase_began_at > (limits.idle_s if self.asked else limits.head_s)
+            and now - self.phase_began_at > (limits.idle_s if self.has_requested else limits.head_s)
             and self.may_close
         ):
             self.close()
 
 
-class Tunnelling(Downward):
+class TunnelResponseWriter(ResponseWriter):
     """The same where the answer may switch to a tunnel (RFC 9110 section 7.8)."""
 
     __slots__ = ()
@@ -453,9 +458,9 @@
         front = self.writer
         assert isinstance(front, Front)
         if head.upgraded and self.open and self.incoming.source is None:
-            front.tunnel = True
+            front.in_tunnel = True
         super().begin(head, source)
-        if head.upgraded and front.rest and self.incoming.source is source:
-            rest, front.rest = front.rest, b""
+        if head.upgraded and front.unparsed and self.incoming.source is source:
+            rest, front.unparsed = front.unparsed, b""
             source.send_body(rest)
         front.check_flow()
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -97,11 +97,11 @@
 
     def release_clients(self, export: Callable[[int], bool]) -> None:
         if self.door is not None:
-            self.door.give_way(export)
+            self.door.hand_over(export)
 
     def reclaim_clients(self) -> None:
         if self.door is not None:
-            self.door.take_back()
+            self.door.resume_accepting()
 
     def adopt_client(self, sock: socket.socket) -> None:
         if self.door is not None:
