--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -12,7 +12,7 @@
 from badgergap.cli.setup import Setup
 from badgergap.replication.commands import ReplicationCommands
 from badgergap.replication.idempotency_filter import IdempotencyFilter
-from badgergap.replication.replica import Options
+from badgergap.replication.options import Options
 from badgergap.replication.acceptor import Bounds
 from badgergap.replication.service import ReplicationService
 from badgergap.proxy.lifecycle.config import ConfigError
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -58,7 +58,7 @@
             raise Refused(error.strerror or str(error)) from None
 
     async def status(self, arguments: Arguments) -> Any:
-        report_summary = await self.service.look()
+        report_summary = await self.service.query_reports()
         it = self._replica_node()
         placement: Placement = it.placement
         lines = report_summary.lines if report_summary is not None else {}
@@ -216,7 +216,7 @@
         except snapshot.BadSnapshotError as error:
             raise Refused(f"{path}: {error}") from None
         it, group = self._replica_node(), self.service.group
-        report_summary = await self.service.look()
+        report_summary = await self.service.query_reports()
         if report_summary is None or it.placement.before is not None or not it.placement.epoch:
             raise Refused("no leader is heard, or seats are moving: try again")
         held = {name: report.records for name, report in report_summary.lines.items() if report.records}
--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -9,7 +9,7 @@
 3. Whoever comes with the same key while a claim is begun waits for that gateway, as long as that says that
    it is at it. If it says nothing, or has gone, the claim is put in doubt, by a change that anybody sees.
 4. What is in doubt is never run anew, but for at endpoints that drop repeats of its key.
-5. A claim that was never sent is freed by its gateway alone, and `ReplicaNode.claim_ended` says so to who
+5. A claim that was never sent is freed by its gateway alone, and `ReplicaNode.claims` says so to who
    asks first.
 """
 
@@ -150,7 +150,7 @@
 
     def _run(self, prepared: PreparedBallot | None, doubt: Record | None, now_us: int) -> None:
         request, replica_node = self.request, self.replica_node
-        self.claim = replica_node.claim()
+        self.claim = replica_node.claims.new(replica_node.options.name)
         self.record = records.begun(
             self.claim,
             replica_node.options.name,
@@ -200,7 +200,7 @@
             self._go(claim, go)
             return
         self.record, self.launched = record, True
-        self.replica_node.claim_started(claim, self.until_us)
+        self.replica_node.claims.started(claim, self.until_us)
 
         def done(result: Result) -> None:
             self.prepared = result.prepared
@@ -252,7 +252,7 @@
         record = self.record
         if record is None or not self.launched:
             return
-        self.replica_node.claim_ended(self.claim, "ran" if self.sent else "never")
+        self.replica_node.claims.ended(self.claim, "ran" if self.sent else "never")
         after = records.doubted(record) if self.sent else records.freed(record)
 
         def change(there: Record | None) -> Record | None:
@@ -271,7 +271,7 @@
     def _keep(self, record: Record) -> None:
         def done(result: Result) -> None:
             there = result.record
-            self.replica_node.claim_ended(self.claim, "ran")
+            self.replica_node.claims.ended(self.claim, "ran")
             if self.over:
                 return
             if not result.why and there is not None and there.state == "done":
--- /dev/null
+++ b/badgergap/replication/options.py
@@ -0,0 +1,21 @@
+"""The settings of a replica node, as the operator file gives them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from badgergap.replication.acceptor import Bounds
+from badgergap.replication.placement import PARTITIONS
+
+
+@dataclass(slots=True)
+class Options:
+    """What may differ between members, and between simulations."""
+
+    name: str
+    zone: str = ""
+    copies: int = 3  # replicas of each partition
+    rate: int = 4000  # records a second that are fetched or settled to fill or repair this replica
+    bounds: Bounds = field(default_factory=Bounds)
+    partitions: int = PARTITIONS
+    longest_us: int = 600_000_000  # for which any route keeps a record
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -18,9 +18,10 @@
 import msgspec
 
 from badgergap.consensus.service import GroupRoom, clock_us
-from badgergap.replication import replica as keepers
 from badgergap.replication import messages
-from badgergap.replication.replica import ReplicaNode, Options, Alert, Proposal
+from badgergap.replication.actions import Alert, Proposal, Save, Send
+from badgergap.replication.options import Options
+from badgergap.replication.replica import ReplicaNode
 from badgergap.replication.proposer import Change, PreparedBallot, Result
 from badgergap.replication.messages import Message
 from badgergap.proxy.lifecycle.config import Config, ConfigError
@@ -56,7 +57,7 @@
         self.log: Log | None = None
         self.writer: Writer | None = None
         self.generation = 0  # of the replica node: a word of the disk to an earlier one is none to this one
-        self.held: deque[keepers.Send] = deque()
+        self.held: deque[Send] = deque()
         self.outgoing: dict[str, list[Message]] = defaultdict(list)
         self.flushing = False
         self.rewriting = False
@@ -137,7 +138,7 @@
     def _durable(self, generation: int, token: int) -> None:
         if generation != self.generation or self.replica_node is None:
             return
-        self.replica_node.saved(clock_us(), token)
+        self.replica_node.on_saved(clock_us(), token)
         while self.held and self.held[0].after <= token:
             self._send(self.held.popleft())
         self.settle()
@@ -146,7 +147,7 @@
         if generation != self.generation or self.replica_node is None:
             return
         self.held.clear()
-        self.replica_node.failed(why)
+        self.replica_node.on_failed(why)
         self.settle()
         self._spawn(self._anew())
 
@@ -167,7 +168,7 @@
             self._begin(lines)
             return
 
-    def _write(self, save: keepers.Save) -> None:
+    def _write(self, save: Save) -> None:
         assert self.writer is not None and self.log is not None and self.replica_node is not None
         self.writer.write(save.token, save.lines)
         store = self.replica_node.store
@@ -227,10 +228,10 @@
             return
         number, data = self.group.word(TIME)
         if number > it.clock.number:
-            it.ticked(clock_us(), number, data)
+            it.on_tick(clock_us(), number, data)
         number, data = self.group.word(GUEST_NAME)
         if number > it.number:
-            it.agreed(clock_us(), number, data)
+            it.on_placement(clock_us(), number, data)
 
     def against(self, name: str) -> str:
         it = self.replica_node
@@ -248,12 +249,12 @@
                 try:
                     if member is not None:
                         names = {peer.name for peer in member.raft.config}
-                        it.led_by(now, member.leader_name, member.raft.settled, names)
+                        it.on_leader(now, member.leader_name, member.raft.settled, names)
                     it.tick(now)
                     self.settle()
                 except Exception:
                     log.exception("the tick of copies failed")
-            busy = it is not None and (it.proposer.operations or it.comparisons or it.claim_queries)
+            busy = it is not None and (it.proposer.operations or it.repair.comparisons or it.claim_queries)
             await asyncio.sleep(BUSY_S if busy else IDLE_S)
 
     def settle(self) -> None:
@@ -263,10 +264,10 @@
             return
         for action in it.take():
             match action:
-                case keepers.Save():
+                case Save():
                     if not it.broken:
                         self._write(action)
-                case keepers.Send():
+                case Send():
                     if action.after > it.durable:
                         self.held.append(action)
                     else:
@@ -276,7 +277,7 @@
                 case Alert():
                     self._say(action.text)
 
-    def _send(self, send: keepers.Send) -> None:
+    def _send(self, send: Send) -> None:
         self.outgoing[send.name].append(send.message)
         if not self.flushing:
             self.flushing = True
@@ -285,7 +286,7 @@
 
     def say(self, name: str, message: Message) -> None:
         """To the member of that name."""
-        self._send(keepers.Send(name, message))
+        self._send(Send(name, message))
 
     def _flush(self) -> None:
         self.flushing = False
@@ -329,13 +330,13 @@
         self.settle()
         return await done
 
-    async def look(self) -> messages.ReportSummary | None:
+    async def query_reports(self) -> messages.ReportSummary | None:
         """What the leader knows of all replicas."""
         it = self.replica_node
         if it is None:
             return None
         asked = clock_us()
-        it.look()
+        it.query_reports()
         self.settle()
         deadline = asyncio.get_running_loop().time() + REPORTS_TIMEOUT_S
         while asyncio.get_running_loop().time() < deadline:
@@ -350,7 +351,7 @@
             return "copies: none is placed yet"
         if it.broken or it.stuck:
             return f"copies: KEEPS NOTHING: {it.broken or it.stuck}"
-        behind = f", {len(it.behind)} parts behind" if it.behind else ""
+        behind = f", {len(it.repair.behind)} parts behind" if it.repair.behind else ""
         state = "moving" if it.placement.before is not None else "settled"
         epoch = f"epoch {it.placement.epoch} {state}"
         return f"copies: {it.store.records} records in {len(it.partitions)} parts, {epoch}{behind}"
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -33,7 +33,7 @@
 from badgergap.balancing.interface import Send as Attempted
 from badgergap.standins.rig import Gateway, Rig, rig
 from tests.consensus.simulation import MS, S
-from badgergap.replication.replica import Send
+from badgergap.replication.actions import Send
 from tests.replication.simulation import Node, World
 from tests.replication.test_process import last_steps, placed
 from tests.helpers import Driver
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -10,7 +10,8 @@
 
 from badgergap.replication import placement
 from badgergap.replication import idempotency_record
-from badgergap.replication import replica
+from badgergap.replication import repair
+from badgergap.replication.actions import Send
 from badgergap.replication.idempotent_request import IdempotentRequest
 from badgergap.replication.placement import Placement, Replica
 from badgergap.replication.proposer import PreparedBallot, Operation, Result
@@ -61,8 +62,8 @@
 
 
 class SaysBeforeItIsWritten(Watch):
-    def _tell(self, name: str, message: Message, rests: bool = True) -> None:
-        self.out.append(replica.Send(name, message))
+    def reply(self, name: str, message: Message, rests: bool = True) -> None:
+        self.out.append(Send(name, message))
 
 
 class NoWriteBack(Watched):
@@ -224,7 +225,7 @@
         "what is not chosen is settled",
         "anything",
         64,
-        patches=((replica, "PartitionComparison", AdoptsAnything),),
+        patches=((repair, "PartitionComparison", AdoptsAnything),),
     ),
     Guard("a wiped disk is another", "moves", 148, world=SameIdentity),
     Guard("what was lost is in doubt", "ruin", 2, patches=((Placement, "is_hole", no_holes),)),
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -15,7 +15,9 @@
 from functools import partial
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.replica import ReplicaNode, Options, Save, Send, Proposal
+from badgergap.replication.actions import Proposal, Save, Send
+from badgergap.replication.options import Options
+from badgergap.replication.replica import ReplicaNode
 from badgergap.replication.idempotent_request import End, IdempotentRequest, RequestSpec
 from badgergap.replication.proposer import Change, Done, PreparedBallot, Operation, Proposer, Result
 from badgergap.replication.idempotency_record import Record, Repeats, digest_of
@@ -396,7 +398,7 @@
             return
         saves, node.disk.waiting = node.disk.waiting, []
         if node.broken:
-            node.replica_node.failed("full")
+            node.replica_node.on_failed("full")
             node.held.clear()
             self.settle(node)
             return
@@ -404,7 +406,7 @@
             if not (node.disk.lies and self.random.random() < 0.3):
                 node.disk.durable += save.lines
         token = saves[-1].token
-        node.replica_node.saved(self.local(node), token)
+        node.replica_node.on_saved(self.local(node), token)
         ready = [send for send in node.held if send.after <= token]
         node.held = [send for send in node.held if send.after > token]
         for send in ready:
@@ -465,12 +467,12 @@
         upto = len(self.log) if self.random.random() < 0.8 else node.applied
         for kind, number, data in self.log[node.applied : upto]:
             if kind == "time":
-                replica_node.ticked(self.local(node), number, data)
+                replica_node.on_tick(self.local(node), number, data)
             else:
-                replica_node.agreed(self.local(node), number, data)
+                replica_node.on_placement(self.local(node), number, data)
         node.applied = max(node.applied, upto)
         members = [each.name for each in self.nodes.values() if not each.removed]
-        replica_node.led_by(self.local(node), self.leader, self.leader == node.name, members)
+        replica_node.on_leader(self.local(node), self.leader, self.leader == node.name, members)
 
     # Boxes
 
@@ -626,7 +628,12 @@
 def in_step(world: World) -> bool:
     """Whether all copies of each part are alike."""
     for node in world.nodes.values():
-        if node.replica_node is None or node.broken or node.replica_node.comparisons or node.disk.waiting:
+        if (
+            node.replica_node is None
+            or node.broken
+            or node.replica_node.repair.comparisons
+            or node.disk.waiting
+        ):
             return False
     for partition in range(PARTITIONS):
         keepers = [node.replica_node for node in world.nodes.values() if node.replica_node is not None]
--- a/tests/replication/test_schedules.py
+++ b/tests/replication/test_schedules.py
@@ -7,10 +7,12 @@
 import msgspec
 import pytest
 
-from badgergap.replication import replica as keepers
+from badgergap.replication import repair
 from badgergap.replication import placement
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.replica import ReplicaNode, Options, Save, Send
+from badgergap.replication.actions import Save, Send
+from badgergap.replication.options import Options
+from badgergap.replication.replica import ReplicaNode
 from badgergap.replication.placement import Replica
 from badgergap.replication.acceptor import Bounds, AcceptorStore
 from badgergap.replication.messages import Prepare
@@ -44,9 +46,9 @@
     """Two seats that died 40 ms after a promise let a lower round by (seed 100031 of `anything`, once)."""
     replicas = (Replica("a", "", "h"),)
     it = ReplicaNode(Options("a"), "h", [], 0, random.Random(1))
-    it.agreed(0, 1, placement.encode(placement.Placement(1, 1, replicas)))
+    it.on_placement(0, 1, placement.encode(placement.Placement(1, 1, replicas)))
     entered = next(action for action in it.take() if isinstance(action, Save))
-    it.saved(0, entered.token)
+    it.on_saved(0, entered.token)
     for n in (1, 2):
         it.receive(0, "b", Prepare(n, 1, "h", bytes([n]) * 16, (1, 10 + n, 7, 0)))
     todos = it.take()
@@ -73,12 +75,12 @@
     world.run(world.now + 130 * S)
     there = [k.store.get(key) for k in keepers if key in k.store.entries]
     assert len(there) == 3 and all(record == there[0] for record in there) and there[0] != bad
-    assert keepers[0].mended == 1
+    assert keepers[0].repair.mended == 1
 
 
 def test_a_part_of_more_records_than_one_answer_tells_of_is_filled(monkeypatch: pytest.MonkeyPatch) -> None:
     """A seat of 390,000 records in 10 parts was never filled: each answer told of the same first buckets."""
-    monkeypatch.setattr(keepers, "DIGESTS_LIMIT", 40)  # of some 300 that a part lacks
+    monkeypatch.setattr(repair, "DIGESTS_LIMIT", 40)  # of some 300 that a part lacks
     count = 600
     world = World(5, 3, partitions=2, checked=False)
     world.run(8 * S)
