--- a/badgergap/replication/idempotency_record.py
+++ b/badgergap/replication/idempotency_record.py
@@ -3,7 +3,7 @@
 =========  ==================================================================  ====================== state
 what it says                                                        what may follow =========
 ==================================================================  ====================== (nothing)  nobody
-has sent a request with this key to a endpoint                    begun begun      the claim's gateway may
+has sent a request with this key to an endpoint                    begun begun      the claim's gateway may
 have sent it to `endpoints`                     begun, free, done, doubt free       that claim never ran, by
 the word of the gateway that made it       begun done       it ran, and this was the endpoint's answer
 nothing, until it expires doubt      it may have run; whoever knew has gone done, begun (endpoints know
--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -2,9 +2,9 @@
 
 The rules, stated once:
 
-1. Nothing of it goes to a endpoint before a record that names claim and endpoint is kept by a majority
+1. Nothing of it goes to an endpoint before a record that names claim and endpoint is kept by a majority
    (`launch`).
-2. A endpoint's answer goes to the client once it is kept. If it cannot be kept in the client's time, the
+2. An endpoint's answer goes to the client once it is kept. If it cannot be kept in the client's time, the
    client hears that the request is in doubt, and the keeping goes on.
 3. Whoever comes with the same key while a claim is begun waits for that gateway, as long as that says that
    it is at it. If it says nothing, or has gone, the claim is put in doubt, by a change that anybody sees.
@@ -23,7 +23,7 @@
 
 from badgergap.replication import idempotency_record as records
 from badgergap.replication.replica import ReplicaNode
-from badgergap.replication.proposer import FULL, PreparedBallot, Result
+from badgergap.replication.proposer import ChangeFailure, PreparedBallot, Result
 from badgergap.replication.idempotency_record import Decision, Fields, Record, Repeats
 
 SEND_SHARE = 0.5  # of the time a key is kept, after which a claim is not sent any more
@@ -35,7 +35,7 @@
 
 
 class End(Enum):
-    """How it ends for the client, where it is not with an answer of a endpoint."""
+    """How it ends for the client, where it is not with an answer of an endpoint."""
 
     TOO_LONG = "done, and its answer was too long to be kept"
     OTHER = "the key is that of another request"
@@ -52,7 +52,7 @@
         """Give the request to the decisions. `only`: the endpoints that may have it."""
 
     def withdraw(self) -> None:
-        """Take it back from them; no attempt of it is at a endpoint."""
+        """Take it back from them; no attempt of it is at an endpoint."""
 
     def give(self, record: Record) -> None:
         """The final answer, as it is kept."""
@@ -60,20 +60,25 @@
     def end(self, how: End, record: Record | None) -> None:
         """The final answer is the gateway's own."""
 
-    def after(self, delay_us: int, what: Callable[[], None]) -> None: ...
+    def after(self, delay_us: int, what: Callable[[], None]) -> None:
+        """Call `what` after a while."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    key: bytes
-    digest: bytes
+    """What of a client's request its record depends on."""
+
+    key: bytes  # `idempotency_record.key_of`
+    digest: bytes  # `idempotency_record.digest_of`
     tenant: str
-    label: str
-    keep_us: int
+    label: str  # the client's key, for people
+    keep_us: int  # for which its outcome is kept
     repeats: Repeats
 
 
 class IdempotentRequest:
+    """The state machine of one request; `Runner` carries out what it decides."""
+
     def __init__(
         self,
         replica_node: ReplicaNode,
@@ -83,7 +88,10 @@
         until_us: int,
     ) -> None:
         """`now_us`: the member's clock; `until_us`: when its client has gone."""
-        self.replica_node, self.runner, self.request, self.now_us = replica_node, runner, request, now_us
+        self.replica_node = replica_node
+        self.runner = runner
+        self.request = request
+        self.now_us = now_us
         self.until_us = until_us
         self.claim = ""
         self.record: Record | None = None  # this run's own, as it was kept last or is about to be
@@ -98,13 +106,16 @@
         self.polls = 0
 
     def begin(self) -> None:
+        """Look for the key's record, and act on it."""
         self._read_record()
 
     @property
     def sent(self) -> bool:
+        """Whether an endpoint may have the request."""
         return self.ran or self.out > 0
 
     def left_us(self) -> int:
+        """Until the client has gone."""
         return self.until_us - self.now_us()
 
     # The record
@@ -121,8 +132,8 @@
     def _on_record(self, result: Result) -> None:
         if self.over:
             return
-        if result.why:
-            self._end(End.FULL if result.why == FULL else End.UNREACHABLE, None)
+        if result.failure:
+            self._end(End.FULL if result.failure is ChangeFailure.FULL else End.UNREACHABLE, None)
             return
         replica_node, request, there = self.replica_node, self.request, result.record
         now = replica_node.clock.now_us(self.now_us())
@@ -162,14 +173,18 @@
             request.keep_us,
             doubt,
         )
-        self.prepared, self.kept, self.running = prepared, False, True
-        self.out, self.ran, self.launched = 0, False, False
+        self.prepared = prepared
+        self.kept = False
+        self.running = True
+        self.out = 0
+        self.ran = False
+        self.launched = False
         self.claimed_us = self.now_us()
         only = doubt.endpoints if doubt is not None and not request.repeats.anywhere else None
         self.runner.run(only)
 
     def _change_to(self, record: Record) -> Callable[[Record | None], Record | None]:
-        """Have the register hold this, where the table of `record.py` lets it follow."""
+        """Have the register hold this, where the table of `idempotency_record` lets it follow."""
 
         def change(there: Record | None) -> Record | None:
             now = self.replica_node.clock.now_us(self.now_us())
@@ -187,7 +202,7 @@
     # Its own run
 
     def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
-        """An attempt is about to go to a endpoint. `go(False)`: it may not, now or ever.
+        """An attempt is about to go to an endpoint. `go(False)`: it may not, now or ever.
 
         It was never sent.
         """
@@ -205,7 +220,12 @@
         def done(result: Result) -> None:
             self.prepared = result.prepared
             there = result.record
-            if there is not None and not result.why and there.claim == claim and endpoint in there.endpoints:
+            if (
+                there is not None
+                and not result.failure
+                and there.claim == claim
+                and endpoint in there.endpoints
+            ):
                 self.kept = True
                 self._go(claim, go)
                 return
@@ -232,7 +252,7 @@
             self._on_refused(Result())  # its time is over: whoever looks now says what that means
 
     def attempt_over(self, may_have_run: bool) -> None:
-        """Of one that went to a endpoint."""
+        """Of one that went to an endpoint."""
         self.out -= 1
         self.ran = self.ran or may_have_run
 
@@ -241,8 +261,8 @@
         self.running = False
         self._leave_claim()
         self.runner.withdraw()
-        if result.why:
-            how = End.FULL if result.why == FULL else End.UNREACHABLE
+        if result.failure:
+            how = End.FULL if result.failure is ChangeFailure.FULL else End.UNREACHABLE
             self._end(End.DOUBT if self.sent else how, self.record)
         else:
             self._read_record()
@@ -261,7 +281,7 @@
         self.replica_node.change(self.now_us(), self.request.key, change, lambda result: None, FREE_US)
 
     def answered(self, status: int, headers: Fields, body: bytes) -> None:
-        """A endpoint has answered, whole. `give` or `end` follows once it is kept, or can't be in time."""
+        """An endpoint has answered, whole. `give` or `end` follows once it is kept, or can't be in time."""
         if not self.running or self.record is None:
             return
         self.running = False
@@ -274,7 +294,7 @@
             self.replica_node.claims.ended(self.claim, "ran")
             if self.over:
                 return
-            if not result.why and there is not None and there.state == "done":
+            if not result.failure and there is not None and there.state == "done":
                 if there.claim == record.claim and not record.whole:
                     self.over = True
                     self.runner.give(record)
@@ -336,7 +356,7 @@
 
         def done(result: Result) -> None:
             if not self.over:
-                if result.why:
+                if result.failure:
                     self._end(End.UNREACHABLE, None)
                 else:
                     self._on_record(result)
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -20,7 +20,7 @@
 
 
 class ForwardingClient:
-    """The client of the turn to a endpoint. One that was withdrawn tells nobody anything."""
+    """The client of the turn to an endpoint. One that was withdrawn tells nobody anything."""
 
     def __init__(self, keyed_request: KeyedRequest, turn: Turn) -> None:
         self.keyed_request, self.turn = keyed_request, turn
@@ -58,7 +58,10 @@
 
 
 class PendingAttempt(Exchange):
-    """An attempt that waits for its record to be kept, and is then what carries it."""
+    """An attempt that waits until its record is stored, and then carries the request.
+
+    `inner` is the attempt on the upstream, once there is one.
+    """
 
     __slots__ = ("begin", "books", "epoch", "inner", "keyed_request", "sent", "until", "upstream")
 
@@ -71,13 +74,17 @@
         begin: Callable[[float, Books], Tried],
     ) -> None:
         super().__init__(b"", books.ended)
-        self.keyed_request, self.upstream, self.books, self.begin = keyed_request, upstream, books, begin
+        self.keyed_request = keyed_request
+        self.upstream = upstream
+        self.books = books
+        self.begin = begin
         self.until = keyed_request.loop.time() + timeout_s
         self.inner: Tried | None = None
         self.sent = False
         self.epoch = upstream.acting() if upstream.acting is not None else 0
 
     def ask(self, server: int) -> None:
+        """Have a record stored that names this endpoint."""
         idempotent = self.keyed_request.idempotent
         if self.done:
             return
@@ -88,6 +95,7 @@
         self.keyed_request.idempotency_filter.service.settle()
 
     def go(self, may: bool) -> None:
+        """The record is stored, or it may not go (`may` is False)."""
         idempotent = self.keyed_request.idempotent
         assert idempotent is not None
         left_s = self.until - self.keyed_request.loop.time()
@@ -106,6 +114,7 @@
             self.inner.unwant()
 
     def over(self, outcome: Outcome) -> None:
+        """Report whether the endpoint may have run the request."""
         idempotent = self.keyed_request.idempotent
         if self.sent and idempotent is not None:
             self.sent = False
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -46,7 +46,7 @@
 
 
 class KeyedRequest:
-    """One keyed request: the client of its turn to a endpoint, and what `IdempotentRequest` runs."""
+    """One keyed request: the client of its turn to an endpoint, and what `IdempotentRequest` runs."""
 
     def __init__(
         self,
@@ -57,13 +57,11 @@
         way: Way,
         key: bytes,
     ) -> None:
-        self.idempotency_filter, self.turn, self.client, self.ways, self.way = (
-            idempotency_filter,
-            turn,
-            client,
-            ways,
-            way,
-        )
+        self.idempotency_filter = idempotency_filter
+        self.turn = turn
+        self.client = client
+        self.ways = ways
+        self.way = way
         self.loop = ways.loop
         self.name = key
         self.key = records.key_of(way.tenant[1].decode(), way.route, key)
@@ -76,7 +74,7 @@
         self.last_resort: asyncio.TimerHandle | None = None
         self.over = False  # the client has its answer, or has gone
         self.inner: Turn | None = None
-        # Of a endpoint's answer
+        # Of an endpoint's answer
         self.endpoint_answer: Answer | None = None  # as the decisions were told of it
         self.head: AnswerHead | None = None
         self.source: DownloadSource | None = None
@@ -85,9 +83,15 @@
         self.ended = False
         self.trailers: Headers = []
 
+    @property
+    def is_running(self) -> bool:
+        """Whether it is this request that runs, and its outcome is not decided yet."""
+        return self.idempotent is not None and self.idempotent.running
+
     # The client's request
 
     def start(self) -> None:
+        """Wait for the body, and then for the key's turn."""
         turn, upload = self.turn, self.turn.upload
         self.idempotency_filter.open_requests += 1
         turn.joined = self
@@ -101,6 +105,7 @@
             self.client.go_on()  # its body is wanted before any endpoint is asked
 
     def ready(self) -> None:
+        """The body is here, or is longer than `BODY_LIMIT`."""
         upload = self.turn.upload
         if not upload.complete:
             self.reply(plain(413, f"a keyed request's body is {BODY_LIMIT} bytes at the most"))
@@ -133,18 +138,17 @@
         if not self.over and self.head is None:
             log.warning("a keyed request had no answer at its deadline")
             idempotent = self.idempotent
-            self.reply(
-                gateway_answer(
-                    End.DOUBT if idempotent is not None and idempotent.sent else End.UNREACHABLE, None
-                )
-            )
+            may_have_run = idempotent is not None and idempotent.sent
+            self.reply(gateway_answer(End.DOUBT if may_have_run else End.UNREACHABLE, None))
             if idempotent is not None:
                 idempotent.left()
 
     def waited_out(self) -> None:
+        """The request before this one is still under way at this one's deadline."""
         self.reply(gateway_answer(End.UNDER_WAY, None))
 
     def begin_run(self, digest: bytes) -> None:
+        """It is this request's turn among those of its key."""
         replica_node, way = self.idempotency_filter.service.replica_node, self.way
         assert replica_node is not None
         request_class = way.proxy.settings.classes[way.klass]
@@ -169,7 +173,7 @@
         self.idempotency_filter.service.settle()
 
     def leave(self) -> None:
-        """Its client has gone. What has gone to a endpoint goes on, so that its outcome is kept."""
+        """Its client has gone. What has gone to an endpoint goes on, so that its outcome is kept."""
         if self.over:
             return
         self.close("left")
@@ -184,11 +188,13 @@
             self.inner.exchange.check_time(now, between_s, answer_s)
 
     def reply(self, answer: Answer, how: str = "") -> None:
+        """The final answer, unless there was one. `how`: what it counts as, in place of its status."""
         if not self.over:
             self.close(how or str(answer.status))
             self.client.answer(answer)
 
     def close(self, how: str) -> None:
+        """The client needs nothing more: count it, and let the next request of the key go on."""
         self.over = True
         self.idempotency_filter.open_requests -= 1
         self.idempotency_filter.count(how)
@@ -217,6 +223,7 @@
         del self.idempotency_filter.queues[self.key]
 
     def take_over(self) -> None:
+        """The request before this one is over."""
         queue = self.queue
         if queue is None:
             return
@@ -289,8 +296,7 @@
         books: Books,
         begin: Callable[[float, Books], Tried],
     ) -> Exchange:
-        idempotent = self.idempotent
-        assert idempotent is not None
+        assert self.idempotent is not None
         attempt = PendingAttempt(self, upstream, timeout_s, books, begin)
         # Once the decisions have been told of the attempt, not from within.
         self.loop.call_soon(attempt.ask, server)
@@ -306,11 +312,7 @@
             self.client.data(data)
             return
         self.buffered += data
-        if (
-            len(self.buffered) > records.BODY_LIMIT
-            and self.idempotent is not None
-            and self.idempotent.running
-        ):
+        if len(self.buffered) > records.BODY_LIMIT and self.is_running:
             assert self.head is not None and self.source is not None
             self.source.flow(False)
             self.answered(self.head.status, self.head.headers)
@@ -321,7 +323,7 @@
             if not self.over:
                 self.close("passed on")
                 self.client.end(trailers)
-        elif self.head is not None and self.idempotent is not None and self.idempotent.running:
+        elif self.head is not None and self.is_running:
             self.answered(self.head.status, self.head.headers)
 
     def broke(self) -> None:
@@ -330,11 +332,11 @@
             if not self.over:
                 self.close("broke")
                 self.client.broke()
-        elif self.idempotent is not None and self.idempotent.running:
+        elif self.is_running:
             self.own(plain(502, "the answer broke off"))
 
     def answer(self, answer: Answer) -> None:
-        if answer is self.endpoint_answer and self.idempotent is not None and self.idempotent.running:
+        if answer is self.endpoint_answer and self.is_running:
             self.buffered += answer.body
             self.answered(answer.status, answer.headers)
         else:
--- a/badgergap/replication/learned_state.py
+++ b/badgergap/replication/learned_state.py
@@ -15,6 +15,7 @@
 import msgspec
 import zstandard
 
+from badgergap.errors import BadgergapError
 from badgergap.replication.placement import Replica, replicas_of
 
 KEEPERS = 2  # others that keep a gateway's health snapshot: one of them may be lost with it
@@ -28,8 +29,8 @@
 BalancerSnapshot = dict[str, Any]  # as `Balancer.snapshot` gives it
 
 
-class BadHealthSnapshotError(ValueError):
-    """One that is damaged, or of another program, in words."""
+class BadHealthSnapshotError(BadgergapError, ValueError):
+    """A health snapshot is damaged, or of another program; the message says which."""
 
 
 class HealthSnapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -134,7 +135,7 @@
     """What it is worth `age_us` later, in times that are `shift_us` ahead of its own.
 
     Outcomes count less, the newest longest; weights go back towards 1; nothing is out any more. An open
-    breaker stays open until its time, and is then on trial: that costs a endpoint that is well again little.
+    breaker stays open until its time, and is then on trial: that costs an endpoint that is well again little.
     Raises BadLesson for what has no snapshot's form; `Balancer.restore` judges its figures.
     """
     share = 0.5 ** (max(0, age_us) / HALF_LIFE_US)
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -1,7 +1,7 @@
 """Sends what a gateway has learned about endpoints to other members, and gets it back after a restart.
 
 Now and then it sends its health snapshot to two others. One that has started asks all for its own, and
-takes the newest that comes before it has sent anything to a endpoint. Nothing waits for any of this.
+takes the newest that comes before it has sent anything to an endpoint. Nothing waits for any of this.
 """
 
 from __future__ import annotations
@@ -37,11 +37,15 @@
 
 
 class LearnedStateService:
+    """Exports this gateway's health snapshot, stores those of others, and restores its own at the start."""
+
     def __init__(
         self, group: GroupRoom, copies: ReplicationService, proxies: Callable[[], Mapping[str, Proxy]]
     ) -> None:
         """`proxies`: of all pools, once they have started; the main one among them."""
-        self.group, self.copies, self.proxies = group, copies, proxies
+        self.group = group
+        self.copies = copies
+        self.proxies = proxies
         self.snapshot_store = SnapshotStore()
         self.newest: tuple[str, StoredSnapshot] | None = None  # of what others have sent of this gateway's
         self.restored_count = 0  # endpoints of which something was known again after the start
@@ -155,7 +159,7 @@
             await asyncio.sleep(QUERY_S)
 
     def has_sent_requests(self) -> bool:
-        """Whether something was sent to a endpoint.
+        """Whether something was sent to an endpoint.
 
         What is learnt from then on is newer than any health snapshot.
         """
--- a/badgergap/replication/placement.py
+++ b/badgergap/replication/placement.py
@@ -20,12 +20,14 @@
 
 import msgspec
 
+from badgergap.errors import BadgergapError
+
 PARTITIONS = 256  # the most, and as many as there are but in simulations
 REPLICAS_LIMIT = 256
 FORMAT = 1
 
 
-class UnreadablePlacementError(Exception):
+class UnreadablePlacementError(BadgergapError):
     """A placement of a later program version."""
 
 
--- a/badgergap/replication/proposer.py
+++ b/badgergap/replication/proposer.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from badgergap.replication import idempotency_record as records
 from badgergap.replication.placement import Placement, Replica, majority, partition_of
@@ -22,12 +23,18 @@
 LATER_US = (4_000, 40_000)  # until a round that met another one begins anew, and more each time
 LEARN_US = 40_000  # for a new epoch to be known on both sides
 
-UNREACHABLE = "too few copies can be reached"
-FULL = "no room for a further key"
+
+class ChangeFailure(StrEnum):
+    """Why a change was not made, as operators read it."""
+
+    UNREACHABLE = "too few copies can be reached"
+    FULL = "no room for a further key"
 
 
 @dataclass(slots=True)
 class PreparedBallot:
+    """What a finished change leaves behind: the next one of its key needs no prepare phase of its own."""
+
     ballot: Ballot  # the register is known as it was at this one, and so promised
     record: Record | None
     accepted: bool  # at this very ballot, so that the next one is a step on
@@ -36,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """`why`: nothing is known; a change that was under way may or may not have been made."""
+    """What the register holds. `failure`: that is not known, and the change may or may not have been made."""
 
     record: Record | None = None
     prepared: PreparedBallot | None = None
-    why: str = ""
+    failure: ChangeFailure | None = None
 
 
 Change = Callable[[Record | None], Record | None]
@@ -49,6 +56,8 @@
 
 @dataclass(eq=False)
 class Operation:
+    """One change that is under way, and the round that it is in."""
+
     number: int
     key: bytes
     change: Change
@@ -61,9 +70,9 @@
     new_record: Record | None = None  # what the register becomes, once accepted
     value: bytes = b""
     prior: Ballot = NO_BALLOT
-    promises: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)  # promises, by holder
-    accepted_by: set[str] = field(default_factory=set)  # accepts, by holder
-    refused_by: set[str] = field(default_factory=set)
+    promises: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)  # by disk
+    accepted_by: set[str] = field(default_factory=set)  # disks
+    refused_by: set[str] = field(default_factory=set)  # disks, in the phase that is on
     full: bool = False
     tries: int = 0
     began_us: int = 0  # of this round
@@ -72,17 +81,23 @@
 
 
 class Proposer:
-    """`send(replica, message)` sends; it may be lost, and may come back from within."""
+    """Carries changes out for one member.
+
+    `send(replica, message)` may lose the message, and its answer may come back before it returns.
+    """
 
     def __init__(
         self, incarnation: int, send: Callable[[Replica, Prepare | Accept], None], rng: random.Random
     ) -> None:
-        self.incarnation, self.send, self.rng = incarnation, send, rng
+        self.incarnation = incarnation
+        self.send = send
+        self.rng = rng
         self.placement = Placement()
+        # Of each partition, the sets of replicas of each of which a majority is needed.
         self.sets = [self.placement.sets(partition) for partition in range(self.placement.partitions)]
-        self.counter = 0
-        self.operations: dict[int, Operation] = {}
-        self.number = 0
+        self.counter = 0  # the second figure of the newest ballot
+        self.operations: dict[int, Operation] = {}  # by number
+        self.number = 0  # of the newest operation
 
     def change(
         self,
@@ -93,6 +108,7 @@
         until_us: int,
         prepared: PreparedBallot | None = None,
     ) -> Operation:
+        """Begin a change; `done` is called once, which may be before this returns."""
         self.number += 1
         operation = self.operations[self.number] = Operation(
             self.number, key, change, done, until_us, prepared
@@ -110,11 +126,12 @@
                 self._begin(now_us, operation)
 
     def tick(self, now_us: int) -> None:
+        """Give up what is out of time, begin anew what stands still, and ask the silent again."""
         for operation in list(self.operations.values()):
             if operation.number not in self.operations:
                 continue
             if now_us >= operation.until_us:
-                self._finish(operation, Result(why=UNREACHABLE))
+                self._finish(operation, Result(failure=ChangeFailure.UNREACHABLE))
             elif operation.wait_us >= 0:
                 if now_us >= operation.wait_us:
                     self._begin(now_us, operation)
@@ -127,7 +144,9 @@
 
     def _begin(self, now_us: int, operation: Operation) -> None:
         placement = self.placement
-        operation.began_us, operation.wait_us, operation.epoch = now_us, -1, placement.epoch
+        operation.began_us = now_us
+        operation.wait_us = -1
+        operation.epoch = placement.epoch
         operation.promises.clear()
         operation.accepted_by.clear()
         operation.refused_by.clear()
@@ -149,7 +168,9 @@
         self._send_round(now_us, operation)
 
     def _accept(self, now_us: int, operation: Operation, new_record: Record, prior: Ballot) -> None:
-        operation.accepting, operation.new_record, operation.prior = True, new_record, prior
+        operation.accepting = True
+        operation.new_record = new_record
+        operation.prior = prior
         operation.value = records.encode(new_record)
         operation.refused_by.clear()
         self._send_round(now_us, operation)
@@ -185,6 +206,7 @@
                 )
 
     def on_promised(self, now_us: int, message: Promised) -> None:
+        """An answer to a prepare. With a majority of each set the change is done, or is to be accepted."""
         operation = self.operations.get(message.operation)
         if (
             operation is None
@@ -216,6 +238,7 @@
         self._accept(now_us, operation, new_record, operation.ballot)
 
     def on_accepted(self, now_us: int, message: Accepted) -> None:
+        """An answer to an accept; with a majority of each set the change is done."""
         operation = self.operations.get(message.operation)
         if (
             operation is None
@@ -251,7 +274,7 @@
             left = sum(replica.disk_id not in operation.refused_by for replica in each)
             if left < majority(len(each)):
                 if operation.full:
-                    self._finish(operation, Result(why=FULL))
+                    self._finish(operation, Result(failure=ChangeFailure.FULL))
                 else:
                     self._later(now_us, operation)
                 return
--- a/badgergap/replication/repair.py
+++ b/badgergap/replication/repair.py
@@ -253,7 +253,7 @@
         """Have what a register holds held by a majority, whatever it is."""
 
         def done(result: Result) -> None:
-            if not result.why:
+            if not result.failure:
                 comparison.rounds -= 1
 
         comparison.rounds += 1
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -1,7 +1,7 @@
 """The pure `ReplicaNode` of a gateway with what it needs: a disk, the group's links and a clock.
 
 Nothing is decided here. What the replica node wants written goes to the log's thread, and what relies on it
-goes out once that is durable. Words to one member that come up together go as one frame.
+goes out once that is durable. Messages to one member that come up together go as one frame.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from badgergap.consensus.service import GroupRoom, clock_us
+from badgergap.consensus.service import GroupRoom, Refused, clock_us
 from badgergap.replication import messages
 from badgergap.replication.actions import Alert, Proposal, Save, Send
 from badgergap.replication.options import Options
@@ -32,31 +32,34 @@
 
 log = logging.getLogger(__name__)
 
-GUEST_NAME, TIME = "copies", "time"  # the words in the group's log
+GUEST_NAME, TIME = "copies", "time"  # the kinds of entries in the group's log
 BUSY_S, IDLE_S = 0.01, 0.05  # between two ticks
-FRAME_BYTES = 1_000_000  # of words in one frame
+FRAME_BYTES = 1_000_000  # of messages in one frame
 AGAIN_S = 5.0  # until a folder whose disk has failed is opened anew
-GROWN_BYTES, GROWN_SHARE = (
-    16 * 1024 * 1024,
-    3,
-)  # a log is written anew beyond so much and so many times its need
+# A log is written anew beyond so many bytes and so many times its need.
+GROWN_BYTES, GROWN_SHARE = 16 * 1024 * 1024, 3
 FULL_BYTES = SIZE_LIMIT * 7 // 8  # or so much, whatever it needs
 DISK_CHECK_S = 600.0  # between two looks at the log as it lies on the disk
 REPORTS_TIMEOUT_S = 1.0  # for the leader to say what it knows
 
 
 class ReplicationService:
-    """Raises OSError at the start where its folder cannot be used."""
+    """The driver of a `ReplicaNode`; a guest of the group's service.
+
+    `start` raises OSError where the folder cannot be used.
+    """
 
     def __init__(self, group: GroupRoom, read: Callable[[], Options], folder: Path) -> None:
         """`read` gives what the operator file says now; raises ConfigError."""
-        self.group, self.read, self.folder = group, read, folder
+        self.group = group
+        self.read = read
+        self.folder = folder
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.replica_node: ReplicaNode | None = None
         self.log: Log | None = None
         self.writer: Writer | None = None
-        self.generation = 0  # of the replica node: a word of the disk to an earlier one is none to this one
+        self.generation = 0  # of the opened folder: what is reported of an earlier one is ignored
         self.held: deque[Send] = deque()
         self.outgoing: dict[str, list[Message]] = defaultdict(list)
         self.flushing = False
@@ -330,6 +333,12 @@
         self.settle()
         return await done
 
+    def require_node(self) -> ReplicaNode:
+        """Raises Refused while the folder is not open."""
+        if self.replica_node is None:
+            raise Refused("this gateway keeps no copies at the moment")
+        return self.replica_node
+
     async def query_reports(self) -> messages.ReportSummary | None:
         """What the leader knows of all replicas."""
         it = self.replica_node
--- a/badgergap/replication/snapshot.py
+++ b/badgergap/replication/snapshot.py
@@ -19,6 +19,8 @@
 import msgspec
 import zstandard
 
+from badgergap.errors import BadgergapError
+
 MAGIC = b"BGCOPIES"
 FORMAT = 1
 LENGTH = struct.Struct("<I")
@@ -26,8 +28,8 @@
 PAGE = 512  # records
 
 
-class BadSnapshotError(Exception):
-    """A file that is none, or damaged, or of a later program, in words."""
+class BadSnapshotError(BadgergapError):
+    """A file is no snapshot, or damaged, or of a later program; the message says which."""
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True, tag="head"):
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -504,7 +504,7 @@
             return
         steps = self.steps[operation.key]
         moves = [(_short(there), _short(left)) for there, left in seen]
-        made = result is not None and not result.why
+        made = result is not None and result.failure is None
         steps += [Step(s, t, began) for s, t in dict.fromkeys(moves[: len(moves) - made]) if s != t]
         if result is not None and made:
             left = _short(result.record)
