--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -1,7 +1,7 @@
 """The pure `ReplicaNode` of a gateway with what it needs: a disk, the group's links and a clock.
 
 Nothing is decided here. What the replica node wants written goes to the log's thread, and what relies on it
-goes out once that is durable. Words to one member that come up together go as one frame.
+goes out once that is durable. Messages to one member that come up together go as one frame.
 """
 
 from __future__ import annotations
@@ -18,10 +18,12 @@
 import msgspec
 
 from badgergap.consensus.clock import clock_us
+from badgergap.consensus.errors import Refused
 from badgergap.consensus.service import GroupService
-from badgergap.replication import replica as keepers
 from badgergap.replication import messages
-from badgergap.replication.replica import ReplicaNode, Options, Alert, Proposal
+from badgergap.replication.actions import Alert, Proposal, Save, Send
+from badgergap.replication.options import Options
+from badgergap.replication.replica import ReplicaNode
 from badgergap.replication.proposer import Change, PreparedBallot, Result
 from badgergap.replication.messages import Message
 from badgergap.proxy.lifecycle.config import Config, ConfigError
@@ -33,32 +35,35 @@
 
 log = logging.getLogger(__name__)
 
-GUEST_NAME, TIME = "copies", "time"  # the words in the group's log
+GUEST_NAME, TIME = "copies", "time"  # the kinds of entries in the group's log
 BUSY_S, IDLE_S = 0.01, 0.05  # between two ticks
-FRAME_BYTES = 1_000_000  # of words in one frame
+FRAME_BYTES = 1_000_000  # of messages in one frame
 AGAIN_S = 5.0  # until a folder whose disk has failed is opened anew
-GROWN_BYTES, GROWN_SHARE = (
-    16 * 1024 * 1024,
-    3,
-)  # a log is written anew beyond so much and so many times its need
+# A log is written anew beyond so many bytes and so many times its need.
+GROWN_BYTES, GROWN_SHARE = 16 * 1024 * 1024, 3
 FULL_BYTES = SIZE_LIMIT * 7 // 8  # or so much, whatever it needs
 DISK_CHECK_S = 600.0  # between two looks at the log as it lies on the disk
 REPORTS_TIMEOUT_S = 1.0  # for the leader to say what it knows
 
 
 class ReplicationService:
-    """Raises OSError at the start where its folder cannot be used."""
+    """The driver of a `ReplicaNode`; a guest of the group's service.
+
+    `start` raises OSError where the folder cannot be used.
+    """
 
     def __init__(self, group: GroupService, read: Callable[[], Options], folder: Path) -> None:
         """`read` gives what the operator file says now; raises ConfigError."""
-        self.group, self.read, self.folder = group, read, folder
+        self.group = group
+        self.read = read
+        self.folder = folder
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.replica_node: ReplicaNode | None = None
         self.log: RecordLog | None = None
         self.writer: BackgroundWriter | None = None
-        self.generation = 0  # of the replica node: a word of the disk to an earlier one is none to this one
-        self.held: deque[keepers.Send] = deque()
+        self.generation = 0  # of the opened folder: what is reported of an earlier one is ignored
+        self.held: deque[Send] = deque()
         self.outgoing: dict[str, list[Message]] = defaultdict(list)
         self.flushing = False
         self.rewriting = False
@@ -139,7 +144,7 @@
     def _durable(self, generation: int, token: int) -> None:
         if generation != self.generation or self.replica_node is None:
             return
-        self.replica_node.saved(clock_us(), token)
+        self.replica_node.on_saved(clock_us(), token)
         while self.held and self.held[0].after <= token:
             self._send(self.held.popleft())
         self.settle()
@@ -148,7 +153,7 @@
         if generation != self.generation or self.replica_node is None:
             return
         self.held.clear()
-        self.replica_node.failed(why)
+        self.replica_node.on_failed(why)
         self.settle()
         self._spawn(self._anew())
 
@@ -169,7 +174,7 @@
             self._begin(lines)
             return
 
-    def _write(self, save: keepers.Save) -> None:
+    def _write(self, save: Save) -> None:
         assert self.writer is not None and self.log is not None and self.replica_node is not None
         self.writer.write(save.token, save.lines)
         store = self.replica_node.store
@@ -232,10 +237,10 @@
             return
         number, data = self.group.component_state(TIME)
         if number > it.clock.number:
-            it.ticked(clock_us(), number, data)
+            it.on_tick(clock_us(), number, data)
         number, data = self.group.component_state(GUEST_NAME)
         if number > it.number:
-            it.agreed(clock_us(), number, data)
+            it.on_placement(clock_us(), number, data)
 
     def removal_objection(self, name: str) -> str:
         it = self.replica_node
@@ -253,12 +258,12 @@
                 try:
                     if member is not None:
                         names = {peer.name for peer in member.raft.log.configuration}
-                        it.led_by(now, member.leader_name, member.raft.is_established_leader, names)
+                        it.on_leader(now, member.leader_name, member.raft.is_established_leader, names)
                     it.tick(now)
                     self.settle()
                 except Exception:
                     log.exception("the tick of copies failed")
-            busy = it is not None and (it.proposer.operations or it.comparisons or it.claim_queries)
+            busy = it is not None and (it.proposer.operations or it.repair.comparisons or it.claim_queries)
             await asyncio.sleep(BUSY_S if busy else IDLE_S)
 
     def settle(self) -> None:
@@ -268,10 +273,10 @@
             return
         for action in it.take():
             match action:
-                case keepers.Save():
+                case Save():
                     if not it.broken:
                         self._write(action)
-                case keepers.Send():
+                case Send():
                     if action.after > it.durable:
                         self.held.append(action)
                     else:
@@ -282,7 +287,7 @@
                 case Alert():
                     self._say(action.text)
 
-    def _send(self, send: keepers.Send) -> None:
+    def _send(self, send: Send) -> None:
         self.outgoing[send.name].append(send.message)
         if not self.flushing:
             self.flushing = True
@@ -291,7 +296,7 @@
 
     def say(self, name: str, message: Message) -> None:
         """To the member of that name."""
-        self._send(keepers.Send(name, message))
+        self._send(Send(name, message))
 
     def _flush(self) -> None:
         self.flushing = False
@@ -335,13 +340,19 @@
         self.settle()
         return await done
 
-    async def look(self) -> messages.ReportSummary | None:
+    def require_node(self) -> ReplicaNode:
+        """Raises Refused while the folder is not open."""
+        if self.replica_node is None:
+            raise Refused("this gateway keeps no copies at the moment")
+        return self.replica_node
+
+    async def query_reports(self) -> messages.ReportSummary | None:
         """What the leader knows of all replicas."""
         it = self.replica_node
         if it is None:
             return None
         asked = clock_us()
-        it.look()
+        it.query_reports()
         self.settle()
         deadline = asyncio.get_running_loop().time() + REPORTS_TIMEOUT_S
         while asyncio.get_running_loop().time() < deadline:
@@ -356,7 +367,7 @@
             return "copies: none is placed yet"
         if it.broken or it.stuck:
             return f"copies: KEEPS NOTHING: {it.broken or it.stuck}"
-        behind = f", {len(it.behind)} parts behind" if it.behind else ""
+        behind = f", {len(it.repair.behind)} parts behind" if it.repair.behind else ""
         state = "moving" if it.placement.before is not None else "settled"
         epoch = f"epoch {it.placement.epoch} {state}"
         return f"copies: {it.store.records} records in {len(it.partitions)} parts, {epoch}{behind}"
