--- a/badgergap/admin/boxes.py
+++ b/badgergap/admin/boxes.py
@@ -11,7 +11,7 @@
 from badgergap.admin.figures import Figures
 from badgergap.admin.protocol import BoxView, Said
 from badgergap.proxy.lifecycle.config import Names
-from badgergap.proxy.endpoints.registry import HostView
+from badgergap.proxy.endpoints.registry import MergedEndpoint
 from badgergap.balancing.interface import EndpointStatus, EndpointView
 
 GONE_SHOWN_US = 300_000_000  # how long a box that is gone is still shown
@@ -28,7 +28,7 @@
     def views(
         self,
         now_us: int,
-        hosts: Iterable[HostView],
+        hosts: Iterable[MergedEndpoint],
         servers: Iterable[EndpointView],
         connecting: Mapping[int, int],
         figures: Figures,
@@ -49,7 +49,12 @@
         return sorted(views, key=lambda view: natural(view.name))
 
     def _view(
-        self, now_us: int, host: HostView, server: EndpointView | None, connecting: int, figures: Figures
+        self,
+        now_us: int,
+        host: MergedEndpoint,
+        server: EndpointView | None,
+        connecting: int,
+        figures: Figures,
     ) -> BoxView:
         entry, out = host.entry, server.in_flight if server is not None else 0
         counted = figures.boxes.get(entry.listed.endpoint_id)
@@ -59,7 +64,7 @@
         if state == "drained" and host.drain is not None:
             since_us = host.drain.at_us
         elif state in ("gone", "draining"):
-            since_us = host.said[0][2]
+            since_us = host.statements[0][2]
         good, bad = counted.rates(now_us) if counted is not None else (0.0, 0.0)
         address, port = entry.address
         return BoxView(
@@ -80,14 +85,16 @@
             usual_us=round(counted.usual_us) if counted is not None else 0,
             answered_us=counted.answered_us if counted is not None else 0,
             streams=server.streams if server is not None else 0,
-            sources=[name for name, _, _ in host.said],
-            said=[Said(source=name, status=status.value, at_us=at_us) for name, status, at_us in host.said],
+            sources=[name for name, _, _ in host.statements],
+            said=[
+                Said(source=name, status=status.value, at_us=at_us) for name, status, at_us in host.statements
+            ],
         )
 
 
-def state_of(host: HostView, server: EndpointView | None, has_answered: bool) -> tuple[str, str]:
+def state_of(host: MergedEndpoint, server: EndpointView | None, has_answered: bool) -> tuple[str, str]:
     """The state's word, and who is behind it where somebody is."""
-    if host.said[0][1] is EndpointStatus.GONE:
+    if host.statements[0][1] is EndpointStatus.GONE:
         return "gone", host.source
     if host.drain is not None:
         return "drained", host.drain.by
--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -39,7 +39,7 @@
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import HandDrain, HostView, RosterError
+from badgergap.proxy.endpoints.registry import ManualDrain, MergedEndpoint, EndpointRegistryError
 from badgergap.balancing.interface import EndpointView
 
 log = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
 class Keeper(Protocol):
     """Keeps drains by hand over a restart."""
 
-    def save(self, drains: Iterable[HandDrain]) -> None:
+    def save(self, drains: Iterable[ManualDrain]) -> None:
         """Blocks; called off the loop. Raises OSError, and then the last saved ones stand."""
 
 
@@ -115,8 +115,8 @@
     def join(self, proxy: Proxy) -> None:
         self.proxy = proxy
         self.started_us = proxy.clock.now_us()
-        proxy.by_hand.append(self._changed_by_hand)
-        for drain in proxy.roster.drains.values():  # kept from before: their wishes can be asked for
+        proxy.manual_drain_listeners.append(self._changed_by_hand)
+        for drain in proxy.registry.drains.values():  # kept from before: their wishes can be asked for
             if drain.action:
                 self.actions.remember(self._result(drain.action, "drain", drain.name, drain.by, True, True))
             self.story.tell(self.started_us, f"{drain.name} stays drained by hand, by {drain.by}")
@@ -240,12 +240,12 @@
 
     def views(self) -> list[BoxView]:
         now_us = self._now_us()
-        hosts: list[HostView] = []
+        hosts: list[MergedEndpoint] = []
         servers: list[EndpointView] = []
         connecting: dict[int, int] = {}
         pools: dict[int, str] = {}
         for pool, proxy in self.proxies().items():
-            seen = proxy.roster.view(max(1, SHOWN - len(hosts)), now_us - GONE_SHOWN_US)
+            seen = proxy.registry.view(max(1, SHOWN - len(hosts)), now_us - GONE_SHOWN_US)
             numbers = [host.entry.listed.endpoint_id for host in seen]
             hosts += seen
             servers += proxy.balancer.look(now_us, numbers)
@@ -271,24 +271,24 @@
         return [
             SourceView(
                 name=f"{pool}/{state.name}" if pool else state.name,
-                boxes=state.hosts,
-                heard_us=state.heard_us,
+                boxes=state.endpoint_count,
+                heard_us=state.last_update_us,
                 failing_since_us=state.failing_since_us,
                 detail=proxy.sources[state.name].describe(),
             )
             for pool, proxy in self.proxies().items()
-            for state in proxy.roster.sources.values()
+            for state in proxy.registry.sources.values()
         ]
 
     def _hosts(self) -> int:
-        return sum(proxy.roster.hosts for proxy in self.proxies().values())
+        return sum(proxy.registry.endpoint_count for proxy in self.proxies().values())
 
     def snapshot(self, boxes: list[BoxView]) -> Snapshot:
         proxy = self.proxy
         assert proxy is not None
         now_us = proxy.clock.now_us()
         counts, groups, members = self.joins()
-        host, port = proxy.listens or self.config.listen or ("nowhere", 0)
+        host, port = proxy.client_address or self.config.listen or ("nowhere", 0)
         return Snapshot(
             site=self.config.name,
             pid=os.getpid(),
@@ -296,8 +296,8 @@
             started_us=self.started_us,
             at_us=now_us,
             listen=f"{host}:{port}",
-            open=sum(each.open for each in self.proxies().values()),
-            waiting=sum(each.waiting() for each in self.proxies().values()),
+            open=sum(each.open_requests for each in self.proxies().values()),
+            waiting=sum(each.waiting_count() for each in self.proxies().values()),
             boxes=boxes,
             not_shown=max(0, self._hosts() - sum(box.state != "gone" for box in boxes)),
             classes=self.figures.service(now_us),
@@ -415,7 +415,7 @@
     def _carry_out(self, request: Drain | Undrain, do: str) -> ActionResult:
         box, by = request.box, request.by
         proxy = self._proxy_of(box)
-        was_drained = box in proxy.roster.drains
+        was_drained = box in proxy.registry.drains
         if (
             isinstance(request, Drain)
             and not (was_drained or request.even_last)
@@ -428,7 +428,7 @@
                 proxy.drain(box, by, request.action)
             else:
                 proxy.undrain(box, by)
-        except RosterError as error:
+        except EndpointRegistryError as error:
             raise Refused("unknown-box" if "no box" in str(error) else "too-many", str(error)) from None
         changed = was_drained is not isinstance(request, Drain)
         result = self._result(request.action, do, box, by, changed, False)
@@ -452,7 +452,7 @@
     def _left(self, box: str) -> int:
         """Requests that the box still has."""
         proxy = self._proxy_of(box)
-        entry = proxy.roster.entry(box)
+        entry = proxy.registry.entry(box)
         number = entry.listed.endpoint_id if entry is not None else -1
         return sum(view.in_flight + view.streams for view in proxy.balancer.look(0, [number]))
 
@@ -507,7 +507,7 @@
             self.tried_at = asyncio.get_running_loop().time()
             assert self.proxy is not None
             try:
-                await asyncio.to_thread(keeper.save, list(self.proxy.roster.drains.values()))
+                await asyncio.to_thread(keeper.save, list(self.proxy.registry.drains.values()))
             except OSError as error:
                 return error.strerror or str(error) or "the disk refused"
             return ""
--- a/badgergap/cli/web.py
+++ b/badgergap/cli/web.py
@@ -13,7 +13,7 @@
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.pools import Feeder, PoolPlan
+from badgergap.proxy.pools import PoolComponent, PoolPlan
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.proxy import Observer
 from badgergap.site import Site, SiteRoom
@@ -41,8 +41,8 @@
     for pool in setup.site.pools:
         feed_tls(setup, pool)  # so that a mistake shows at the start
 
-    def feed(pool: PoolTable) -> list[Feeder]:
-        feeders: list[Feeder] = [SiteRoom(lambda: setup.site, None, str(pool.name))]
+    def feed(pool: PoolTable) -> list[PoolComponent]:
+        feeders: list[PoolComponent] = [SiteRoom(lambda: setup.site, None, str(pool.name))]
         if pool.etcd_prefix is not None and setup.site.etcd is not None:
             table = msgspec.structs.replace(setup.site.etcd, prefix=pool.etcd_prefix)
             feeders.append(etcd_room(table, setup.path.parent, environ))
@@ -56,8 +56,8 @@
             PoolPlan(
                 name=str(pool.name),
                 config=pool_config(config, pool),
-                feed=partial(feed, pool),
-                same=(pool, site.etcd if pool.etcd_prefix is not None else None),
+                make_components=partial(feed, pool),
+                identity=(pool, site.etcd if pool.etcd_prefix is not None else None),
                 weight=pool.weight,
             )
             for pool in site.pools
@@ -79,7 +79,7 @@
     return Joins(loop)
 
 
-def feed_tls(setup: Setup, pool: PoolTable) -> list[Feeder]:
+def feed_tls(setup: Setup, pool: PoolTable) -> list[PoolComponent]:
     """TLS to a pool's boxes, if it is so. Raises ConfigError."""
     if pool.ca is None:
         return []
--- a/badgergap/consensus/endpoint_list_source.py
+++ b/badgergap/consensus/endpoint_list_source.py
@@ -12,7 +12,7 @@
 from badgergap.consensus.endpoint_lists import Hosts, Listed
 from badgergap.consensus.replicated_state import Outcome, Publish, Whole
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.sources import Entry, News, host_id
+from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate, endpoint_id_of
 from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, EndpointStatus
 
 log = logging.getLogger(__name__)
@@ -55,15 +55,15 @@
         zones, kinds = proxy.config.names.zones, proxy.config.names.kinds
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
-        proxy.instead = self._hears
-        proxy.follows = self._may_follow
+        proxy.intercept_update = self._hears
+        proxy.may_follow = self._may_follow
 
     # The source
 
     def _may_follow(self, source: str) -> bool:
         return source != self.source or self.follows
 
-    def _hears(self, source: str, news: News) -> bool:
+    def _hears(self, source: str, news: EndpointUpdate) -> bool:
         """What the source says is for the group; its failures are for the decisions, which ask it again."""
         if source != self.source:
             return False
@@ -116,7 +116,7 @@
             now = asyncio.get_running_loop().time()
             if self.agreed and now - self.fresh_at > FRESH_S and not self.orphan:
                 self.fresh_at = now
-                self.proxy.heard(self.source, News(EndpointListKind.DELTA))
+                self.proxy.apply_update(self.source, EndpointUpdate(EndpointListKind.DELTA))
             await asyncio.sleep(TICK_S)
 
     async def _propose(self) -> None:
@@ -145,14 +145,14 @@
     def _tell(self, hosts: Hosts) -> None:
         if hosts != self.told:
             self.told = dict(hosts)
-            self.proxy.heard(
-                self.source, News(EndpointListKind.FULL, tuple(map(self._entry, hosts.values())))
+            self.proxy.apply_update(
+                self.source, EndpointUpdate(EndpointListKind.FULL, tuple(map(self._entry, hosts.values())))
             )
 
     def _entry(self, host: Listed) -> Entry:
         at, _, port = host.address.rpartition(":")
         server = ListedEndpoint(
-            host_id(host.name),
+            endpoint_id_of(host.name),
             EndpointStatus.DRAINING if host.out else EndpointStatus.READY,
             host.weight,
             self.zones.setdefault(host.zone, len(self.zones)) if host.zone else 0,
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -39,7 +39,7 @@
 )
 from badgergap.proxy.lifecycle.config import Address, Config, ConfigError
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain, RosterError
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain, EndpointRegistryError
 from badgergap.proxy.lifecycle.process import Again
 from badgergap.proxy.pools import proxy_of
 from badgergap.storage.record_format import Unusable
@@ -153,9 +153,9 @@
 
     def join(self, proxy: Proxy) -> None:
         self.proxy = proxy
-        proxy.act_by(self.acting)
-        proxy.put_back = self._may_put_back
-        proxy.by_hand.append(self._by_hand)
+        proxy.set_epoch_source(self.acting)
+        proxy.may_undrain = self._may_put_back
+        proxy.manual_drain_listeners.append(self._by_hand)
         dynamic = [source.name for source in proxy.sources.values() if source.dynamic]
         if self.options.one_list and dynamic:
             self.following = Following(proxy, dynamic[0], self, clock_us, self._say)
@@ -461,21 +461,21 @@
         out = {**self.heard.out, **self.acting_on.out}
         if self.following is not None:
             self.following.hear(self.acting_on, self.heard)
-        drains = self.main.roster.drains
+        drains = self.main.registry.drains
         for name, by in out.items():
             if name not in drains:
                 proxy = proxy_of(self.proxies().values(), name)
                 try:
                     proxy.drain(name, by)
-                except RosterError:
+                except EndpointRegistryError:
                     # Nobody names it yet: it is out as soon as somebody does.
                     if len(drains) < DRAIN_LIMIT:
-                        drains[name] = HandDrain(name, by, proxy.clock.now_us())
+                        drains[name] = ManualDrain(name, by, proxy.clock.now_us())
         for name in list(drains):
             if name not in out and name not in self.going_out:
                 try:
                     proxy_of(self.proxies().values(), name).undrain(name, GROUP)
-                except RosterError:
+                except EndpointRegistryError:
                     drains.pop(name, None)
 
     def _may_put_back(self, name: str, by: str) -> bool:
@@ -483,7 +483,7 @@
         if by == GROUP:
             return True
         waiting = self.going_out.get(name)
-        if waiting is None and name not in self.main.roster.drains:
+        if waiting is None and name not in self.main.registry.drains:
             return True
         self._spawn(self._agree(name, "back", by, None))
         if waiting is None:
--- a/badgergap/etcd/hosts.py
+++ b/badgergap/etcd/hosts.py
@@ -13,7 +13,7 @@
 
 from badgergap.etcd.follow import Change
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
-from badgergap.proxy.endpoints.sources import Entry, News
+from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate
 from badgergap.balancing.interface import EndpointListKind, EndpointStatus
 
 SLICE = 25  # hosts that one piece of news names, of those that may wait
@@ -104,10 +104,10 @@
         self.problems[key] = problem
         return [f"the value of {key!r} cannot be read ({problem}): its last good state stands"]
 
-    def next_slice(self) -> News | None:
+    def next_slice(self) -> EndpointUpdate | None:
         """Some of what is not told yet, the urgent first; None if all is."""
         for table, most in ((self.urgent, URGENT_SLICE), (self.waiting, SLICE)):
             names = list(islice(table, most))
             if names:
-                return News(EndpointListKind.DELTA, tuple(table.pop(name) for name in names))
+                return EndpointUpdate(EndpointListKind.DELTA, tuple(table.pop(name) for name in names))
         return None
--- a/badgergap/etcd/source.py
+++ b/badgergap/etcd/source.py
@@ -33,7 +33,7 @@
 from badgergap.etcd.values import Places
 from badgergap.proxy.lifecycle.config import Address, Config
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.sources import News, Tell as TellNews
+from badgergap.proxy.endpoints.sources import EndpointUpdate, OnUpdate
 from badgergap.balancing.interface import EndpointListKind
 
 log = logging.getLogger(__name__)
@@ -62,7 +62,7 @@
         loop: asyncio.AbstractEventLoop,
         now_us: Callable[[], int],
         places: Places,
-        news: TellNews,
+        news: OnUpdate,
     ) -> None:
         self.options = options
         self.loop = loop
@@ -126,16 +126,16 @@
                 case Shout():
                     log.error("etcd: %s", action.text)
         if isinstance(event, Watched) and not event.changes:
-            self.news(News(EndpointListKind.DELTA))  # a word, though nothing has changed
+            self.news(EndpointUpdate(EndpointListKind.DELTA))  # a word, though nothing has changed
 
     def _trust(self, action: Trust) -> None:
         self.trouble = action.why
         if action.current:
             log.info("etcd: followed at revision %d", self.follower.revision)
-            self.news(News(EndpointListKind.DELTA))
+            self.news(EndpointUpdate(EndpointListKind.DELTA))
         else:
             log.warning("etcd: %s; the last list stands", action.why)
-            self.news(News(EndpointListKind.ERROR))
+            self.news(EndpointUpdate(EndpointListKind.ERROR))
 
     def tell_slice(self) -> None:
         """A slice now, and the rest in further turns of the loop: requests go on in between."""
@@ -188,7 +188,11 @@
             proxy.settings.zone,
         )
         self.source = EtcdSource(
-            self.options, proxy.loop, proxy.clock.now_us, places, partial(proxy.hear, EtcdSource.name)
+            self.options,
+            proxy.loop,
+            proxy.clock.now_us,
+            places,
+            partial(proxy.receive_update, EtcdSource.name),
         )
         proxy.add_source(self.source)
 
--- a/badgergap/etcd/values.py
+++ b/badgergap/etcd/values.py
@@ -21,7 +21,7 @@
 
 from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy.endpoints.discovery import STATUSES
-from badgergap.proxy.endpoints.sources import Entry, host_id
+from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
 from badgergap.balancing.interface import ListedEndpoint
 
 VALUE_LIMIT = 64 * 1024  # bytes of a value
@@ -95,7 +95,7 @@
     if not 0 <= since_ms < 2**53:
         raise ValueProblem("since_ms is out of range")
     server = ListedEndpoint(
-        endpoint_id=host_id(name),
+        endpoint_id=endpoint_id_of(name),
         status=STATUSES[status],
         weight=weight,
         zone=places.zone(_text(fields, "zone")),
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -38,7 +38,7 @@
 from badgergap.hot_restart.listeners import Part
 from badgergap.proxy.pools import MAIN, proxy_of
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import HandDrain, RosterError
+from badgergap.proxy.endpoints.registry import ManualDrain, EndpointRegistryError
 from badgergap.proxy.lifecycle.process import Pooled, Room
 from badgergap.proxy.endpoints.sources import PLATFORM
 from badgergap.hot_restart.state_transfer import Will, WillError, list_of, read_will, whose, write_will
@@ -172,10 +172,10 @@
             for part in self.parts.values():
                 part.inherit(self.listeners, self.ready)
         kept = self.store.load() if self.store is not None else []
-        proxy.roster.restore(will.drains if will is not None else kept)
+        proxy.registry.restore(will.drains if will is not None else kept)
         if will is not None and will.lame_s is not None:
             downstream.send_away(will.lame_s)
-        proxy.by_hand.append(self.changed_by_hand)
+        proxy.manual_drain_listeners.append(self.changed_by_hand)
         downstream.on_lame.append(self.changed_lame)
 
     def teach(self) -> None:
@@ -189,7 +189,7 @@
             if proxy in self.taught or learnt is None or not servers or any(s.used for s in servers):
                 continue
             self.taught.add(proxy)
-            if will.classes and will.classes != proxy.filed.names.classes:
+            if will.classes and will.classes != proxy.latest_config.names.classes:
                 log.warning("what was learnt is not taken over: the classes are others")
                 continue
             try:
@@ -311,16 +311,16 @@
 
     def make_will(self) -> Will:
         proxy, lame = self.proxy, self.downstream.lame
-        words = proxy.roster.sources[PLATFORM].words if PLATFORM in proxy.roster.sources else {}
+        words = proxy.registry.sources[PLATFORM].records if PLATFORM in proxy.registry.sources else {}
         index = proxy.discovery.index if proxy.discovery is not None else 0
         return Will(
             offset_ns=proxy.clock.offset_ns,
             known=list_of((word.entry for word in words.values()), proxy.config.names, index),
-            drains=tuple(proxy.roster.drains.values()),
+            drains=tuple(proxy.registry.drains.values()),
             lame_s=lame.age(self.loop.time()) if lame else None,
             learnt=proxy.balancer.snapshot(),
             pools={name: p.balancer.snapshot() for name, p in self.proxies().items() if name != MAIN},
-            classes=proxy.filed.names.classes,
+            classes=proxy.latest_config.names.classes,
             hosts={name: len(p.upstream.endpoints) for name, p in self.proxies().items()},
         )
 
@@ -395,9 +395,9 @@
                 proxy.drain(name, by)
             else:
                 proxy.undrain(name, by)
-        except RosterError:
+        except EndpointRegistryError:
             if out:  # not listed here yet: it is out as soon as it is
-                self.proxy.roster.restore([HandDrain(name, by, self.proxy.clock.now_us())])
+                self.proxy.registry.restore([ManualDrain(name, by, self.proxy.clock.now_us())])
 
     def tell(self, message: dict[str, Any]) -> None:
         for link in (self.before, self.heir):
@@ -407,9 +407,9 @@
     def changed_by_hand(self, name: str, by: str, out: bool) -> None:
         self.tell({"hand": [name, by, out]})
         if self.store is not None:
-            self.disk.submit(self.save, self.store, list(self.proxy.roster.drains.values()))
+            self.disk.submit(self.save, self.store, list(self.proxy.registry.drains.values()))
 
-    def save(self, store: DrainStore, drains: list[HandDrain]) -> None:
+    def save(self, store: DrainStore, drains: list[ManualDrain]) -> None:
         try:
             store.save(drains)
         except OSError as error:
--- a/badgergap/hot_restart/state_transfer.py
+++ b/badgergap/hot_restart/state_transfer.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from badgergap.proxy.lifecycle.config import Address, Names
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain
 from badgergap.proxy.endpoints.sources import Entry
 from badgergap.balancing.interface import EndpointStatus
 
@@ -76,7 +76,7 @@
 class Will:
     offset_ns: int  # of the gateway's clock against the monotonic one
     known: dict[str, Any]  # the list of hosts, in discovery's form
-    drains: tuple[HandDrain, ...] = ()
+    drains: tuple[ManualDrain, ...] = ()
     lame_s: float | None = None  # since when clients are sent away, in seconds before the will
     learnt: dict[str, Any] | None = None  # a snapshot of the balancer's
     pools: dict[str, dict[str, Any]] = field(default_factory=dict)  # the same of further pools
@@ -142,14 +142,14 @@
     return Will(offset_ns, known, drains, lame_s, learnt, pools, tuple(classes), hosts, tuple(missing))
 
 
-def read_drain(raw: Any) -> HandDrain:
+def read_drain(raw: Any) -> ManualDrain:
     """Raises ValueError or TypeError."""
     name, by, at_us, action = raw
     if not (isinstance(name, str) and name and isinstance(by, str) and isinstance(action, str)):
         raise TypeError("no text")
     if isinstance(at_us, bool) or not isinstance(at_us, int):
         raise TypeError("no time")
-    return HandDrain(name, by, at_us, action)
+    return ManualDrain(name, by, at_us, action)
 
 
 def list_of(entries: Iterable[Entry], names: Names, index: int) -> dict[str, Any]:
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -141,9 +141,9 @@
             self.time(each)
         seat = self.take(turn, client, asked)
         self.time(seat)
-        proxy.open += 1
+        proxy.open_requests += 1
         if self.turn.request is not None:
-            proxy.join(self.turn.request, self.way.answer_us)
+            proxy.coalesce(self.turn.request, self.way.answer_us)
         self.run(self.group.join(seat.number))
 
     def drop(self, seat: Seat) -> None:
@@ -153,7 +153,7 @@
         if seat.timer is not None:
             seat.timer.cancel()
         if not seat.first:
-            self.way.proxy.open -= 1
+            self.way.proxy.open_requests -= 1
         seat.turn.joined = None
         if not self.seats:
             self.joins.forget(self)
@@ -307,7 +307,7 @@
             if len(shared.seats) >= MEMBERS:
                 self.counts[FULL] += 1
                 return False
-            if not way.proxy.has_room():
+            if not way.proxy.has_capacity():
                 client.answer(refused("too many requests"))
                 return True
             self.counts[JOINED] += 1
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -201,7 +201,7 @@
         elif self.joined is not None:
             self.joined.leave()
         elif self.request is not None and self.way is not None:
-            self.way.proxy.leave(self.request)
+            self.way.proxy.client_left(self.request)
 
     def is_out_of_time(self, now: float, quiet_s: float | None = None) -> bool:
         """Look at the box's times, and whether the route's time for the whole is over.
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -18,7 +18,7 @@
 from badgergap.proxy.downstream.client_connection import Downstream
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import RosterError
+from badgergap.proxy.endpoints.registry import EndpointRegistryError
 
 log = logging.getLogger(__name__)
 
@@ -151,13 +151,13 @@
 
     def by_hand(self, name: str, out: bool) -> str:
         proxy = proxy_of(self.proxies(), name)
-        was = name in proxy.roster.drains
+        was = name in proxy.registry.drains
         try:
             if out:
                 proxy.drain(name, BY)
             else:
                 proxy.undrain(name, BY)
-        except RosterError as error:
+        except EndpointRegistryError as error:
             raise CallError(str(error)) from None
         if was is out:
             return f"{name} was {'out' if out else 'in'} already"
@@ -171,13 +171,13 @@
         if self.downstream.draining:
             raise CallError("this process ends and takes no clients")
         main, *_ = proxies = self.proxies()
-        drains, lame = main.roster.drains, self.downstream.lame
+        drains, lame = main.registry.drains, self.downstream.lame
         age = f" {lame.age(self.downstream.loop.time()):.0f} s ago" if lame else ""
         words = [
             f"{main.config.name} (process {os.getpid()})",
             f"was told to send clients away{age}" if lame else "takes clients",
-            f"{sum(proxy.roster.hosts for proxy in proxies)} hosts, {len(drains)} out by hand",
-            f"{sum(proxy.open for proxy in proxies)} requests open",
+            f"{sum(proxy.registry.endpoint_count for proxy in proxies)} hosts, {len(drains)} out by hand",
+            f"{sum(proxy.open_requests for proxy in proxies)} requests open",
             f"{len(self.downstream.connections)} connections",
         ]
         return ", ".join(words)
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -301,7 +301,7 @@
             source, current.source = current.source, None
             source.client_left()
         elif request is not None:
-            self.server.proxy.leave(request)
+            self.server.proxy.client_left(request)
 
     def lose_framing(self, refusal: BadRequest) -> None:
         """Where the next request begins is unknown: answer this one in its turn, then close."""
@@ -399,7 +399,7 @@
         if not incoming.upload.complete:
             incoming.upload.end([])
             if incoming is self.current and self.request is not None:
-                self.server.proxy.body_came(self.request)
+                self.server.proxy.on_body_complete(self.request)
         self.queue(incoming)
         if not incoming.keep_alive:
             self.closing = True
--- a/badgergap/proxy/endpoints/discovery.py
+++ b/badgergap/proxy/endpoints/discovery.py
@@ -12,19 +12,19 @@
 import httptools
 
 from badgergap.proxy.lifecycle.config import Address, ConfigError, Names, parse_address
-from badgergap.proxy.endpoints.sources import PLATFORM, Entry, News, Tell, host_id
+from badgergap.proxy.endpoints.sources import PLATFORM, Entry, EndpointUpdate, OnUpdate, endpoint_id_of
 from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, EndpointStatus
 
 log = logging.getLogger(__name__)
 
 PATH = "/registry/instances"
 # A watch sends a line every 2 s. Guards against one that is open and says nothing more, as when the machine
-# at its other end has vanished: the list would go stale unseen. Discovery's news counts as told 6 s late at
+# at its other end has vanished: the list would go stale unseen. A change counts as announced 6 s late at
 # the latest, and by then the next call should have been answered.
 SILENCE_S = 3.5
 CONNECT_S = 1.0
-# After a move news counts as told within 4 s: until the new service has answered once, or for MOVE_S, calls
-# that fail are made again here, so that the balancer's growing waits do not add up to more than that.
+# After a move changes count as announced within 4 s: until the new service has answered once, or for MOVE_S,
+# calls that fail are made again here, so that the balancer's growing waits do not add up to more than that.
 MOVE_RETRY_S = 0.2
 MOVE_S = 10.0
 MOVE_ANSWER_S = 1.5  # the same for a new service that takes a call and says nothing to it
@@ -48,7 +48,7 @@
         if not isinstance(raw["name"], str) or not raw["name"]:
             raise ValueError("name is no text")
         server = ListedEndpoint(
-            endpoint_id=host_id(raw["name"]),
+            endpoint_id=endpoint_id_of(raw["name"]),
             status=STATUSES[raw["status"]],
             weight=weight,
             zone=names.zones.index(raw["zone"]) if names.zones else 0,
@@ -63,7 +63,7 @@
         raise ValueError(str(error)) from None
 
 
-def parse_list(raw: Any, names: Names, full: EndpointListKind = EndpointListKind.FULL) -> News:
+def parse_list(raw: Any, names: Names, full: EndpointListKind = EndpointListKind.FULL) -> EndpointUpdate:
     """One message of discovery. An entry that cannot be read is named in the log and left out."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
         raise ValueError("a list without endpoints")
@@ -73,17 +73,17 @@
             entries.append(parse_entry(item, names))
         except (ValueError, ConfigError) as error:
             log.warning("skipped a list entry: %s: %.200r", error, item)
-    return News(full if raw.get("snapshot", True) else EndpointListKind.DELTA, tuple(entries))
+    return EndpointUpdate(full if raw.get("snapshot", True) else EndpointListKind.DELTA, tuple(entries))
 
 
-class Messages:
+class MessageSplitter:
     """Cuts what a watch says into messages: one a line, or indented over several lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []  # of a message that is not whole
         self.depth = 0  # brackets of it that are open
 
-    def take(self, line: bytes) -> bytes | None:
+    def add_line(self, line: bytes) -> bytes | None:
         """The message that this line ends, if it ends one. Raises ValueError for what can be none.
 
         An empty line is a sign of life. Guards against one in the midst of a message: that will never be
@@ -103,7 +103,7 @@
         return message
 
 
-class Call(asyncio.Protocol):
+class DiscoveryCall(asyncio.Protocol):
     """One call to discovery: a watch that goes on, or the whole list once."""
 
     def __init__(self, discovery: Discovery, target: str, watch: bool) -> None:
@@ -114,8 +114,8 @@
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.messages = Messages()
-        self.kept = 0  # bytes of a message that is not whole
+        self.messages = MessageSplitter()
+        self.partial_bytes = 0  # bytes of a message that is not whole
         self.over = False
         self.silent = False  # that is why it is over
         self.answered = False  # it has said something of the list, or that there is nothing new
@@ -136,9 +136,9 @@
             return
         host, port = self.address
         self.transport.write(f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-        self.heard()
+        self.restart_silence_timer()
 
-    def heard(self) -> None:
+    def restart_silence_timer(self) -> None:
         if self.silence is not None:
             self.silence.cancel()
         moved = self.watch and not self.answered and self.discovery.moving_until
@@ -154,7 +154,7 @@
         except httptools.HttpParserError as error:
             self.fail(f"malformed answer: {error}")
         if not self.over:
-            self.heard()  # by what it has just said: a new service's first word has a time of its own
+            self.restart_silence_timer()  # with the limit that holds after this answer
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.fail("connection lost")
@@ -169,7 +169,7 @@
             return
         self.buffer += body
         self.answered = True
-        if len(self.buffer) + self.kept > LINE_LIMIT:
+        if len(self.buffer) + self.partial_bytes > LINE_LIMIT:
             self.fail("a line too long")
         elif self.watch:
             *lines, rest = self.buffer.split(b"\n")
@@ -186,22 +186,22 @@
         else:
             self.end()
             if not self.read(bytes(self.buffer)):
-                self.discovery.failed(self)
+                self.discovery.on_call_failed(self)
 
     def read_line(self, line: bytes) -> None:
         try:
-            message = self.messages.take(line)
+            message = self.messages.add_line(line)
         except ValueError as error:
             log.warning("skipped what discovery said: %s", error)
-            self.discovery.spoilt(self)
+            self.discovery.on_unreadable(self)
             message = None
-        self.kept = sum(map(len, self.messages.lines))
+        self.partial_bytes = sum(map(len, self.messages.lines))
         if message is not None and not self.read(message):
-            self.discovery.spoilt(self)
+            self.discovery.on_unreadable(self)
 
     def read(self, text: bytes) -> bool:
         try:
-            self.discovery.told(json.loads(text), self)
+            self.discovery.on_list(json.loads(text), self)
         except (ValueError, RecursionError) as error:
             log.warning("skipped what discovery said: %s: %.200r", error, text)
             return False
@@ -219,11 +219,11 @@
             return
         self.end()
         log.info("discovery: %s", why)
-        self.discovery.failed(self)
+        self.discovery.on_call_failed(self)
 
 
 class Discovery:
-    """A source of hosts. Carries out the balancer's calls; `news` gets each answer, in order."""
+    """A source of hosts. Carries out the balancer's calls; `on_update` receives each answer, in order."""
 
     name, rank, dynamic, fallback = PLATFORM, 0, True, False
 
@@ -234,35 +234,39 @@
         names: Names,
         pushed: bool,
         known: dict[str, Any],
-        news: Tell,
+        on_update: OnUpdate,
     ) -> None:
         self.loop = loop
         self.address = address
         self.names = names
         self.pushed = pushed
-        self.known = known  # the list as last held, to begin with
-        self.news = news
+        self.initial_list = known  # the list as last held, to begin with
+        self.on_update = on_update
         self.index = 0
-        self.current: Call | None = None  # the watch
-        self.fading: Call | None = None  # the watch on the service before, until the new one has answered
+        self.current_watch: DiscoveryCall | None = None  # the watch
+        self.previous_watch: DiscoveryCall | None = (
+            None  # the watch on the service before, until the new one has answered
+        )
         self.moving_until = 0.0  # loop time; 0 once the new service has answered
-        self.fetches: set[Call] = set()
-        self.spoils = 0  # answers in a row that could not be read whole
+        self.fetches: set[DiscoveryCall] = set()
+        self.unreadable_count = 0  # answers in a row that could not be read whole
         self.failures = 0  # of a pushed list: watches in a row that have ended with nothing said
         self.closed = False
         self.current_at = 0.0  # loop time from which the list counts as that of now
 
     def start(self) -> None:
         """Begin with the list as last held; a pushed list comes without being asked for."""
-        known, self.known = self.known, {}
+        known, self.initial_list = self.initial_list, {}
         self.index = _index(known)
-        self.news(parse_list({"endpoints": [], **known, "snapshot": True}, self.names, EndpointListKind.DISK))
+        self.on_update(
+            parse_list({"endpoints": [], **known, "snapshot": True}, self.names, EndpointListKind.DISK)
+        )
         if self.pushed:
             self.current_at = self.loop.time() + FIRST_S
             self.watch(True)
 
     def watch(self, on: bool) -> None:
-        if on and self.moving_until and self.current is not None:
+        if on and self.moving_until and self.current_watch is not None:
             return  # opened at the move, and still to be answered
         self.stop_watch()
         if on:
@@ -271,25 +275,26 @@
             self.moving_until = 0.0
 
     def open_watch(self) -> None:
-        self.current = Call(self, f"{PATH}?stream=1&index={self.index}", watch=True)
+        self.current_watch = DiscoveryCall(self, f"{PATH}?stream=1&index={self.index}", watch=True)
 
     def stop_watch(self) -> None:
-        for call in (self.current, self.fading):
+        for call in (self.current_watch, self.previous_watch):
             if call is not None:
                 call.end()
-        self.current = self.fading = None
+        self.current_watch = self.previous_watch = None
 
     def move(self, address: Address) -> None:
         """Discovery is elsewhere now: ask there at once for everything, and hear the old one out meanwhile.
 
-        Guards against a gap in the news: the old service goes on for a moment, the new one may come up late.
+        Guards against a gap in the updates: the old service goes on for a moment, the new one may come up
+        late.
         Version numbers of the one need mean nothing to the other.
         """
-        heard = self.current if self.moving_until == 0.0 else self.fading
-        if heard is not self.current and self.current is not None:
-            self.current.end()  # a second move before the first was answered
+        heard = self.current_watch if self.moving_until == 0.0 else self.previous_watch
+        if heard is not self.current_watch and self.current_watch is not None:
+            self.current_watch.end()  # a second move before the first was answered
         self.address, self.index = address, 0
-        self.fading, self.moving_until = heard, self.loop.time() + MOVE_S
+        self.previous_watch, self.moving_until = heard, self.loop.time() + MOVE_S
         for call in self.fetches:
             call.end()
         if self.fetches:
@@ -298,58 +303,58 @@
         self.open_watch()
 
     def reopen(self) -> None:
-        if self.moving_until and self.current is None:
+        if self.moving_until and self.current_watch is None:
             self.open_watch()
 
     def fetch(self) -> None:
-        self.fetches.add(Call(self, PATH, watch=False))
+        self.fetches.add(DiscoveryCall(self, PATH, watch=False))
 
-    def told(self, raw: Any, call: Call) -> None:
-        news = parse_list(raw, self.names)
-        whole = len(news.entries) == len(raw["endpoints"])
+    def on_list(self, raw: Any, call: DiscoveryCall) -> None:
+        update = parse_list(raw, self.names)
+        whole = len(update.entries) == len(raw["endpoints"])
         if call.watch:
             self.failures, self.current_at = 0, 0.0
-        if call is self.current and (self.moving_until or self.fading is not None):
+        if call is self.current_watch and (self.moving_until or self.previous_watch is not None):
             self.moving_until = 0.0
-            if self.fading is not None:
-                self.fading.end()
-                self.fading = None
+            if self.previous_watch is not None:
+                self.previous_watch.end()
+                self.previous_watch = None
         self.fetches = {call for call in self.fetches if not call.over}
-        if whole and call is self.current:
-            self.spoils = 0
-        if call is not self.fading and (whole or self.spoils >= SPOILT_MOST):
+        if whole and call is self.current_watch:
+            self.unreadable_count = 0
+        if call is not self.previous_watch and (whole or self.unreadable_count >= SPOILT_MOST):
             self.index = _index(raw)
-        self.news(news)
+        self.on_update(update)
         if not whole:
-            self.spoilt(call)
+            self.on_unreadable(call)
 
-    def spoilt(self, call: Call) -> None:
+    def on_unreadable(self, call: DiscoveryCall) -> None:
         """Something was said that cannot be read: ask for it again, and hear this watch out meanwhile.
 
-        Guards against news that the number of the next version would hide: it would never be told again.
+        Guards against updates that the next version's number would hide: they would never be sent again.
         A second time the whole list is asked for; what still cannot be read then is left to `SPOILT_MOST`.
         """
-        if call is not self.current or self.spoils >= SPOILT_MOST:
+        if call is not self.current_watch or self.unreadable_count >= SPOILT_MOST:
             return
         if self.moving_until:
             call.fail("what a new service said first could not be read")  # it is asked again soon
             return
-        self.spoils += 1
-        if self.spoils > 1:
+        self.unreadable_count += 1
+        if self.unreadable_count > 1:
             self.index = 0
-        if self.fading is not None:
-            self.fading.end()
+        if self.previous_watch is not None:
+            self.previous_watch.end()
         log.info("discovery: what could not be read is asked for again")
-        self.fading = call
+        self.previous_watch = call
         self.open_watch()
 
-    def failed(self, call: Call) -> None:
+    def on_call_failed(self, call: DiscoveryCall) -> None:
         self.fetches.discard(call)
-        if call is self.fading:  # its service has moved: no error
-            self.fading = None
+        if call is self.previous_watch:  # its service has moved: no error
+            self.previous_watch = None
             return
-        if call is self.current:
-            self.current = None
+        if call is self.current_watch:
+            self.current_watch = None
             if self.moving_until > self.loop.time():
                 self.loop.call_later(MOVE_RETRY_S, self.reopen)
                 return
@@ -364,10 +369,10 @@
                 # which grows with the time that the settings give for asking, may come on top.
                 self.open_watch()
                 return
-        self.news(News(EndpointListKind.ERROR))
+        self.on_update(EndpointUpdate(EndpointListKind.ERROR))
 
     def reopen_pushed(self) -> None:
-        if self.current is None and not self.closed:
+        if self.current_watch is None and not self.closed:
             self.open_watch()
 
     @property
--- a/badgergap/proxy/endpoints/manual_drains.py
+++ b/badgergap/proxy/endpoints/manual_drains.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
         self.path = folder / FILE
         self.untouchable = False  # the file is of a later version: not overwritten
 
-    def load(self) -> list[HandDrain]:
+    def load(self) -> list[ManualDrain]:
         try:
             with self.path.open("rb") as file:
                 data = file.read(SIZE_LIMIT + 1)
@@ -59,7 +59,7 @@
         except OSError as failed:
             log.warning("%s cannot be set aside: %s", self.path, failed.strerror)
 
-    def save(self, drains: Iterable[HandDrain]) -> None:
+    def save(self, drains: Iterable[ManualDrain]) -> None:
         """Blocks for as long as the disk takes: not for the event loop. Raises OSError."""
         if self.untouchable:
             raise OSError(None, "the file there is of a later version")
@@ -83,7 +83,7 @@
     return zlib.crc32(json.dumps(items, sort_keys=True).encode())
 
 
-def _drain(item: dict[str, Any]) -> HandDrain:
+def _drain(item: dict[str, Any]) -> ManualDrain:
     if not isinstance(item["box"], str) or not isinstance(item["by"], str):
         raise TypeError("no text")
-    return HandDrain(item["box"], item["by"], int(item["at_us"]), str(item["action"]))
+    return ManualDrain(item["box"], item["by"], int(item["at_us"]), str(item["action"]))
--- a/badgergap/proxy/endpoints/registry.py
+++ b/badgergap/proxy/endpoints/registry.py
@@ -10,7 +10,7 @@
    whatever start time or address, until it is undone by hand. It never brings a host back that is gone.
 4. What a fallback source names counts only until a dynamic source has said something useful. Then its hosts
    are gone, but for those that another source names.
-5. What goes on to the balancer keeps the kind of the news that caused it: a whole list stays a whole list
+5. What goes on to the balancer keeps the kind of the update that caused it: a whole list stays a whole list
    (of all that is known), a change names what changed.
 """
 
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from badgergap.proxy.endpoints.sources import Entry, News
+from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate
 from badgergap.balancing.interface import EndpointListKind, EndpointStatus
 
 # Names a dynamic source has said are gone. Beyond it the oldest are forgotten: a weaker source that still
@@ -29,12 +29,12 @@
 DRAIN_LIMIT = 1024
 
 
-class RosterError(ValueError):
+class EndpointRegistryError(ValueError):
     """What was asked by hand cannot be done; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class EndpointRecord:
     """What one source said last of one host. `at_us`: microseconds of the gateway's clock."""
 
     entry: Entry
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandDrain:
+class ManualDrain:
     """A drain by hand: whose wish, when (microseconds of the gateway's clock), under which action id."""
 
     name: str
@@ -63,17 +63,17 @@
     rank: int
     dynamic: bool
     fallback: bool = False
-    heard_us: int = 0
+    last_update_us: int = 0
     failing_since_us: int = 0
-    words: dict[str, Word] = field(default_factory=dict)
+    records: dict[str, EndpointRecord] = field(default_factory=dict)
     gone: set[str] = field(default_factory=set)  # the names among them that are gone
 
     @property
-    def hosts(self) -> int:
-        return len(self.words) - len(self.gone)
+    def endpoint_count(self) -> int:
+        return len(self.records) - len(self.gone)
 
-    def hear(self, words: dict[str, Word]) -> None:
-        self.words.update(words)
+    def record(self, words: dict[str, EndpointRecord]) -> None:
+        self.records.update(words)
         for name, word in words.items():
             if word.gone:
                 self.gone.add(name)
@@ -81,24 +81,24 @@
                 self.gone.discard(name)
 
     def forget(self, name: str) -> None:
-        del self.words[name]
+        del self.records[name]
         self.gone.discard(name)
 
 
 @dataclass(frozen=True, slots=True)
-class HostView:
+class MergedEndpoint:
     """One host as merged. `said`: each source that has spoken of it, its status there, and when."""
 
     entry: Entry
     source: str
-    said: tuple[tuple[str, EndpointStatus, int], ...]
-    drain: HandDrain | None
+    statements: tuple[tuple[str, EndpointStatus, int], ...]
+    drain: ManualDrain | None
 
 
-class Roster:
+class EndpointRegistry:
     def __init__(self) -> None:
         self.sources: dict[str, SourceState] = {}
-        self.drains: dict[str, HandDrain] = {}
+        self.drains: dict[str, ManualDrain] = {}
 
     def add_source(self, name: str, rank: int, dynamic: bool, fallback: bool = False) -> None:
         self.sources[name] = SourceState(name, rank, dynamic, fallback)
@@ -106,83 +106,89 @@
 
     # What sources say
 
-    def hear(self, now_us: int, source: str, news: News) -> News:
+    def receive(self, now_us: int, source: str, update: EndpointUpdate) -> EndpointUpdate:
         """Take what a source says; returns what the balancer and the upstream are to be told."""
         state = self.sources[source]
-        if news.kind is EndpointListKind.ERROR:
+        if update.kind is EndpointListKind.ERROR:
             state.failing_since_us = state.failing_since_us or now_us
-            return news
-        ends_fallback = state.dynamic and not self._taken_over()
-        state.heard_us, state.failing_since_us = now_us, 0
-        named = {entry.name: Word(entry, now_us) for entry in news.entries}
-        if news.kind is not EndpointListKind.DELTA:
-            self._miss(state, named, now_us)
-        state.hear(named)
-        self._bound(state)
+            return update
+        ends_fallback = state.dynamic and not self._is_fallback_replaced()
+        state.last_update_us, state.failing_since_us = now_us, 0
+        named = {entry.name: EndpointRecord(entry, now_us) for entry in update.entries}
+        if update.kind is not EndpointListKind.DELTA:
+            self._apply_absences(state, named, now_us)
+        state.record(named)
+        self._trim_gone(state)
         if len(self.sources) == 1 and not self.drains:
-            return news  # nothing to merge: as the source said it
-        if news.kind is EndpointListKind.DELTA:
-            replaced = [n for s in self.sources.values() if s.fallback and ends_fallback for n in s.words]
-            return News(
-                news.kind, (*self._merged(named), *self._merged(n for n in replaced if n not in named))
+            return update  # nothing to merge: as the source said it
+        if update.kind is EndpointListKind.DELTA:
+            replaced = [n for s in self.sources.values() if s.fallback and ends_fallback for n in s.records]
+            return EndpointUpdate(
+                update.kind, (*self._merged(named), *self._merged(n for n in replaced if n not in named))
             )
-        return News(news.kind, self._listed())
+        return EndpointUpdate(update.kind, self._listed())
 
-    def _taken_over(self) -> bool:
+    def _is_fallback_replaced(self) -> bool:
         """Whether a dynamic source has spoken, so that fallback sources no longer count."""
-        return any(state.dynamic and state.heard_us for state in self.sources.values())
+        return any(state.dynamic and state.last_update_us for state in self.sources.values())
 
-    def _words(self, name: str) -> list[tuple[SourceState, Word]]:
+    def _records_of(self, name: str) -> list[tuple[SourceState, EndpointRecord]]:
         """Who speaks of a host, the strongest first; a fallback that no longer counts calls it gone."""
         words = []
         for state in self.sources.values():
-            word = state.words.get(name)
+            word = state.records.get(name)
             if word is None:
                 continue
-            if state.fallback and self._taken_over():
-                word = Word(_with_status(word.entry, EndpointStatus.GONE), word.at_us)
+            if state.fallback and self._is_fallback_replaced():
+                word = EndpointRecord(_with_status(word.entry, EndpointStatus.GONE), word.at_us)
             words.append((state, word))
         return words
 
-    def _miss(self, state: SourceState, named: dict[str, Word], now_us: int) -> None:
+    def _apply_absences(self, state: SourceState, named: dict[str, EndpointRecord], now_us: int) -> None:
         """A whole list has come: what it lacks is gone, or for a static source no longer spoken of."""
-        for name in state.words.keys() - named.keys():
+        for name in state.records.keys() - named.keys():
             if not state.dynamic:
                 state.forget(name)
             elif name not in state.gone:
-                entry = _with_status(state.words[name].entry, EndpointStatus.GONE)
-                state.hear({name: Word(entry, now_us)})
+                entry = _with_status(state.records[name].entry, EndpointStatus.GONE)
+                state.record({name: EndpointRecord(entry, now_us)})
 
-    def _bound(self, state: SourceState) -> None:
+    def _trim_gone(self, state: SourceState) -> None:
         excess = len(state.gone) - GONE_LIMIT
         if excess > 0:
-            for name in sorted(state.gone, key=lambda name: (state.words[name].at_us, name))[:excess]:
+            for name in sorted(state.gone, key=lambda name: (state.records[name].at_us, name))[:excess]:
                 state.forget(name)
 
     # By hand
 
-    def drain(self, now_us: int, name: str, by: str, action: str = "") -> News:
-        """Drain a host by hand. A host that is drained already keeps its first drain. Raises RosterError."""
+    def drain(self, now_us: int, name: str, by: str, action: str = "") -> EndpointUpdate:
+        """Drain a host by hand; one that is drained already keeps its first drain.
+
+        Raises EndpointRegistryError for an unknown host, and beyond DRAIN_LIMIT.
+        """
         if name not in self.drains:
             entry = self.entry(name)
             if entry is None or entry.listed.status is EndpointStatus.GONE:
-                raise RosterError(f"no box is called {name!r}")
+                raise EndpointRegistryError(f"no box is called {name!r}")
             if len(self.drains) >= DRAIN_LIMIT:
-                raise RosterError(f"more than {DRAIN_LIMIT} boxes are drained by hand")
-            self.drains[name] = HandDrain(name, by, now_us, action)
-        return News(EndpointListKind.DELTA, self._merged((name,)))
+                raise EndpointRegistryError(f"more than {DRAIN_LIMIT} boxes are drained by hand")
+            self.drains[name] = ManualDrain(name, by, now_us, action)
+        return EndpointUpdate(EndpointListKind.DELTA, self._merged((name,)))
 
-    def undrain(self, name: str) -> News:
-        """Undo a drain by hand, also of a host that no source names any more. Raises RosterError."""
+    def undrain(self, name: str) -> EndpointUpdate:
+        """Undo a drain by hand, also of a host that no source names any more.
+
+        Raises EndpointRegistryError for an unknown host.
+        """
         if name not in self.drains:
             entry = self.entry(name)
             if entry is None or entry.listed.status is EndpointStatus.GONE:
-                raise RosterError(f"no box is called {name!r}")
-            return News(EndpointListKind.DELTA)
+                raise EndpointRegistryError(f"no box is called {name!r}")
+            return EndpointUpdate(EndpointListKind.DELTA)
         del self.drains[name]
-        return News(EndpointListKind.DELTA, self._merged((name,)))
+        return EndpointUpdate(EndpointListKind.DELTA, self._merged((name,)))
 
-    def restore(self, drains: Iterable[HandDrain]) -> None:
+    def restore(self, drains: Iterable[ManualDrain]) -> None:
         """Drains kept from before, told before any source speaks. Those beyond the limit are left out."""
         for drain in list(drains)[:DRAIN_LIMIT]:
             self.drains[drain.name] = drain
@@ -191,42 +197,42 @@
 
     def entry(self, name: str) -> Entry | None:
         """The host as the balancer knows it, or None for one that no source has ever named."""
-        words = self._words(name)
+        words = self._records_of(name)
         return self._believed(name, words[0][1]) if words else None
 
-    def _believed(self, name: str, word: Word) -> Entry:
+    def _believed(self, name: str, word: EndpointRecord) -> Entry:
         entry = word.entry
         if name in self.drains and entry.listed.status is EndpointStatus.READY:
             return _with_status(entry, EndpointStatus.OUT)
         return entry
 
-    def view(self, limit: int | None = None, gone_since_us: int = 0) -> tuple[HostView, ...]:
+    def view(self, limit: int | None = None, gone_since_us: int = 0) -> tuple[MergedEndpoint, ...]:
         """Hosts as merged: at most `limit`, those drained by hand first.
 
         Of the hosts that are gone, those that the believed source has called so since `gone_since_us`.
         """
-        views: list[HostView] = []
-        named = (name for s in self.sources.values() for name in s.words)
-        for name in dict.fromkeys((*(n for n in self.drains if self._words(n)), *named)):
+        views: list[MergedEndpoint] = []
+        named = (name for s in self.sources.values() for name in s.records)
+        for name in dict.fromkeys((*(n for n in self.drains if self._records_of(n)), *named)):
             if limit is not None and len(views) >= limit:
                 break
-            words = self._words(name)
+            words = self._records_of(name)
             first = words[0][1]
             if first.gone and first.at_us < gone_since_us:
                 continue
             said = tuple((s.name, w.entry.listed.status, w.at_us) for s, w in words)
             entry = self._believed(name, first)
-            views.append(HostView(entry, said[0][0], said, self.drains.get(name)))
+            views.append(MergedEndpoint(entry, said[0][0], said, self.drains.get(name)))
         return tuple(views)
 
     @property
-    def hosts(self) -> int:
+    def endpoint_count(self) -> int:
         """How many hosts there are that are not gone."""
         there, spoken = set[str](), set[str]()
         for state in self.sources.values():
-            if not (state.fallback and self._taken_over()):
-                there |= state.words.keys() - state.gone - spoken
-                spoken |= state.words.keys()
+            if not (state.fallback and self._is_fallback_replaced()):
+                there |= state.records.keys() - state.gone - spoken
+                spoken |= state.records.keys()
         return len(there)
 
     def _merged(self, names: Iterable[str]) -> tuple[Entry, ...]:
@@ -234,7 +240,7 @@
         return tuple(entry for entry in entries if entry is not None)
 
     def _listed(self) -> tuple[Entry, ...]:
-        names = dict.fromkeys(name for s in self.sources.values() for name in s.words)
+        names = dict.fromkeys(name for s in self.sources.values() for name in s.records)
         return tuple(e for e in self._merged(names) if e.listed.status is not EndpointStatus.GONE)
 
 
--- a/badgergap/proxy/endpoints/sources.py
+++ b/badgergap/proxy/endpoints/sources.py
@@ -1,7 +1,8 @@
 """What a source of hosts says, and the protocol by which the core knows one.
 
-A source (the platform's discovery, a file, a watched store) turns its own format into `News` and hands each
-to the proxy, which merges what all of them say (`roster.py`). The core never learns what kind it is.
+A source (the platform's discovery, a file, a watched store) turns its own format into an `EndpointUpdate` and
+hands each to the proxy, which merges what all of them say (`registry.py`). The core never learns what kind it
+is.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class EndpointUpdate:
     kind: EndpointListKind
     entries: tuple[Entry, ...] = ()
 
-    def event(self) -> EndpointList:
+    def as_event(self) -> EndpointList:
         return EndpointList(self.kind, tuple(entry.listed for entry in self.entries))
 
 
-Tell = Callable[[News], None]
+OnUpdate = Callable[[EndpointUpdate], None]
 
 
-class HostSource(Protocol):
+class EndpointSource(Protocol):
     """One source of hosts.
 
     `rank` orders sources: where several speak of one host, the lowest rank that does is believed. A source
@@ -55,7 +56,7 @@
     def fallback(self) -> bool: ...
 
     def start(self) -> None:
-        """Begin to speak; the first news may come from within the call."""
+        """Begin to speak; the first update may come from within the call."""
 
     def watch(self, on: bool) -> None:
         """The balancer wants to be told of changes from now on, or no more. May do nothing."""
@@ -70,6 +71,6 @@
         """Say nothing more."""
 
 
-def host_id(name: str) -> int:
+def endpoint_id_of(name: str) -> int:
     """A number for a name that is the same at every gateway and after every restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest())
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -154,8 +154,8 @@
         if isinstance(room, Steering):
             room.steers(reloader.again)
     if config.listen is not None:
-        proxy.listens = await downstream.start(succession.listener if succession is not None else None)
-        log.info("%s listens on %s:%d", config.name, *proxy.listens)
+        proxy.client_address = await downstream.start(succession.listener if succession is not None else None)
+        log.info("%s listens on %s:%d", config.name, *proxy.client_address)
     for room in rooms:
         await room.start()
     if succession is not None:
@@ -220,8 +220,8 @@
     async def again(self, read: ReadAgain) -> None:
         """Raises ConfigError, and then nothing has changed."""
         async with self.turn:
-            config = await asyncio.to_thread(read, self.proxy.filed)
-            self.proxy.take_over(config)
+            config = await asyncio.to_thread(read, self.proxy.latest_config)
+            self.proxy.reload(config)
             if config.grows:
                 self.downstream.follow(config)
             for room in self.rooms:
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -23,7 +23,7 @@
 LEAVE_POLL_S = 0.25
 
 
-class Feeder(Protocol):
+class PoolComponent(Protocol):
     """Lets hosts into one pool: a room of the pool's own."""
 
     def join(self, proxy: Proxy) -> None:
@@ -45,8 +45,8 @@
 
     name: str
     config: Config
-    feed: Callable[[], Sequence[Feeder]]
-    same: object
+    make_components: Callable[[], Sequence[PoolComponent]]
+    identity: object
     weight: float = 1.0
 
 
@@ -54,14 +54,14 @@
 class Pool:
     plan: PoolPlan
     proxy: Proxy
-    feeders: list[Feeder] = field(default_factory=list)
+    components: list[PoolComponent] = field(default_factory=list)
 
 
 class Pools:
     def __init__(self, main: Proxy, observer: Observer | None, main_weight: float = 1.0) -> None:
         self.main, self.observer, self.main_weight = main, observer, main_weight
         self.pools: dict[str, Pool] = {}
-        self.leaving: set[Proxy] = set()
+        self.draining: set[Proxy] = set()
         self.connections = Share(main.upstream.limit)
         self.open_requests = Share(main.settings.max_open_requests)
         self.tasks: set[asyncio.Task[None]] = set()
@@ -79,32 +79,32 @@
         """The pools as they shall be from now on. Those that stay keep all that they have learnt."""
         wanted = {plan.name: plan for plan in plans}
         for name in [name for name, pool in self.pools.items() if not _stays(pool.plan, wanted.get(name))]:
-            self._spawn(self._leave(name, self.pools.pop(name)))
+            self._spawn(self._drain(name, self.pools.pop(name)))
         for name, plan in wanted.items():
             if name in self.pools:
                 self.pools[name].plan = plan
-                self.pools[name].proxy.grow(plan.config)
-                for feeder in self.pools[name].feeders:
+                self.pools[name].proxy.add_classes(plan.config)
+                for feeder in self.pools[name].components:
                     feeder.reload(config)
             else:
-                await self._begin(plan)
+                await self._start(plan)
         self.open_requests.total = config.settings.max_open_requests
         self._divide()
 
-    async def _begin(self, plan: PoolPlan) -> None:
+    async def _start(self, plan: PoolPlan) -> None:
         proxy = Proxy(plan.config, self.main.loop, self.observer)
         proxy.clock = self.main.clock
-        proxy.roster.drains = self.main.roster.drains  # by hand: of boxes, in whatever pool
-        proxy.by_hand = self.main.by_hand
-        proxy.put_back = self.main.put_back
-        proxy.act_by(self.main.acting)
-        pool = Pool(plan, proxy, list(plan.feed()))
+        proxy.registry.drains = self.main.registry.drains  # by hand: of boxes, in whatever pool
+        proxy.manual_drain_listeners = self.main.manual_drain_listeners
+        proxy.may_undrain = self.main.may_undrain
+        proxy.set_epoch_source(self.main.current_epoch)
+        pool = Pool(plan, proxy, list(plan.make_components()))
         self.pools[plan.name] = pool
-        for feeder in pool.feeders:
+        for feeder in pool.components:
             feeder.join(proxy)
         self._divide()
         await proxy.start()
-        for feeder in pool.feeders:
+        for feeder in pool.components:
             await feeder.start()
 
     def _divide(self) -> None:
@@ -112,32 +112,32 @@
         self.connections.divide(weights)
         self.open_requests.divide(weights)
         for name, proxy in self.proxies().items():
-            proxy.upstream.has_capacity = partial(self._has_room, name)  # type: ignore[method-assign]
-            proxy.may_open = partial(self._may_open, name) if self.open_requests.total else None
+            proxy.upstream.has_capacity = partial(self._has_capacity, name)  # type: ignore[method-assign]
+            proxy.may_admit = partial(self._may_admit, name) if self.open_requests.total else None
 
-    def _has_room(self, name: str) -> bool:
+    def _has_capacity(self, name: str) -> bool:
         return self.connections.may_take(name, self._used(lambda proxy: len(proxy.upstream.connections)))
 
-    def _may_open(self, name: str) -> bool:
-        return self.open_requests.may_take(name, self._used(lambda proxy: proxy.open))
+    def _may_admit(self, name: str) -> bool:
+        return self.open_requests.may_take(name, self._used(lambda proxy: proxy.open_requests))
 
     def _used(self, count: Callable[[Proxy], int]) -> Mapping[str, int]:
         used = {name: count(proxy) for name, proxy in self.proxies().items()}
-        used[""] = sum(map(count, self.leaving))
+        used[""] = sum(map(count, self.draining))
         return used
 
-    async def _leave(self, name: str, pool: Pool) -> None:
+    async def _drain(self, name: str, pool: Pool) -> None:
         log.info("pool %s takes nothing new", name)
         proxy = pool.proxy
-        self.leaving.add(proxy)
+        self.draining.add(proxy)
         while proxy.requests:
             await asyncio.sleep(LEAVE_POLL_S)
-        self.leaving.discard(proxy)
+        self.draining.discard(proxy)
         await self._close(pool)
         log.info("pool %s has ended", name)
 
     async def _close(self, pool: Pool) -> None:
-        for feeder in reversed(pool.feeders):
+        for feeder in reversed(pool.components):
             await feeder.close()
         pool.proxy.close()
 
@@ -146,7 +146,7 @@
             task.cancel()
         for pool in self.pools.values():
             await self._close(pool)
-        for proxy in self.leaving:
+        for proxy in self.draining:
             proxy.close()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -158,12 +158,12 @@
 def proxy_of(proxies: Iterable[Proxy], box: str) -> Proxy:
     """Of these, the main one first, the one whose hosts this box is among; the main one if none's."""
     main, *further = proxies
-    return next((proxy for proxy in (main, *further) if proxy.roster.entry(box) is not None), main)
+    return next((proxy for proxy in (main, *further) if proxy.registry.entry(box) is not None), main)
 
 
 def _stays(old: PoolPlan, new: PoolPlan | None) -> bool:
     """A pool stays while its hosts come the same way and the decisions' settings are as they were."""
-    if new is None or new.same != old.same:
+    if new is None or new.identity != old.identity:
         return False
     settings = new.config.settings  # classes only grow, and are taken over
     return replace(old.config.settings, classes=settings.classes) == settings
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -20,8 +20,8 @@
 from badgergap.proxy.limits.memory import Budget, total_of
 from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
 from badgergap.proxy.endpoints.discovery import Discovery
-from badgergap.proxy.endpoints.registry import Roster
-from badgergap.proxy.endpoints.sources import PLATFORM, HostSource, News
+from badgergap.proxy.endpoints.registry import EndpointRegistry
+from badgergap.proxy.endpoints.sources import PLATFORM, EndpointSource, EndpointUpdate
 from badgergap.proxy.upstream.connection_pool import REST_S, Answer, Exchange, Upstream
 from badgergap.balancing.interface import (
     Action,
@@ -186,7 +186,7 @@
     return plain(503, why, (b"retry-after", after))
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerProtocol(asyncio.DatagramProtocol):
     def __init__(self, heard: Callable[[bytes, Address], None]) -> None:
         self.heard = heard
 
@@ -201,7 +201,7 @@
         settings = config.settings
         self.observer = observer
         self.config, self.settings, self.loop = config, settings, loop
-        self.filed = config  # as read last: the start of the next reload
+        self.latest_config = config  # as read last: the start of the next reload
         self.clock = Clock()
         self.balancer = Balancer(settings, config.seed)
         self.upstream = Upstream(
@@ -216,8 +216,8 @@
             budget=Budget(total_of(config.memory_mb)),
             rest_s=REST_S if not config.grows else 0.0,
         )
-        self.roster = Roster()
-        self.sources: dict[str, HostSource] = {}
+        self.registry = EndpointRegistry()
+        self.sources: dict[str, EndpointSource] = {}
         self.discovery: Discovery | None = None
         if config.discovery is not None:
             self.discovery = Discovery(
@@ -226,56 +226,56 @@
                 config.names,
                 settings.endpoint_list_is_pushed,
                 config.known,
-                partial(self.hear, Discovery.name),
+                partial(self.receive_update, Discovery.name),
             )
             self.add_source(self.discovery)
         self.peers: asyncio.DatagramTransport | None = None
         self.requests: dict[str, Request] = {}
-        self.open = 0  # requests that are owed an answer
+        self.open_requests = 0  # requests that are owed an answer
         # Told of each change by hand: the host's name, whose wish, and whether it is out now.
-        self.by_hand: list[Callable[[str, str, bool], None]] = []
-        self.listens: Address | None = None  # where clients come in, once it is known
-        self.ends_us = FOR_EVER_US  # by when all has to be answered: the process is killed soon after
-        self.taken = 0
-        self.may_open: Callable[[], bool] | None = (
+        self.manual_drain_listeners: list[Callable[[str, str, bool], None]] = []
+        self.client_address: Address | None = None  # where clients come in, once it is known
+        self.shutdown_us = FOR_EVER_US  # by when all has to be answered: the process is killed soon after
+        self.accepted_count = 0
+        self.may_admit: Callable[[], bool] | None = (
             None  # of a gateway of several pools; None: the setting holds
         )
         # Whether this gateway may act: the epoch of its rules, or -1. None: nobody else has a say in it.
-        self.acting: Callable[[], int] | None = None
+        self.current_epoch: Callable[[], int] | None = None
         # Offered what a source says; True: it is heard elsewhere, and told by `heard`.
-        self.instead: Callable[[str, News], bool] | None = None
-        self.follows: Callable[[str], bool] = lambda source: True  # whether a source is to be asked at all
+        self.intercept_update: Callable[[str, EndpointUpdate], bool] | None = None
+        self.may_follow: Callable[[str], bool] = lambda source: True  # whether a source is to be asked at all
         # Asked before a host is put back by hand; False: somebody else will do it.
-        self.put_back: Callable[[str, str], bool] | None = None
+        self.may_undrain: Callable[[str, str], bool] | None = None
         self.events: deque[Event] = deque()
-        self.busy = False
+        self.is_dispatching = False
 
-    def act_by(self, acting: Callable[[], int] | None) -> None:
+    def set_epoch_source(self, acting: Callable[[], int] | None) -> None:
         """Ask before each request is taken, and again before it is sent to a host."""
-        self.acting = acting
+        self.current_epoch = acting
         self.upstream.current_epoch = acting
 
-    def add_source(self, source: HostSource) -> None:
+    def add_source(self, source: EndpointSource) -> None:
         """A further source of hosts, before the start. What it says it hands to `hear`, under its name."""
         self.sources[source.name] = source
-        self.roster.add_source(source.name, source.rank, source.dynamic, source.fallback)
+        self.registry.add_source(source.name, source.rank, source.dynamic, source.fallback)
 
     async def start(self) -> None:
         if self.settings.may_message and self.config.peer_listen is not None:
             self.peers, _ = await self.loop.create_datagram_endpoint(
-                lambda: Peers(self.on_datagram),
+                lambda: PeerProtocol(self.on_datagram),
                 local_addr=self.config.peer_listen,
                 reuse_port=self.config.console is not None or None,  # with a process that takes over
             )
         for source in self.sources.values():
             source.start()
-        self.loop.call_later(SWEEP_S, self.sweep)
+        self.loop.call_later(SWEEP_S, self.clean_up)
 
-    def sweep(self) -> None:
+    def clean_up(self) -> None:
         self.upstream.clean_up()
-        self.loop.call_later(SWEEP_S, self.sweep)
+        self.loop.call_later(SWEEP_S, self.clean_up)
 
-    def take_over(self, config: Config) -> None:
+    def reload(self, config: Config) -> None:
         """A new configuration: hosts, connections and the balancer stay; what can be followed is."""
         if (
             self.discovery is not None
@@ -287,10 +287,10 @@
         for name in needs_restart(self.config, config):
             log.warning("the new configuration changes %s: that needs a restart", name)
         if config.grows:
-            self.grow(config)
-        self.filed = config
+            self.add_classes(config)
+        self.latest_config = config
 
-    def grow(self, config: Config) -> None:
+    def add_classes(self, config: Config) -> None:
         """Take over the classes that a configuration holds behind those there are."""
         known = len(self.settings.classes)
         classes, names = config.settings.classes[known:], config.names.classes
@@ -309,7 +309,7 @@
         if self.peers is not None:
             self.peers.close()
 
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Requests that are owed an answer and are with no host at the moment."""
         return sum(
             request.reply is not None and not request.attempts_in_flight for request in self.requests.values()
@@ -318,21 +318,21 @@
     @property
     def ready(self) -> bool:
         known = bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
-        return known and (self.acting is None or self.acting() >= 0)
+        return known and (self.current_epoch is None or self.current_epoch() >= 0)
 
     # Events in, actions out
 
     def feed(self, event: Event) -> None:
         """Events that come of carrying out actions wait until those are carried out."""
         self.events.append(event)
-        if self.busy:
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
             while self.events:
                 self.decide(self.events.popleft())
         finally:
-            self.busy = False
+            self.is_dispatching = False
 
     def decide(self, event: Event) -> None:
         """An exception must not end the process, nor leave the request that it concerns unanswered."""
@@ -377,17 +377,17 @@
                 self.extend(action)
             case WatchEndpoints():
                 for source in self.sources.values():
-                    source.watch(action.on and self.follows(source.name))
+                    source.watch(action.on and self.may_follow(source.name))
             case FetchEndpoints():
                 for source in self.sources.values():
-                    if self.follows(source.name):
+                    if self.may_follow(source.name):
                         source.fetch()
             case HealthCheck():
-                self.probe(action.endpoint_id)
+                self.check_health(action.endpoint_id)
             case CloseIdleConnections():
                 self.upstream.close_idle(action.endpoint_id)
             case SendPeerMessage():
-                self.tell_peers(action)
+                self.send_to_peers(action)
             case Log():
                 log.info("%s", action.line)
 
@@ -395,19 +395,21 @@
 
     def arrive(self, spec: RequestSpec, reply: Reply) -> Request | None:
         """Take a request: `reply` is called exactly once, unless `leave` comes first."""
-        epoch = self.acting() if self.acting is not None else 0
-        if epoch < 0 or not self.has_room():
+        epoch = self.current_epoch() if self.current_epoch is not None else 0
+        if epoch < 0 or not self.has_capacity():
             reply(refused("too many requests" if epoch >= 0 else OUT_OF_TOUCH))
             if self.observer is not None:
                 self.observer.on_answered(self.clock.now_us(), spec.request_class, 503, 0, spec.tenant)
             return None
-        self.taken += 1
+        self.accepted_count += 1
         now_us = self.clock.now_us()
-        patience_us = max(0, min(spec.client_timeout_us - spec.waited_us - TRANSIT_US, self.ends_us - now_us))
-        request = Request(str(self.taken), spec, now_us, now_us + patience_us, reply, epoch=epoch)
+        patience_us = max(
+            0, min(spec.client_timeout_us - spec.waited_us - TRANSIT_US, self.shutdown_us - now_us)
+        )
+        request = Request(str(self.accepted_count), spec, now_us, now_us + patience_us, reply, epoch=epoch)
         self.requests[request.id] = request
-        self.open += 1
-        self.give_until(request, now_us, request.deadline_us)
+        self.open_requests += 1
+        self.set_deadline(request, now_us, request.deadline_us)
         self.feed(
             RequestArrived(
                 request.id,
@@ -423,16 +425,16 @@
         )
         return request
 
-    def has_room(self) -> bool:
-        if self.may_open is not None:
-            return self.may_open()
-        return not 0 < self.settings.max_open_requests <= self.open
+    def has_capacity(self) -> bool:
+        if self.may_admit is not None:
+            return self.may_admit()
+        return not 0 < self.settings.max_open_requests <= self.open_requests
 
     def is_able(self, klass: int) -> bool:
         """Whether any host may be given a request of this class now."""
         return self.balancer.is_able(self.clock.now_us(), klass)
 
-    def leave(self, request: Request) -> None:
+    def client_left(self, request: Request) -> None:
         """The client has closed its connection."""
         if request.reply is not None:
             self.close_account(request)
@@ -443,13 +445,13 @@
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
-    def join(self, request: Request, timeout_us: int) -> None:
+    def coalesce(self, request: Request, timeout_us: int) -> None:
         """A further client waits for the same answer: the request has its time too, and weighs more."""
         if request.reply is None:
             return
         now_us = self.clock.now_us()
-        patience_us = max(0, min(timeout_us - TRANSIT_US, self.ends_us - now_us))
-        self.give_until(request, now_us, max(request.deadline_us, now_us + patience_us))
+        patience_us = max(0, min(timeout_us - TRANSIT_US, self.shutdown_us - now_us))
+        self.set_deadline(request, now_us, max(request.deadline_us, now_us + patience_us))
         self.feed(RequestCoalesced(request.id, patience_us))
 
     def extend(self, action: ExtendTimeout) -> None:
@@ -459,15 +461,15 @@
             exchange.timer.cancel()
             exchange.timer = self.loop.call_later(action.timeout_us / 1e6, exchange.give_up, Outcome.TIMEOUT)
 
-    def body_came(self, request: Request) -> None:
+    def on_body_complete(self, request: Request) -> None:
         """The rest of a body that was passed on as it came: its client's time counts from here."""
         if request.reply is None:
             return
         request.arrived_us = self.clock.now_us()
         patience_us = max(
-            0, min(request.spec.client_timeout_us - TRANSIT_US, self.ends_us - request.arrived_us)
+            0, min(request.spec.client_timeout_us - TRANSIT_US, self.shutdown_us - request.arrived_us)
         )
-        self.give_until(request, request.arrived_us, request.arrived_us + patience_us)
+        self.set_deadline(request, request.arrived_us, request.arrived_us + patience_us)
 
     def end_within(self, seconds: float) -> None:
         """The process is killed soon after: what is open has its answer by then, and so has what comes yet.
@@ -475,21 +477,21 @@
         But for what is not whole yet, whose time has not begun.
         """
         now_us = self.clock.now_us()
-        self.ends_us = now_us + int(seconds * 1e6)
+        self.shutdown_us = now_us + int(seconds * 1e6)
         for request in self.requests.values():
             timer = request.last_resort
             if request.reply is not None and timer is not None and not timer.cancelled():
-                self.give_until(request, now_us, min(request.deadline_us, self.ends_us))
+                self.set_deadline(request, now_us, min(request.deadline_us, self.shutdown_us))
 
-    def give_until(self, request: Request, now_us: int, deadline_us: int) -> None:
+    def set_deadline(self, request: Request, now_us: int, deadline_us: int) -> None:
         """It is answered by then, at the last by `answer_at_last`."""
         if request.last_resort is not None:
             request.last_resort.cancel()
         request.deadline_us = deadline_us
         delay_s = (deadline_us - now_us + LAST_RESORT_US) / 1e6
-        request.last_resort = self.loop.call_later(delay_s, self.answer_at_last, request)
+        request.last_resort = self.loop.call_later(delay_s, self.answer_at_deadline, request)
 
-    def answer_at_last(self, request: Request) -> None:
+    def answer_at_deadline(self, request: Request) -> None:
         """Guards against a request that nobody has answered when its client is about to give up."""
         if request.reply is not None:
             log.warning("request %s had no answer at its deadline", request.id)
@@ -541,7 +543,7 @@
 
     def close_account(self, request: Request) -> None:
         request.reply = None
-        self.open -= 1
+        self.open_requests -= 1
         for exchange in request.attempts:
             if exchange is not None:
                 exchange.unwant()  # also where the settings allow no cancelling: it was never sent
@@ -561,7 +563,7 @@
             return
         number, sent_us = len(request.attempts), self.clock.now_us()
         left_us = min(action.timeout_us, request.deadline_us - sent_us)
-        if self.acting is not None and self.acting() != request.epoch:
+        if self.current_epoch is not None and self.current_epoch() != request.epoch:
             self.withdraw(request)
             left_us = 0
         if request.reply is None or left_us <= 0 or number >= self.settings.max_attempts:
@@ -610,7 +612,7 @@
             return ()
         return parse_report(answer.header(b"server-load"))
 
-    def probe(self, server: int) -> None:
+    def check_health(self, server: int) -> None:
         if not self.settings.may_probe:
             return
         reports = self.settings.reports.mode is not ReportMode.NONE
@@ -626,49 +628,52 @@
 
     # The list, peers
 
-    def hear(self, source: str, news: News) -> None:
+    def receive_update(self, source: str, update: EndpointUpdate) -> None:
         """A source of hosts says something.
 
         That another source than the platform fails, or has nothing new, is between it and the roster: the
         balancer's answer to a failure is to ask the platform again.
         """
-        if self.instead is None or not self.instead(source, news):
-            self.heard(source, news)
+        if self.intercept_update is None or not self.intercept_update(source, update):
+            self.apply_update(source, update)
 
-    def heard(self, source: str, news: News) -> None:
+    def apply_update(self, source: str, update: EndpointUpdate) -> None:
         """What is believed of a source, whoever tells it."""
-        news = self.roster.hear(self.clock.now_us(), source, news)
-        if source == PLATFORM or news.entries or news.kind is EndpointListKind.FULL:
-            self.on_news(news)
+        update = self.registry.receive(self.clock.now_us(), source, update)
+        if source == PLATFORM or update.entries or update.kind is EndpointListKind.FULL:
+            self.publish_update(update)
 
     def drain(self, name: str, by: str, action: str = "") -> None:
-        """Drain a host by hand: in effect when this returns. Raises RosterError for one that is unknown."""
-        was = name in self.roster.drains
-        self.on_news(self.roster.drain(self.clock.now_us(), name, by, action))
-        self._tell_by_hand(name, by, was)
+        """Drain a host by hand: in effect when this returns.
+
+        Raises EndpointRegistryError for a host that is unknown.
+        """
+        was = name in self.registry.drains
+        self.publish_update(self.registry.drain(self.clock.now_us(), name, by, action))
+        self._notify_manual_drain(name, by, was)
 
     def undrain(self, name: str, by: str) -> None:
-        """Undo a drain by hand. Raises RosterError for a host that is unknown."""
-        if self.put_back is not None and not self.put_back(name, by):
+        """Undo a drain by hand. Raises EndpointRegistryError for a host that is unknown."""
+        if self.may_undrain is not None and not self.may_undrain(name, by):
             return
-        was = name in self.roster.drains
-        self.on_news(self.roster.undrain(name))
-        self._tell_by_hand(name, by, was)
+        was = name in self.registry.drains
+        self.publish_update(self.registry.undrain(name))
+        self._notify_manual_drain(name, by, was)
 
-    def _tell_by_hand(self, name: str, by: str, was: bool) -> None:
-        out = name in self.roster.drains
-        for tell in self.by_hand if out is not was else ():
+    def _notify_manual_drain(self, name: str, by: str, was: bool) -> None:
+        out = name in self.registry.drains
+        for tell in self.manual_drain_listeners if out is not was else ():
             tell(name, by, out)
 
-    def on_news(self, news: News) -> None:
-        if news.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
-            self.upstream.drain_unlisted(entry.listed.endpoint_id for entry in news.entries)
-        for entry in news.entries:
+    def publish_update(self, update: EndpointUpdate) -> None:
+        if update.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
+            self.upstream.drain_unlisted(entry.listed.endpoint_id for entry in update.entries)
+        for entry in update.entries:
             server = entry.listed
             self.upstream.update_endpoint(server.endpoint_id, entry.address, server.status, entry.protocol)
-        self.feed(news.event())
+        self.feed(update.as_event())
 
-    def tell_peers(self, action: SendPeerMessage) -> None:
+    def send_to_peers(self, action: SendPeerMessage) -> None:
         to = self.config.peers_all if action.proxy is None else self.config.peers[action.proxy]
         if len(action.data) > PEER_LIMIT:
             raise ValueError(f"a message of {len(action.data)} bytes is too long")
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -77,7 +77,7 @@
         key, way = turn.by_name.get(KEY, b""), turn.way
         if not key or turn.method in READS or way is None:
             return False
-        acting = way.proxy.acting
+        acting = way.proxy.current_epoch
         if acting is not None and acting() < 0:
             client.answer(refused(OUT_OF_TOUCH))
         elif len(key) > KEY_LIMIT:
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -118,7 +118,7 @@
         if boxes <= learned_state.BOXES_MOST:
             main = next(iter(proxies.values()))
             pools = {name: proxy.balancer.snapshot() for name, proxy in proxies.items()}
-            lesson = learned_state.pack(Lesson(main.clock.now_us(), main.filed.names.classes, pools))
+            lesson = learned_state.pack(Lesson(main.clock.now_us(), main.latest_config.names.classes, pools))
         if lesson is None:
             if not self.too_long:
                 log.info("what is learnt of %d boxes is too much to be kept by others", boxes)
@@ -153,7 +153,7 @@
         try:
             lesson = learned_state.unpack(have.lesson)
             main = next(iter(proxies.values()))
-            if lesson.classes != main.filed.names.classes:
+            if lesson.classes != main.latest_config.names.classes:
                 raise BadLesson("its classes are not those of now")
             if have.age_us > learned_state.OLDEST_US:
                 raise BadLesson("it is too old")
--- a/badgergap/site/source.py
+++ b/badgergap/site/source.py
@@ -8,7 +8,7 @@
 
 from badgergap.proxy.lifecycle.config import Config, Names
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.sources import Entry, News, Tell, host_id
+from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate, OnUpdate, endpoint_id_of
 from badgergap.balancing.interface import ListedEndpoint, EndpointListKind
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.site.schema import BoxTable, Site
@@ -23,7 +23,7 @@
     name, rank, dynamic = "file", 90, False
 
     def __init__(
-        self, boxes: Iterable[BoxTable], names: Names, own_zone: int, fallback: bool, news: Tell
+        self, boxes: Iterable[BoxTable], names: Names, own_zone: int, fallback: bool, news: OnUpdate
     ) -> None:
         """`fallback`: its boxes count only until another source has spoken."""
         self.fallback = fallback
@@ -38,13 +38,13 @@
 
     def tell(self, boxes: Iterable[BoxTable]) -> None:
         self.boxes = tuple(boxes)
-        self.news(News(EndpointListKind.FULL, tuple(map(self.entry, self.boxes))))
+        self.news(EndpointUpdate(EndpointListKind.FULL, tuple(map(self.entry, self.boxes))))
 
     def entry(self, box: BoxTable) -> Entry:
         """A zone or kind that a reload brings gets the next number: the balancer only compares them."""
         zone = self.own_zone if box.zone is None else self.zones.setdefault(box.zone, len(self.zones))
         kind = 0 if box.kind is None else self.kinds.setdefault(box.kind, len(self.kinds))
-        server = ListedEndpoint(host_id(box.name), weight=box.weight, zone=zone, kind=kind)
+        server = ListedEndpoint(endpoint_id_of(box.name), weight=box.weight, zone=zone, kind=kind)
         return Entry(
             server, box.address.pair, str(box.name), "" if box.protocol == "http/1.1" else box.protocol
         )
@@ -74,13 +74,17 @@
 
     def join(self, proxy: Proxy) -> None:
         if self.store is not None:
-            proxy.roster.restore(self.store.load())
+            proxy.registry.restore(self.store.load())
         config, site = proxy.config, self.site()
         fallback = site.etcd is not None and site.etcd.boxes_of_this_file == "until-heard"
         if self.pool is not None:
             fallback = fallback and any(p.name == self.pool and p.etcd_prefix for p in site.pools)
         self.source = FileSource(
-            self.boxes(), config.names, config.settings.zone, fallback, partial(proxy.hear, FileSource.name)
+            self.boxes(),
+            config.names,
+            config.settings.zone,
+            fallback,
+            partial(proxy.receive_update, FileSource.name),
         )
         proxy.add_source(self.source)
 
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -73,8 +73,8 @@
         if self.ready is not None:
             await self.ready()
         self.listens = await self.door.start(self.inherited.pop(HTTP, None))
-        if proxy.listens is None:
-            proxy.listens = self.listens
+        if proxy.client_address is None:
+            proxy.client_address = self.listens
         log.info("%s serves HTTP on %s:%d", proxy.config.name, *self.listens)
         if plan.listen_tls is not None and self.certificates is not None:
             context, inherited = self.certificates(), self.inherited.pop(HTTPS, None)
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -134,7 +134,7 @@
     from badgergap.etcd import EtcdRoom, Options, Times
     from badgergap.proxy.lifecycle.config import Config, Names
     from badgergap.proxy.proxy import Proxy
-    from badgergap.proxy.endpoints.sources import News
+    from badgergap.proxy.endpoints.sources import EndpointUpdate
     from badgergap.balancing.interface import RequestClass, Settings
 
     def proxy() -> Proxy:
@@ -187,9 +187,9 @@
     entries = tuple(room.source.hosts.good.values())
     it.close()
     whole = proxy()
-    whole.roster.add_source("whole", 0, True)
+    whole.registry.add_source("whole", 0, True)
     began = time.perf_counter()
-    whole.on_news(whole.roster.hear(1, "whole", News(EndpointListKind.FULL, entries)))
+    whole.publish_update(whole.registry.receive(1, "whole", EndpointUpdate(EndpointListKind.FULL, entries)))
     at_once = time.perf_counter() - began
     assert store.stdin is not None
     store.stdin.close()
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -15,8 +15,8 @@
 from badgergap.admin.protocol import ActionResult, BoxView, SourceView
 from badgergap.admin.story import Story
 from badgergap.proxy.lifecycle.config import Names
-from badgergap.proxy.endpoints.registry import HandDrain, HostView
-from badgergap.proxy.endpoints.sources import Entry, host_id
+from badgergap.proxy.endpoints.registry import ManualDrain, MergedEndpoint
+from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
 from badgergap.balancing.interface import ListedEndpoint, Outcome, EndpointStatus, EndpointView
 
 S = 1_000_000
@@ -89,11 +89,11 @@
 
 
 def host(
-    name: str, status: EndpointStatus = EndpointStatus.READY, drain: HandDrain | None = None
-) -> HostView:
+    name: str, status: EndpointStatus = EndpointStatus.READY, drain: ManualDrain | None = None
+) -> MergedEndpoint:
     shown = EndpointStatus.DRAINING if drain is not None and status is EndpointStatus.READY else status
-    entry = Entry(ListedEndpoint(host_id(name), shown, zone=1), ("127.0.0.1", 9), name)
-    return HostView(entry, "file", (("file", status, 3 * S),), drain)
+    entry = Entry(ListedEndpoint(endpoint_id_of(name), shown, zone=1), ("127.0.0.1", 9), name)
+    return MergedEndpoint(entry, "file", (("file", status, 3 * S),), drain)
 
 
 def server(name: str, **changed: float | bool) -> EndpointView:
@@ -105,10 +105,10 @@
         "controller_weight": 1.0,
         "in_flight": 0,
     }
-    return EndpointView(host_id(name), **(fields | changed))  # type: ignore[arg-type]
+    return EndpointView(endpoint_id_of(name), **(fields | changed))  # type: ignore[arg-type]
 
 
-DRAIN = HandDrain("a", "anna", 4 * S)
+DRAIN = ManualDrain("a", "anna", 4 * S)
 STATES = [
     (host("a"), server("a"), "untried", ""),
     (host("a"), server("a", open_until_us=9 * S), "resting", ""),
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(("seen", "made", "state", "by"), STATES)
-def test_states(seen: HostView, made: EndpointView | None, state: str, by: str) -> None:
+def test_states(seen: MergedEndpoint, made: EndpointView | None, state: str, by: str) -> None:
     figures = Figures(())
     (view,) = Boxes(Names((), (), ("x", "lake"), ())).views(
         10 * S, [seen], [made] if made is not None else [], {}, figures
@@ -135,9 +135,11 @@
 
 def test_a_state_has_a_beginning_and_a_gone_box_is_forgotten() -> None:
     boxes, figures = Boxes(Names((), (), (), ())), Figures(())
-    figures.on_attempt_ended(S, host_id("a"), Outcome.SUCCESS, 1)
+    figures.on_attempt_ended(S, endpoint_id_of("a"), Outcome.SUCCESS, 1)
     for now_us in (10 * S, 12 * S):
-        (view,) = boxes.views(now_us, [host("a")], [server("a", in_flight=5)], {host_id("a"): 2}, figures)
+        (view,) = boxes.views(
+            now_us, [host("a")], [server("a", in_flight=5)], {endpoint_id_of("a"): 2}, figures
+        )
         assert (view.state, view.since_us, view.waiting, view.in_work) == ("serving", 10 * S, 2, 3)
     gone = host("a", EndpointStatus.GONE)
     assert boxes.views(302 * S, [gone], [], {}, figures)[0].since_us == 3 * S
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -20,7 +20,7 @@
 from badgergap.consensus.raft import Durable, Entry, Peer, Snapshot
 from badgergap.replication import snapshot
 from badgergap.proxy.endpoints.manual_drains import DrainStore
-from badgergap.proxy.endpoints.registry import HandDrain
+from badgergap.proxy.endpoints.registry import ManualDrain
 from badgergap.hot_restart import state_transfer
 from badgergap.balancing.interface import EndpointListKind
 from badgergap.storage.record_log import Log, System
@@ -31,7 +31,7 @@
 DATA = Path(__file__).parent / "data"
 FILE_IDENTITY = 7  # what the fixture's log says of the file that it was written to
 
-DRAINS = [HandDrain("box-1", "anna", 1_700_000_000_000_000, "d-1"), HandDrain("box-2", "console", 6, "")]
+DRAINS = [ManualDrain("box-1", "anna", 1_700_000_000_000_000, "d-1"), ManualDrain("box-2", "console", 6, "")]
 NAME, LISTEN = "n0", ("127.0.0.1", 3000)
 HANDED_OVER = state_transfer.Will(
     offset_ns=123,
--- a/tests/consensus/test_gate.py
+++ b/tests/consensus/test_gate.py
@@ -30,7 +30,7 @@
         for ends in range(1, 12):
             async with site(tmp_path) as it:
                 acting = Acting(ends, then)
-                it.proxy.act_by(acting)
+                it.proxy.set_epoch_source(acting)
                 client = await it.client()
                 status, head, _ = await client.ask(request("POST", "/echo", b"slip"))
                 ran = it.runs("/echo")
@@ -54,7 +54,7 @@
     async def play() -> None:
         async with site(tmp_path, pools="other") as it:
             assert it.proxy.ready
-            it.proxy.act_by(lambda: -1)
+            it.proxy.set_epoch_source(lambda: -1)
             assert not it.proxy.ready
 
     asyncio.run(play())
--- a/tests/etcd/test_hosts.py
+++ b/tests/etcd/test_hosts.py
@@ -12,7 +12,7 @@
 from badgergap.etcd.follow import Change
 from badgergap.etcd.hosts import SLICE, URGENT_SLICE, Hosts
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
-from badgergap.proxy.endpoints.sources import host_id
+from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.balancing.interface import EndpointStatus
 
 PREFIX = b"/boxes/"
@@ -43,7 +43,7 @@
     )
     assert entry.name == "box-1" and entry.address == ("127.0.0.1", 9001)
     server = entry.listed
-    assert server.endpoint_id == host_id("box-1") and server.status is EndpointStatus.DRAINING
+    assert server.endpoint_id == endpoint_id_of("box-1") and server.status is EndpointStatus.DRAINING
     assert (server.zone, server.kind, server.weight, server.started_us) == (1, 0, 2.0, 7000)
 
 
--- a/tests/h3/harness.py
+++ b/tests/h3/harness.py
@@ -36,7 +36,7 @@
 
     async def quiet(self) -> None:
         """Nothing is in work any more: every request taken has had its end."""
-        while any(proxy.open or proxy.requests for proxy in self.it.web.proxies().values()):
+        while any(proxy.open_requests or proxy.requests for proxy in self.it.web.proxies().values()):
             await asyncio.sleep(0.01)
 
     def ends(self) -> int:
--- a/tests/h3/test_boxes.py
+++ b/tests/h3/test_boxes.py
@@ -200,10 +200,10 @@
             left, stays = await it.client(), await it.client()
             left.send(request("POST", "/upload", b"left"))
             stays.send(request("POST", "/upload", b"stays"))
-            while it.proxy.open < 2:
+            while it.proxy.open_requests < 2:
                 await asyncio.sleep(0.001)
             left.writer.close()
-            while it.proxy.open == 2:
+            while it.proxy.open_requests == 2:
                 await asyncio.sleep(0.001)
             relay.out.black_hole = False
             assert (await stays.answer())[0] == 200
@@ -228,7 +228,7 @@
 
 
 def number(it: Site, name: str) -> int:
-    entry = it.proxy.roster.entry(name)
+    entry = it.proxy.registry.entry(name)
     assert entry is not None
     return entry.listed.endpoint_id
 
--- a/tests/h3/test_run.py
+++ b/tests/h3/test_run.py
@@ -220,7 +220,7 @@
                 app = next(app for app in boxes if app.name == name)
                 assert not [run for run in app.runs if at + GRACE_S < run.at < end], name
             proxies = s.it.web.proxies().values()
-            assert s.ends() == sum(proxy.taken for proxy in proxies)
+            assert s.ends() == sum(proxy.accepted_count for proxy in proxies)
         for box in others:
             box.die()
 
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -15,8 +15,8 @@
 from badgergap.balancing.choice import Balancer
 from badgergap.proxy.lifecycle.config import Names
 from badgergap.proxy.endpoints.discovery import parse_list
-from badgergap.proxy.endpoints.registry import HandDrain
-from badgergap.proxy.endpoints.sources import Entry, host_id
+from badgergap.proxy.endpoints.registry import ManualDrain
+from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
 from badgergap.hot_restart.state_transfer import (
     FRAME_LIMIT,
     HEADER,
@@ -34,7 +34,9 @@
 
 NAME, LISTEN = "n0", ("127.0.0.1", 3000)
 KNOWN: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
-WILL = Will(123, KNOWN, (HandDrain("a", "anna", 5, "x"), HandDrain("b", "console", 6)), 1.5, {"servers": []})
+WILL = Will(
+    123, KNOWN, (ManualDrain("a", "anna", 5, "x"), ManualDrain("b", "console", 6)), 1.5, {"servers": []}
+)
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
@@ -105,10 +107,12 @@
     names = Names((), (), ("a", "b"), ("m1", "m2"))
     entries = [
         Entry(
-            ListedEndpoint(host_id("h1"), EndpointStatus.READY, 2.0, 1, 3, 1, 5_000), ("10.0.0.1", 80), "h1"
+            ListedEndpoint(endpoint_id_of("h1"), EndpointStatus.READY, 2.0, 1, 3, 1, 5_000),
+            ("10.0.0.1", 80),
+            "h1",
         ),
-        Entry(ListedEndpoint(host_id("h2"), EndpointStatus.DRAINING), ("10.0.0.2", 80), "h2"),
-        Entry(ListedEndpoint(host_id("h3"), EndpointStatus.GONE), ("10.0.0.3", 80), "h3"),
+        Entry(ListedEndpoint(endpoint_id_of("h2"), EndpointStatus.DRAINING), ("10.0.0.2", 80), "h2"),
+        Entry(ListedEndpoint(endpoint_id_of("h3"), EndpointStatus.GONE), ("10.0.0.3", 80), "h3"),
     ]
     assert parse_list(list_of(entries, names, 9), names).entries == tuple(entries[:2])
     assert list_of(entries, names, 9)["index"] == 9
--- a/tests/joining/test_joins.py
+++ b/tests/joining/test_joins.py
@@ -43,15 +43,15 @@
         its = it.web.ways.joins if it.web.ways is not None else None
         if isinstance(its, Joins):
             assert not its.groups and its.held == 0
-        assert it.proxy.open == 0 and it.proxy.upstream.budget.used == 0
+        assert it.proxy.open_requests == 0 and it.proxy.upstream.budget.used == 0
 
 
 async def asked(it: Site, target: str = STANDINGS, method: str = "GET", **headers: str) -> Raw:
     """A client that has asked, and has been heard."""
     client = await it.client()
-    before = it.proxy.taken + sum(joins(it).counts.values())
+    before = it.proxy.accepted_count + sum(joins(it).counts.values())
     client.send(request(method, target, None, **headers))
-    while it.proxy.taken + sum(joins(it).counts.values()) == before:
+    while it.proxy.accepted_count + sum(joins(it).counts.values()) == before:
         await asyncio.sleep(0.001)
     return client
 
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -12,7 +12,7 @@
 
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy.lifecycle.config import parse_address
-from badgergap.proxy.endpoints.sources import host_id
+from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.balancing.interface import (
     FetchEndpoints,
     EndpointListKind,
@@ -26,7 +26,7 @@
 async def told(it: Gateway) -> tuple[EndpointListKind, list[str]]:
     """The next list event: its kind and its hosts' states, by name."""
     event = await it.event(EndpointList)
-    names = {host_id(f"h{n}"): f"h{n}" for n in range(9)}
+    names = {endpoint_id_of(f"h{n}"): f"h{n}" for n in range(9)}
     return event.kind, [f"{names[s.endpoint_id]} {s.status.value}" for s in event.endpoints]
 
 
@@ -49,7 +49,9 @@
             assert await told(it) == (EndpointListKind.DELTA, ["h1 gone"])
             watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
             assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert it.proxy.upstream.endpoints[host_id("h0")].stop_at is not None  # the full list lacks it
+            assert (
+                it.proxy.upstream.endpoints[endpoint_id_of("h0")].stop_at is not None
+            )  # the full list lacks it
 
     run(test())
 
@@ -187,7 +189,7 @@
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
             await told(it)
-            host = it.proxy.upstream.endpoints[host_id("h0")]
+            host = it.proxy.upstream.endpoints[endpoint_id_of("h0")]
             assert host.address == ("127.0.0.1", 9)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
             assert await told(it) == (EndpointListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
@@ -203,7 +205,7 @@
             _, old = await it.registry.watches.get()
             second = Registry()
             await second.start()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             first, new = await second.watches.get()
             assert "index=0" in first  # the numbers of the old service may mean nothing there
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
@@ -229,8 +231,8 @@
             await second.start()
             address, port = second.address.split(":")
             second.stop()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
-            while it.proxy.discovery is not None and it.proxy.discovery.current is not None:  # refused
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
+            while it.proxy.discovery is not None and it.proxy.discovery.current_watch is not None:  # refused
                 await asyncio.sleep(0.001)
             third = Registry()
             third.listener = await asyncio.start_server(third.accept, address, int(port))
@@ -374,14 +376,14 @@
             second, third = Registry(), Registry()
             for registry in (second, third):
                 await registry.start()
-                it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(registry.address)))
+                it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(registry.address)))
             first, new = await third.watches.get()
             assert "index=0" in first
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
             assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert it.proxy.discovery is not None and it.proxy.discovery.fading is None
+            assert it.proxy.discovery is not None and it.proxy.discovery.previous_watch is None
             for registry in (second, third):
                 registry.stop()
 
@@ -402,13 +404,13 @@
             await it.registry.watches.get()
             second = Registry()
             await second.start()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             await second.watches.get()
             _, new = await second.watches.get()
             new.write(chunk(news(entry("h1", it.host.address))))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             await asyncio.sleep(0)
-            call = it.proxy.discovery.current if it.proxy.discovery is not None else None
+            call = it.proxy.discovery.current_watch if it.proxy.discovery is not None else None
             assert call is not None and call.silence is not None
             assert call.silence.when() - it.proxy.loop.time() > 60.0  # the first word's time is over
             second.stop()
@@ -448,7 +450,7 @@
             await it.registry.watches.get()
             second = Registry()
             await second.start()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             _, new = await second.watches.get()
             new.write(chunk("no json\n"))
             first, new = await second.watches.get()
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -128,7 +128,7 @@
 
             for number, status in await asyncio.gather(*map(cross, clients)):
                 assert box.ran[number] == (status == 200) and status in (0, 200, 503)
-            assert not it.downstream.connections and not it.proxy.open
+            assert not it.downstream.connections and not it.proxy.open_requests
 
     run(test())
 
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -539,7 +539,7 @@
             assert (await Reader(client.reader).answer())[0] == status
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
             await host.left.wait()
-            assert not host.bodies and not it.downstream.intake.open_ids and it.proxy.open == 0
+            assert not host.bodies and not it.downstream.intake.open_ids and it.proxy.open_requests == 0
 
     run(test())
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -55,7 +55,7 @@
 
 def nothing_left(it: Gateway) -> None:
     """No request, id, attempt or place is held for anything that is over."""
-    assert not it.proxy.requests and it.proxy.open == 0 and not it.downstream.intake.open_ids
+    assert not it.proxy.requests and it.proxy.open_requests == 0 and not it.downstream.intake.open_ids
     assert it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
     assert it.downstream.budget.used == 0
     assert not any(c.exchange is not None for c in it.proxy.upstream.connections)
@@ -102,7 +102,7 @@
                 client.writer.close()
                 await it.event(ClientDisconnected)
             else:
-                it.proxy.answer_at_last(request)
+                it.proxy.answer_at_deadline(request)
                 assert (await client.answer())[0] == 504
             free.set()
             ended = await it.event(AttemptEnded)
@@ -752,9 +752,9 @@
             one.send(ask())
             first = await it.host.taken.get()
             two.send(ask())
-            await until(lambda: it.proxy.open == 2)
+            await until(lambda: it.proxy.open_requests == 2)
             three.send(ask(Request_Id="third"))
-            await until(lambda: it.proxy.open == 3)
+            await until(lambda: it.proxy.open_requests == 3)
             if leaves:
                 two.writer.close()
                 await it.event(ClientDisconnected)
@@ -1000,7 +1000,7 @@
                     while data := await loop.sock_recv(sock, 4096):
                         said += data
                     assert said.startswith(b"HTTP/1.1 503 ") and b"retry-after: " in said
-            assert it.host.taken.empty() and not it.proxy.taken
+            assert it.host.taken.empty() and not it.proxy.accepted_count
             await until(lambda: not it.downstream.connections)
 
     run(test())
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -12,7 +12,7 @@
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.upstream import connection_pool
 from badgergap.proxy.downstream import client_connection
-from badgergap.proxy.endpoints.sources import host_id
+from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
 from badgergap.proxy.body_streams import HOLD
 from badgergap.balancing.interface import (
@@ -215,7 +215,7 @@
 
     async def test() -> None:
         async with gateway() as it:
-            it.proxy.upstream.endpoints[host_id("h0")].address = ("a..b", 80)
+            it.proxy.upstream.endpoints[endpoint_id_of("h0")].address = ("a..b", 80)
             assert (await (await it.client()).ask(ask("buy")))[0] == 503
             assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
             assert not it.proxy.upstream.connections
@@ -283,7 +283,7 @@
             await it.event(ClientDisconnected)
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
             await it.host.left.get()
-            assert not it.proxy.requests and it.proxy.open == 0
+            assert not it.proxy.requests and it.proxy.open_requests == 0
 
     run(test())
 
@@ -341,7 +341,7 @@
             def twice(now_us: int, event: Event) -> list[Action]:
                 it.events.append(event)
                 it.changed.set()
-                send = Send(getattr(event, "request_id", ""), host_id("h0"), 20_000_000)
+                send = Send(getattr(event, "request_id", ""), endpoint_id_of("h0"), 20_000_000)
                 return [send, send] if isinstance(event, RequestArrived) else []
 
             it.proxy.balancer.handle = twice  # type: ignore[method-assign]
@@ -574,7 +574,7 @@
             client.send(b"".join(ask() for _ in range(100)))
             assert (await client.answer())[0] == 400
             assert await client.closed()
-            assert not it.downstream.intake.open_ids and it.proxy.open == 0
+            assert not it.downstream.intake.open_ids and it.proxy.open_requests == 0
 
     run(test())
 
@@ -768,7 +768,7 @@
     async def test() -> None:
         probing = {**settings(probes=True), "report": {"how": how, "fields": ["queue"]}}
         async with gateway(settings=probing) as it:
-            it.proxy.carry_out(HealthCheck(host_id("h0")))
+            it.proxy.carry_out(HealthCheck(endpoint_id_of("h0")))
             taken = await it.host.taken.get()
             assert taken.first == f"GET {path} HTTP/1.1" and "request-id" not in taken.head
             taken.answer(body=b"queue=3")
@@ -780,4 +780,4 @@
 
 
 def test_hosts_have_the_same_number_everywhere() -> None:
-    assert host_id("s-5be2a07c") == 0x850D21AD14919D0C
+    assert endpoint_id_of("s-5be2a07c") == 0x850D21AD14919D0C
--- a/tests/site/test_drains.py
+++ b/tests/site/test_drains.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from badgergap.proxy.endpoints.registry import HandDrain
+from badgergap.proxy.endpoints.registry import ManualDrain
 from badgergap.site import DrainStore
 
-DRAINS = [HandDrain("box-1", "anna", 5, "a1"), HandDrain("bøx \x1b", "b", 6)]
+DRAINS = [ManualDrain("box-1", "anna", 5, "a1"), ManualDrain("bøx \x1b", "b", 6)]
 
 
 def test_what_is_saved_is_loaded(tmp_path: Path) -> None:
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -145,8 +145,8 @@
 
     async def reload(self, text: str) -> None:
         self.setup.path.write_text(text)
-        config = self.setup.read_again(self.proxy.filed)
-        self.proxy.take_over(config)
+        config = self.setup.read_again(self.proxy.latest_config)
+        self.proxy.reload(config)
         classes = tuple((name, 20_000_000) for name in config.names.classes)
         self.figures.follow(classes, config.names.tenants)
         for room in self.rooms:
--- a/tests/web/test_clients.py
+++ b/tests/web/test_clients.py
@@ -154,7 +154,7 @@
             assert (
                 it.proxy.balancer.asked[0] and it.proxy.balancer.asked[2]
             )  # numbers of before, and new ones
-            while it.web.pools.leaving or it.web.pools.tasks:
+            while it.web.pools.draining or it.web.pools.tasks:
                 await asyncio.sleep(0.01)
 
     run(test())
@@ -194,7 +194,7 @@
                 f'name = "{side.name}"\naddress', 'name = "other"\naddress'
             )
             await it.reload(text)
-            assert proxy.roster.hosts == 1
+            assert proxy.registry.endpoint_count == 1
 
     run(test(), 60)
 
@@ -238,7 +238,7 @@
             for proxy in it.web.proxies().values():
                 while proxy.requests:
                     await asyncio.sleep(0.01)
-                assert proxy.open == 0
+                assert proxy.open_requests == 0
             assert len(main.runs) == spare_ran
             seconds = [sum(map(sum, each.counts)) for each in it.figures.seconds]
             assert sum(seconds) == 1  # one end, in whichever pool
@@ -295,7 +295,7 @@
                 await asyncio.sleep(0.001)
             text = it.setup.path.read_text()
             await it.reload(text.replace(store.format("north"), store.format("east")))
-            assert it.proxy.open == 1
+            assert it.proxy.open_requests == 1
             assert (await other.ask(request("GET", "/east/")))[0] == 200
             assert (await other.ask(request("GET", "/north/")))[0] == 404  # it is nobody's now
             assert (await client.answer())[0] == 200
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -61,7 +61,7 @@
             client.send(data[HOLD + 10_000 :])
             await client.writer.drain()
             client.writer.close()
-            await until(lambda: it.proxy.open == 0)
+            await until(lambda: it.proxy.open_requests == 0)
             free.set()
             await until(lambda: not it.proxy.requests and not it.proxy.balancer.requests)
             assert it.runs() == 0 and not front.waiting and front.current is None
@@ -199,7 +199,7 @@
             await until(lambda: it.runs() == 3)
             assert unsent(front) and not front.paused
             client.writer.write_eof()
-            await until(lambda: it.proxy.open == 0)
+            await until(lambda: it.proxy.open_requests == 0)
             assert it.web.door is not None and front in it.web.door.connections  # nor was it cut
             client.writer.transport.abort()
             await until(lambda: not it.proxy.requests and not it.proxy.balancer.requests)
