--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -115,8 +115,9 @@
     def join(self, proxy: Proxy) -> None:
         self.proxy = proxy
         self.started_us = proxy.clock.now_us()
-        proxy.manual_drain_listeners.append(self._changed_by_hand)
-        for drain in proxy.registry.drains.values():  # kept from before: their wishes can be asked for
+        proxy.directory.manual_drain_listeners.append(self._changed_by_hand)
+        # Kept from before: their actions can be asked for.
+        for drain in proxy.directory.registry.drains.values():
             if drain.action:
                 self.actions.remember(self._result(drain.action, "drain", drain.name, drain.by, True, True))
             self.story.tell(self.started_us, f"{drain.name} stays drained by hand, by {drain.by}")
@@ -245,7 +246,7 @@
         connecting: dict[int, int] = {}
         pools: dict[int, str] = {}
         for pool, proxy in self.proxies().items():
-            seen = proxy.registry.view(max(1, SHOWN - len(hosts)), now_us - GONE_SHOWN_US)
+            seen = proxy.directory.registry.view(max(1, SHOWN - len(hosts)), now_us - GONE_SHOWN_US)
             numbers = [host.entry.listed.endpoint_id for host in seen]
             hosts += seen
             servers += proxy.balancer.look(now_us, numbers)
@@ -274,14 +275,14 @@
                 boxes=state.endpoint_count,
                 heard_us=state.last_update_us,
                 failing_since_us=state.failing_since_us,
-                detail=proxy.sources[state.name].describe(),
+                detail=proxy.directory.sources[state.name].describe(),
             )
             for pool, proxy in self.proxies().items()
-            for state in proxy.registry.sources.values()
+            for state in proxy.directory.registry.sources.values()
         ]
 
     def _hosts(self) -> int:
-        return sum(proxy.registry.endpoint_count for proxy in self.proxies().values())
+        return sum(proxy.directory.registry.endpoint_count for proxy in self.proxies().values())
 
     def snapshot(self, boxes: list[BoxView]) -> Snapshot:
         proxy = self.proxy
@@ -415,7 +416,7 @@
     def _carry_out(self, request: Drain | Undrain, do: str) -> ActionResult:
         box, by = request.box, request.by
         proxy = self._proxy_of(box)
-        was_drained = box in proxy.registry.drains
+        was_drained = box in proxy.directory.registry.drains
         if (
             isinstance(request, Drain)
             and not (was_drained or request.even_last)
@@ -425,9 +426,9 @@
             raise Refused("last-box", f"{box} is the last box that serves; nothing would be served")
         try:
             if isinstance(request, Drain):
-                proxy.drain(box, by, request.action)
+                proxy.directory.drain(box, by, request.action)
             else:
-                proxy.undrain(box, by)
+                proxy.directory.undrain(box, by)
         except EndpointRegistryError as error:
             raise Refused("unknown-box" if "no box" in str(error) else "too-many", str(error)) from None
         changed = was_drained is not isinstance(request, Drain)
@@ -452,7 +453,7 @@
     def _left(self, box: str) -> int:
         """Requests that the box still has."""
         proxy = self._proxy_of(box)
-        entry = proxy.registry.entry(box)
+        entry = proxy.directory.registry.entry(box)
         number = entry.listed.endpoint_id if entry is not None else -1
         return sum(view.in_flight + view.streams for view in proxy.balancer.look(0, [number]))
 
@@ -507,7 +508,7 @@
             self.tried_at = asyncio.get_running_loop().time()
             assert self.proxy is not None
             try:
-                await asyncio.to_thread(keeper.save, list(self.proxy.registry.drains.values()))
+                await asyncio.to_thread(keeper.save, list(self.proxy.directory.registry.drains.values()))
             except OSError as error:
                 return error.strerror or str(error) or "the disk refused"
             return ""
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -16,7 +16,8 @@
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
 from badgergap.proxy.lifecycle.config import Config, ConfigError
-from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Observer
 from badgergap.proxy.lifecycle.process import Room, Succeed, log_to_stderr, run
 from badgergap.site import SiteRoom
 from badgergap.site.web import never
--- a/badgergap/cli/web.py
+++ b/badgergap/cli/web.py
@@ -15,7 +15,7 @@
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.pools import PoolComponent, PoolPlan
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.proxy import Observer
+from badgergap.proxy.requests import Observer
 from badgergap.site import Site, SiteRoom
 from badgergap.site.convert import pool_config
 from badgergap.site.schema import PoolTable
--- a/badgergap/consensus/endpoint_list_source.py
+++ b/badgergap/consensus/endpoint_list_source.py
@@ -55,8 +55,8 @@
         zones, kinds = proxy.config.names.zones, proxy.config.names.kinds
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
-        proxy.intercept_update = self._hears
-        proxy.may_follow = self._may_follow
+        proxy.directory.intercept_update = self._hears
+        proxy.directory.may_follow = self._may_follow
 
     # The source
 
@@ -104,7 +104,7 @@
             follows = self.group.leads() or self.orphan
             if follows is not self.follows:
                 self.follows = follows
-                source = self.proxy.sources[self.source]
+                source = self.proxy.directory.sources[self.source]
                 log.info("the group's list: this gateway %s the source", "follows" if follows else "leaves")
                 source.watch(follows)
                 if follows:
@@ -116,7 +116,7 @@
             now = asyncio.get_running_loop().time()
             if self.agreed and now - self.fresh_at > FRESH_S and not self.orphan:
                 self.fresh_at = now
-                self.proxy.apply_update(self.source, EndpointUpdate(EndpointListKind.DELTA))
+                self.proxy.directory.apply_update(self.source, EndpointUpdate(EndpointListKind.DELTA))
             await asyncio.sleep(TICK_S)
 
     async def _propose(self) -> None:
@@ -145,7 +145,7 @@
     def _tell(self, hosts: Hosts) -> None:
         if hosts != self.told:
             self.told = dict(hosts)
-            self.proxy.apply_update(
+            self.proxy.directory.apply_update(
                 self.source, EndpointUpdate(EndpointListKind.FULL, tuple(map(self._entry, hosts.values())))
             )
 
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -154,9 +154,9 @@
     def join(self, proxy: Proxy) -> None:
         self.proxy = proxy
         proxy.set_epoch_source(self.acting)
-        proxy.may_undrain = self._may_put_back
-        proxy.manual_drain_listeners.append(self._by_hand)
-        dynamic = [source.name for source in proxy.sources.values() if source.dynamic]
+        proxy.directory.may_undrain = self._may_put_back
+        proxy.directory.manual_drain_listeners.append(self._by_hand)
+        dynamic = [source.name for source in proxy.directory.sources.values() if source.dynamic]
         if self.options.one_list and dynamic:
             self.following = Following(proxy, dynamic[0], self, clock_us, self._say)
 
@@ -461,12 +461,12 @@
         out = {**self.heard.out, **self.acting_on.out}
         if self.following is not None:
             self.following.hear(self.acting_on, self.heard)
-        drains = self.main.registry.drains
+        drains = self.main.directory.registry.drains
         for name, by in out.items():
             if name not in drains:
                 proxy = proxy_of(self.proxies().values(), name)
                 try:
-                    proxy.drain(name, by)
+                    proxy.directory.drain(name, by)
                 except EndpointRegistryError:
                     # Nobody names it yet: it is out as soon as somebody does.
                     if len(drains) < DRAIN_LIMIT:
@@ -474,7 +474,7 @@
         for name in list(drains):
             if name not in out and name not in self.going_out:
                 try:
-                    proxy_of(self.proxies().values(), name).undrain(name, GROUP)
+                    proxy_of(self.proxies().values(), name).directory.undrain(name, GROUP)
                 except EndpointRegistryError:
                     drains.pop(name, None)
 
@@ -483,7 +483,7 @@
         if by == GROUP:
             return True
         waiting = self.going_out.get(name)
-        if waiting is None and name not in self.main.registry.drains:
+        if waiting is None and name not in self.main.directory.registry.drains:
             return True
         self._spawn(self._agree(name, "back", by, None))
         if waiting is None:
--- a/badgergap/etcd/source.py
+++ b/badgergap/etcd/source.py
@@ -192,9 +192,9 @@
             proxy.loop,
             proxy.clock.now_us,
             places,
-            partial(proxy.receive_update, EtcdSource.name),
+            partial(proxy.directory.receive_update, EtcdSource.name),
         )
-        proxy.add_source(self.source)
+        proxy.directory.add_source(self.source)
 
     async def start(self) -> None:
         """It begins with the other sources."""
--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -37,7 +37,7 @@
     StreamReset,
 )
 
-from badgergap.proxy.proxy import AttemptListener
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
 from badgergap.proxy.upstream.connection_pool import Answer, Endpoint, Upstream
 from badgergap.h3.driver import Driver, Sender
--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -16,7 +16,7 @@
 from aioquic.quic.events import ProtocolNegotiated, QuicEvent, StopSendingReceived, StreamReset
 
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.proxy import plain
+from badgergap.proxy.gateway_responses import plain
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
 from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.h3.endpoint import Link, User, address_of
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -172,10 +172,10 @@
             for part in self.parts.values():
                 part.inherit(self.listeners, self.ready)
         kept = self.store.load() if self.store is not None else []
-        proxy.registry.restore(will.drains if will is not None else kept)
+        proxy.directory.registry.restore(will.drains if will is not None else kept)
         if will is not None and will.lame_s is not None:
             downstream.send_away(will.lame_s)
-        proxy.manual_drain_listeners.append(self.changed_by_hand)
+        proxy.directory.manual_drain_listeners.append(self.changed_by_hand)
         downstream.on_lame.append(self.changed_lame)
 
     def teach(self) -> None:
@@ -311,12 +311,13 @@
 
     def make_will(self) -> Will:
         proxy, lame = self.proxy, self.downstream.lame
-        words = proxy.registry.sources[PLATFORM].records if PLATFORM in proxy.registry.sources else {}
-        index = proxy.discovery.index if proxy.discovery is not None else 0
+        platform = proxy.directory.registry.sources.get(PLATFORM)
+        words = platform.records if platform is not None else {}
+        index = proxy.directory.discovery.index if proxy.directory.discovery is not None else 0
         return Will(
             offset_ns=proxy.clock.offset_ns,
             known=list_of((word.entry for word in words.values()), proxy.config.names, index),
-            drains=tuple(proxy.registry.drains.values()),
+            drains=tuple(proxy.directory.registry.drains.values()),
             lame_s=lame.age(self.loop.time()) if lame else None,
             learnt=proxy.balancer.snapshot(),
             pools={name: p.balancer.snapshot() for name, p in self.proxies().items() if name != MAIN},
@@ -392,12 +393,12 @@
         proxy = proxy_of(self.proxies().values(), name)
         try:
             if out:
-                proxy.drain(name, by)
+                proxy.directory.drain(name, by)
             else:
-                proxy.undrain(name, by)
+                proxy.directory.undrain(name, by)
         except EndpointRegistryError:
             if out:  # not listed here yet: it is out as soon as it is
-                self.proxy.registry.restore([ManualDrain(name, by, self.proxy.clock.now_us())])
+                self.proxy.directory.registry.restore([ManualDrain(name, by, self.proxy.clock.now_us())])
 
     def tell(self, message: dict[str, Any]) -> None:
         for link in (self.before, self.heir):
@@ -407,7 +408,7 @@
     def changed_by_hand(self, name: str, by: str, out: bool) -> None:
         self.tell({"hand": [name, by, out]})
         if self.store is not None:
-            self.disk.submit(self.save, self.store, list(self.proxy.registry.drains.values()))
+            self.disk.submit(self.save, self.store, list(self.proxy.directory.registry.drains.values()))
 
     def save(self, store: DrainStore, drains: list[ManualDrain]) -> None:
         try:
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -14,7 +14,8 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
 
-from badgergap.proxy.proxy import TRANSIT_US, Proxy, plain, refused
+from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.proxy import Proxy, TRANSIT_US
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import Client
 from badgergap.proxy.upstream.connection_pool import Answer
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -16,7 +16,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from badgergap.proxy.proxy import RequestSpec, AttemptListener, Launch, Proxy, Request, plain
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
 from badgergap.proxy.body_streams import DownloadSource, Upload
 from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt, ExchangeSpec, is_early
 from badgergap.proxy.upstream.connection_pool import Exchange, Upstream
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -10,7 +10,9 @@
 from functools import partial
 
 from badgergap.proxy.pools import Pools
-from badgergap.proxy.proxy import RequestSpec, Launch, Proxy, plain, refused
+from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Launch, RequestSpec
 from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.ordinary.heads import request_id
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -151,12 +151,12 @@
 
     def by_hand(self, name: str, out: bool) -> str:
         proxy = proxy_of(self.proxies(), name)
-        was = name in proxy.registry.drains
+        was = name in proxy.directory.registry.drains
         try:
             if out:
-                proxy.drain(name, BY)
+                proxy.directory.drain(name, BY)
             else:
-                proxy.undrain(name, BY)
+                proxy.directory.undrain(name, BY)
         except EndpointRegistryError as error:
             raise CallError(str(error)) from None
         if was is out:
@@ -171,12 +171,13 @@
         if self.downstream.draining:
             raise CallError("this process ends and takes no clients")
         main, *_ = proxies = self.proxies()
-        drains, lame = main.registry.drains, self.downstream.lame
+        drains, lame = main.directory.registry.drains, self.downstream.lame
         age = f" {lame.age(self.downstream.loop.time()):.0f} s ago" if lame else ""
+        endpoint_count = sum(proxy.directory.registry.endpoint_count for proxy in proxies)
         words = [
             f"{main.config.name} (process {os.getpid()})",
             f"was told to send clients away{age}" if lame else "takes clients",
-            f"{sum(proxy.registry.endpoint_count for proxy in proxies)} hosts, {len(drains)} out by hand",
+            f"{endpoint_count} hosts, {len(drains)} out by hand",
             f"{sum(proxy.open_requests for proxy in proxies)} requests open",
             f"{len(self.downstream.connections)} connections",
         ]
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -24,14 +24,9 @@
 from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest, Head, Intake
 from badgergap.proxy.lifecycle.lame_duck import LOOK_S, Fate, LameDuck
-from badgergap.proxy.proxy import (
-    RETRY_AFTER,
-    AttemptListener,
-    Proxy,
-    Request,
-    plain,
-    refused,
-)
+from badgergap.proxy.gateway_responses import RETRY_AFTER, plain, refused
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import AttemptListener, Request
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import StreamAttempt, ExchangeSpec, is_early
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -13,7 +13,8 @@
 from urllib.parse import parse_qs
 
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.proxy import RequestSpec, Launch, plain
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.requests import Launch, RequestSpec
 from badgergap.balancing.interface import Idempotency
 
 BODY_LIMIT = 32 * 1024 * 1024
--- /dev/null
+++ b/badgergap/proxy/endpoints/directory.py
@@ -0,0 +1,147 @@
+"""The endpoints of one proxy: what its sources say merged, and drains by hand, passed on as they change."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from functools import partial
+
+from badgergap.balancing.interface import EndpointList, EndpointListKind
+from badgergap.proxy.endpoints.discovery import Discovery
+from badgergap.proxy.endpoints.registry import EndpointRegistry
+from badgergap.proxy.endpoints.sources import PLATFORM, EndpointSource, EndpointUpdate
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.upstream.connection_pool import Upstream
+
+log = logging.getLogger(__name__)
+
+# Called for each change by hand: the endpoint's name, who asked for it, and whether it is out now.
+ManualDrainListener = Callable[[str, str, bool], None]
+
+
+class EndpointDirectory:
+    """Takes what the sources say, and tells the connections (`upstream`) and the balancer (`feed`)."""
+
+    def __init__(
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        now_us: Callable[[], int],
+        upstream: Upstream,
+        feed: Callable[[EndpointList], None],
+    ) -> None:
+        self.now_us = now_us
+        self.upstream = upstream
+        self.feed = feed
+        self.registry = EndpointRegistry()
+        self.sources: dict[str, EndpointSource] = {}
+        self.discovery: Discovery | None = None
+        if config.discovery is not None:
+            self.discovery = Discovery(
+                loop,
+                config.discovery,
+                config.names,
+                config.settings.endpoint_list_is_pushed,
+                config.known,
+                partial(self.receive_update, Discovery.name),
+            )
+            self.add_source(self.discovery)
+        self.manual_drain_listeners: list[ManualDrainListener] = []
+        # Offered each update of a source; True: it was taken elsewhere, and comes back by `apply_update`.
+        self.intercept_update: Callable[[str, EndpointUpdate], bool] | None = None
+        # Whether a source is to be watched and fetched from at all.
+        self.may_follow: Callable[[str], bool] = lambda source: True
+        # Called before a drain is undone, with the endpoint's name and who asked; False: it is not done here.
+        self.may_undrain: Callable[[str, str], bool] | None = None
+
+    # Sources
+
+    def add_source(self, source: EndpointSource) -> None:
+        """Add a source before the start. It hands its updates to `receive_update`, under its name."""
+        self.sources[source.name] = source
+        self.registry.add_source(source.name, source.rank, source.dynamic, source.fallback)
+
+    def start(self) -> None:
+        for source in self.sources.values():
+            source.start()
+
+    def close(self) -> None:
+        for source in self.sources.values():
+            source.close()
+
+    def reload(self, config: Config) -> None:
+        """Follow discovery to the address that a new configuration names."""
+        if (
+            self.discovery is not None
+            and config.discovery is not None
+            and config.discovery != self.discovery.address
+        ):
+            log.info("discovery has moved to %s:%d", *config.discovery)
+            self.discovery.move(config.discovery)
+
+    @property
+    def is_current(self) -> bool:
+        """Whether there are endpoints, and discovery's list (where there is one) counts as that of now."""
+        return bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
+
+    def watch(self, on: bool) -> None:
+        for source in self.sources.values():
+            source.watch(on and self.may_follow(source.name))
+
+    def fetch(self) -> None:
+        for source in self.sources.values():
+            if self.may_follow(source.name):
+                source.fetch()
+
+    # Updates
+
+    def receive_update(self, source: str, update: EndpointUpdate) -> None:
+        """Take an update from a source, unless `intercept_update` takes it."""
+        if self.intercept_update is None or not self.intercept_update(source, update):
+            self.apply_update(source, update)
+
+    def apply_update(self, source: str, update: EndpointUpdate) -> None:
+        """Merge an update in, and pass on what it changes.
+
+        That another source than the platform fails, or has nothing new, is between it and the registry: the
+        balancer's answer to a failure is to ask the platform again.
+        """
+        update = self.registry.receive(self.now_us(), source, update)
+        if source == PLATFORM or update.entries or update.kind is EndpointListKind.FULL:
+            self.publish_update(update)
+
+    def publish_update(self, update: EndpointUpdate) -> None:
+        """Pass a merged update on: first to the connections, then to the balancer."""
+        if update.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
+            self.upstream.drain_unlisted(entry.listed.endpoint_id for entry in update.entries)
+        for entry in update.entries:
+            listed = entry.listed
+            self.upstream.update_endpoint(listed.endpoint_id, entry.address, listed.status, entry.protocol)
+        self.feed(update.as_event())
+
+    # Drains by hand
+
+    def drain(self, name: str, by: str, action: str = "") -> None:
+        """Drain an endpoint by hand: in effect when this returns.
+
+        Raises EndpointRegistryError for an endpoint that is unknown, and for one drain too many.
+        """
+        was_drained = name in self.registry.drains
+        self.publish_update(self.registry.drain(self.now_us(), name, by, action))
+        self._notify_manual_drain(name, by, was_drained)
+
+    def undrain(self, name: str, by: str) -> None:
+        """Undo a drain by hand. Raises EndpointRegistryError for an endpoint that is unknown."""
+        if self.may_undrain is not None and not self.may_undrain(name, by):
+            return
+        was_drained = name in self.registry.drains
+        self.publish_update(self.registry.undrain(name))
+        self._notify_manual_drain(name, by, was_drained)
+
+    def _notify_manual_drain(self, name: str, by: str, was_drained: bool) -> None:
+        is_drained = name in self.registry.drains
+        if is_drained is was_drained:
+            return
+        for notify in self.manual_drain_listeners:
+            notify(name, by, is_drained)
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -18,7 +18,8 @@
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.commands.listener import CALLERS, Desk, Hands
 from badgergap.proxy.downstream.client_connection import Downstream
-from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Observer
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -14,7 +14,8 @@
 from typing import Any, Protocol
 
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Observer
 from badgergap.proxy.limits.quotas import Share
 
 log = logging.getLogger(__name__)
@@ -92,11 +93,12 @@
         self._divide()
 
     async def _start(self, plan: PoolPlan) -> None:
-        proxy = Proxy(plan.config, self.main.loop, self.observer)
-        proxy.clock = self.main.clock
-        proxy.registry.drains = self.main.registry.drains  # by hand: of boxes, in whatever pool
-        proxy.manual_drain_listeners = self.main.manual_drain_listeners
-        proxy.may_undrain = self.main.may_undrain
+        proxy = Proxy(plan.config, self.main.loop, self.observer, self.main.clock)
+        # Drains by hand are of endpoints in whatever pool.
+        main = self.main.directory
+        proxy.directory.registry.drains = main.registry.drains
+        proxy.directory.manual_drain_listeners = main.manual_drain_listeners
+        proxy.directory.may_undrain = main.may_undrain
         proxy.set_epoch_source(self.main.current_epoch)
         pool = Pool(plan, proxy, list(plan.make_components()))
         self.pools[plan.name] = pool
@@ -155,10 +157,13 @@
         task.add_done_callback(self.tasks.discard)
 
 
-def proxy_of(proxies: Iterable[Proxy], box: str) -> Proxy:
-    """Of these, the main one first, the one whose hosts this box is among; the main one if none's."""
-    main, *further = proxies
-    return next((proxy for proxy in (main, *further) if proxy.registry.entry(box) is not None), main)
+def proxy_of(proxies: Iterable[Proxy], endpoint: str) -> Proxy:
+    """The first of these proxies, the main one ahead, that knows an endpoint; the main one if none does."""
+    main, *others = proxies
+    for proxy in (main, *others):
+        if proxy.directory.registry.entry(endpoint) is not None:
+            return proxy
+    return main
 
 
 def _stays(old: PoolPlan, new: PoolPlan | None) -> bool:
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -1,55 +1,52 @@
-"""Drives one Balancer: what the sockets tell it goes in as events, its actions are carried out in order.
+"""Drives one Balancer: what the sockets report goes in as events, its actions are carried out in order.
 
-Nothing is decided here. What this file adds is bookkeeping: exactly one final answer for every request taken,
-and exactly one outcome for every attempt.
+Nothing is decided here. What this module adds is accounting: exactly one final answer for every request that
+was admitted (`requests.py` has the table of all that may end it), and exactly one outcome for every attempt.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-from functools import partial
-from typing import Protocol
+from dataclasses import replace
 
 from badgergap.balancing.choice import Balancer
-from badgergap.proxy.limits import eviction
-from badgergap.proxy.limits.memory import Budget, total_of
-from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
-from badgergap.proxy.endpoints.discovery import Discovery
-from badgergap.proxy.endpoints.registry import EndpointRegistry
-from badgergap.proxy.endpoints.sources import PLATFORM, EndpointSource, EndpointUpdate
-from badgergap.proxy.upstream.connection_pool import REST_S, Answer, Exchange, Upstream
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
     CloseIdleConnections,
     Event,
     ExtendTimeout,
     Fail,
     FetchEndpoints,
-    EndpointListKind,
-    Log,
-    Outcome,
-    PeerMessage,
     HealthCheck,
     HealthCheckEnded,
+    Log,
+    Outcome,
     Reject,
     ReportMode,
     RequestArrived,
-    ClientDisconnected,
     RequestCoalesced,
     Send,
+    SendPeerMessage,
     SetTimer,
     StreamStarted,
-    SendPeerMessage,
     TimerFired,
     WatchEndpoints,
 )
+from badgergap.proxy.clock import Clock
+from badgergap.proxy.endpoints.directory import EndpointDirectory
+from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
+from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.limits.memory import Budget, total_of
+from badgergap.proxy.peer_messages import PeerMessenger
+from badgergap.proxy.requests import Observer, Reply, Request, RequestSpec
+from badgergap.proxy.upstream.connection_pool import REST_S, Answer, Upstream
 from badgergap.simulator.codec import parse_load
 
 log = logging.getLogger(__name__)
@@ -58,97 +55,10 @@
 TRANSIT_US = 4_000
 # After the balancer's own limits, before the client's: the answer of last resort.
 LAST_RESORT_US = 2_000
-OUT_OF_TOUCH = "this gateway is out of touch with its group"
-RETRY_AFTER = b"1"  # seconds, where the decisions name no time; the least that every client understands
 PROBE_TIMEOUT_S = 1.0
-PEER_LIMIT = 256
 FOR_EVER_US = 2**62
 SWEEP_S = 1.0
 
-Reply = Callable[[Answer], None]
-
-
-class AttemptListener(Protocol):
-    """What a streamed attempt tells of itself; each at most once, but for `ended` in this order."""
-
-    def on_committed(self) -> None:
-        """Part of the request has gone on that is held no more: it cannot be sent again."""
-
-    def on_response_started(self, status: int, waited_s: float) -> None:
-        """A host's answer is passed on from here: it is the final one. `waited_s`: for its head."""
-
-    def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        """Always comes. An answer goes with it if it is whole and has not been passed on."""
-
-
-# Offered a request that is refused here and of which no host's answer is left: True if another pool takes it
-# over. It is told whether a host was tried, and whether one may have run it.
-OfferElsewhere = Callable[[bool, bool], bool]
-
-# Sends one attempt of a request that is no whole payload: to this host, which has so many seconds to begin.
-Launch = Callable[[Upstream, int, float, AttemptListener], Exchange]
-
-
-class Observer(Protocol):
-    """Hears what became of requests and attempts; called in the midst of serving, so it only counts."""
-
-    def on_answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int) -> None:
-        """A request had its final answer, `took_us` after its last byte came."""
-
-    def on_client_left(self, now_us: int, klass: int, tenant: int) -> None:
-        """A client left before its answer."""
-
-    def on_attempt_ended(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
-        """An attempt at a host has ended."""
-
-
-class Clock:
-    """Microseconds since the Unix epoch that never step back, whatever is done to the wall clock."""
-
-    def __init__(self) -> None:
-        self.offset_ns = time.time_ns() - time.monotonic_ns()  # of another process, to go on by its clock
-
-    def now_us(self) -> int:
-        return (self.offset_ns + time.monotonic_ns()) // 1000
-
-
-@dataclass(slots=True, frozen=True)
-class RequestSpec:
-    """What a client asks, as the balancer and the hosts need it."""
-
-    request_class: int
-    client_timeout_us: int
-    waited_us: int  # since its last byte came
-    method: bytes
-    target: bytes
-    headers: bytes  # those that go on to a host, as lines
-    launch: Launch
-    key: int | None = None
-    expected_work_us: int | None = None
-    is_retry: bool = False
-    tenant: int = 0
-    is_write: bool = False
-    allowed_endpoints: tuple[int, ...] = ()  # the hosts that may have it; empty: all
-    offer_elsewhere: OfferElsewhere | None = None
-    on_answered: Callable[[], None] | None = None  # told just before the final answer is given
-    passes_failures: bool = True  # a host's own failure is the answer where nothing better came of it
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    id: str
-    spec: RequestSpec
-    arrived_us: int
-    deadline_us: int
-    reply: Reply | None  # None once it has had its final answer, or its client has gone
-    last_resort: asyncio.TimerHandle | None = None
-    attempts: list[Exchange | None] = field(default_factory=list)
-    attempts_in_flight: int = 0
-    endpoint_failure: Answer | None = (
-        None  # a host's own answer to a streamed request, which counts as its failure
-    )
-    epoch: int = 0  # of the rules that it was taken under
-
 
 class AttemptRecorder:
     """One streamed attempt as the proxy accounts for it."""
@@ -176,33 +86,19 @@
         )
 
 
-def plain(status: int, text: str, *headers: tuple[bytes, bytes]) -> Answer:
-    return Answer(status, [(b"content-type", b"text/plain"), *headers], text.encode() + b"\n")
-
-
-def refused(why: str, after_us: int = 0) -> Answer:
-    """A refusal, given at once, says when to come back: the decisions' time, or else in a moment."""
-    after = b"%.3f" % (after_us / 1e6) if after_us > 0 else RETRY_AFTER
-    return plain(503, why, (b"retry-after", after))
-
-
-class PeerProtocol(asyncio.DatagramProtocol):
-    def __init__(self, heard: Callable[[bytes, Address], None]) -> None:
-        self.heard = heard
-
-    def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.heard(data, addr)
-
-
 class Proxy:
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, observer: Observer | None = None
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        observer: Observer | None = None,
+        clock: Clock | None = None,
     ) -> None:
         settings = config.settings
         self.observer = observer
         self.config, self.settings, self.loop = config, settings, loop
         self.latest_config = config  # as read last: the start of the next reload
-        self.clock = Clock()
+        self.clock = clock if clock is not None else Clock()
         self.balancer = Balancer(settings, config.seed)
         self.upstream = Upstream(
             loop,
@@ -216,24 +112,10 @@
             budget=Budget(total_of(config.memory_mb)),
             rest_s=REST_S if not config.grows else 0.0,
         )
-        self.registry = EndpointRegistry()
-        self.sources: dict[str, EndpointSource] = {}
-        self.discovery: Discovery | None = None
-        if config.discovery is not None:
-            self.discovery = Discovery(
-                loop,
-                config.discovery,
-                config.names,
-                settings.endpoint_list_is_pushed,
-                config.known,
-                partial(self.receive_update, Discovery.name),
-            )
-            self.add_source(self.discovery)
-        self.peers: asyncio.DatagramTransport | None = None
+        self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
+        self.peers = PeerMessenger(config, settings.may_message, loop, self.feed)
         self.requests: dict[str, Request] = {}
         self.open_requests = 0  # requests that are owed an answer
-        # Told of each change by hand: the host's name, whose wish, and whether it is out now.
-        self.manual_drain_listeners: list[Callable[[str, str, bool], None]] = []
         self.client_address: Address | None = None  # where clients come in, once it is known
         self.shutdown_us = FOR_EVER_US  # by when all has to be answered: the process is killed soon after
         self.accepted_count = 0
@@ -242,11 +124,6 @@
         )
         # Whether this gateway may act: the epoch of its rules, or -1. None: nobody else has a say in it.
         self.current_epoch: Callable[[], int] | None = None
-        # Offered what a source says; True: it is heard elsewhere, and told by `heard`.
-        self.intercept_update: Callable[[str, EndpointUpdate], bool] | None = None
-        self.may_follow: Callable[[str], bool] = lambda source: True  # whether a source is to be asked at all
-        # Asked before a host is put back by hand; False: somebody else will do it.
-        self.may_undrain: Callable[[str, str], bool] | None = None
         self.events: deque[Event] = deque()
         self.is_dispatching = False
 
@@ -255,20 +132,9 @@
         self.current_epoch = acting
         self.upstream.current_epoch = acting
 
-    def add_source(self, source: EndpointSource) -> None:
-        """A further source of hosts, before the start. What it says it hands to `hear`, under its name."""
-        self.sources[source.name] = source
-        self.registry.add_source(source.name, source.rank, source.dynamic, source.fallback)
-
     async def start(self) -> None:
-        if self.settings.may_message and self.config.peer_listen is not None:
-            self.peers, _ = await self.loop.create_datagram_endpoint(
-                lambda: PeerProtocol(self.on_datagram),
-                local_addr=self.config.peer_listen,
-                reuse_port=self.config.console is not None or None,  # with a process that takes over
-            )
-        for source in self.sources.values():
-            source.start()
+        await self.peers.start()
+        self.directory.start()
         self.loop.call_later(SWEEP_S, self.clean_up)
 
     def clean_up(self) -> None:
@@ -277,13 +143,7 @@
 
     def reload(self, config: Config) -> None:
         """A new configuration: hosts, connections and the balancer stay; what can be followed is."""
-        if (
-            self.discovery is not None
-            and config.discovery is not None
-            and config.discovery != self.discovery.address
-        ):
-            log.info("discovery has moved to %s:%d", *config.discovery)
-            self.discovery.move(config.discovery)
+        self.directory.reload(config)
         for name in needs_restart(self.config, config):
             log.warning("the new configuration changes %s: that needs a restart", name)
         if config.grows:
@@ -303,11 +163,9 @@
         )
 
     def close(self) -> None:
-        for source in self.sources.values():
-            source.close()
+        self.directory.close()
         self.upstream.close()
-        if self.peers is not None:
-            self.peers.close()
+        self.peers.close()
 
     def waiting_count(self) -> int:
         """Requests that are owed an answer and are with no host at the moment."""
@@ -317,8 +175,8 @@
 
     @property
     def ready(self) -> bool:
-        known = bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
-        return known and (self.current_epoch is None or self.current_epoch() >= 0)
+        """Whether clients may be sent here."""
+        return self.directory.is_current and (self.current_epoch is None or self.current_epoch() >= 0)
 
     # Events in, actions out
 
@@ -376,18 +234,15 @@
             case ExtendTimeout():
                 self.extend(action)
             case WatchEndpoints():
-                for source in self.sources.values():
-                    source.watch(action.on and self.may_follow(source.name))
+                self.directory.watch(action.on)
             case FetchEndpoints():
-                for source in self.sources.values():
-                    if self.may_follow(source.name):
-                        source.fetch()
+                self.directory.fetch()
             case HealthCheck():
                 self.check_health(action.endpoint_id)
             case CloseIdleConnections():
                 self.upstream.close_idle(action.endpoint_id)
             case SendPeerMessage():
-                self.send_to_peers(action)
+                self.peers.send(action)
             case Log():
                 log.info("%s", action.line)
 
@@ -626,64 +481,6 @@
         payload = b"GET " + path + b" HTTP/1.1\r\nHost: service.internal\r\n\r\n"
         self.upstream.send(server, payload, PROBE_TIMEOUT_S, ended)
 
-    # The list, peers
-
-    def receive_update(self, source: str, update: EndpointUpdate) -> None:
-        """A source of hosts says something.
-
-        That another source than the platform fails, or has nothing new, is between it and the roster: the
-        balancer's answer to a failure is to ask the platform again.
-        """
-        if self.intercept_update is None or not self.intercept_update(source, update):
-            self.apply_update(source, update)
-
-    def apply_update(self, source: str, update: EndpointUpdate) -> None:
-        """What is believed of a source, whoever tells it."""
-        update = self.registry.receive(self.clock.now_us(), source, update)
-        if source == PLATFORM or update.entries or update.kind is EndpointListKind.FULL:
-            self.publish_update(update)
-
-    def drain(self, name: str, by: str, action: str = "") -> None:
-        """Drain a host by hand: in effect when this returns.
-
-        Raises EndpointRegistryError for a host that is unknown.
-        """
-        was = name in self.registry.drains
-        self.publish_update(self.registry.drain(self.clock.now_us(), name, by, action))
-        self._notify_manual_drain(name, by, was)
-
-    def undrain(self, name: str, by: str) -> None:
-        """Undo a drain by hand. Raises EndpointRegistryError for a host that is unknown."""
-        if self.may_undrain is not None and not self.may_undrain(name, by):
-            return
-        was = name in self.registry.drains
-        self.publish_update(self.registry.undrain(name))
-        self._notify_manual_drain(name, by, was)
-
-    def _notify_manual_drain(self, name: str, by: str, was: bool) -> None:
-        out = name in self.registry.drains
-        for tell in self.manual_drain_listeners if out is not was else ():
-            tell(name, by, out)
-
-    def publish_update(self, update: EndpointUpdate) -> None:
-        if update.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
-            self.upstream.drain_unlisted(entry.listed.endpoint_id for entry in update.entries)
-        for entry in update.entries:
-            server = entry.listed
-            self.upstream.update_endpoint(server.endpoint_id, entry.address, server.status, entry.protocol)
-        self.feed(update.as_event())
-
-    def send_to_peers(self, action: SendPeerMessage) -> None:
-        to = self.config.peers_all if action.proxy is None else self.config.peers[action.proxy]
-        if len(action.data) > PEER_LIMIT:
-            raise ValueError(f"a message of {len(action.data)} bytes is too long")
-        if self.settings.may_message and self.peers is not None and to is not None:
-            self.peers.sendto(action.data, to)
-
-    def on_datagram(self, data: bytes, sender: Address) -> None:
-        if len(data) <= PEER_LIMIT and sender in self.config.peers:
-            self.feed(PeerMessage(self.config.peers.index(sender), data))
-
 
 def parse_report(text: bytes) -> tuple[tuple[str, float], ...]:
     return parse_load(text.decode("latin-1").replace("=", ":"))
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgergap.proxy.proxy import AttemptListener
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import AnswerHead, Download, Headers, Upload
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange
 from badgergap.balancing.interface import Outcome
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -17,7 +17,7 @@
 
 import httptools
 
-from badgergap.proxy.proxy import AttemptListener
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
 from badgergap.proxy.upstream.connection_pool import (
     HEAD_LIMIT,
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -168,7 +168,7 @@
 
     def _box(self, number: int) -> str:
         for proxy in self.room.group.proxies().values():
-            for view in proxy.registry.view():
+            for view in proxy.directory.registry.view():
                 if view.entry.listed.endpoint_id == number:
                     return view.entry.name
         return f"a box that is gone ({number:x})"
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -20,7 +20,9 @@
 from badgergap.replication.idempotent_request import End, Once, Request
 from badgergap.replication.idempotency_record import Record, Repeats
 from badgergap.replication.service import CopiesRoom
-from badgergap.proxy.proxy import OUT_OF_TOUCH, TRANSIT_US, AttemptListener, plain, refused
+from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
+from badgergap.proxy.proxy import TRANSIT_US
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt
 from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
--- a/badgergap/rollout/metrics.py
+++ b/badgergap/rollout/metrics.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Mapping
 
-from badgergap.proxy.proxy import Observer
+from badgergap.proxy.requests import Observer
 from badgergap.balancing.interface import Outcome
 from badgergap.rollout.analysis import CLASSES_MOST, Block, Counts
 
--- a/badgergap/site/source.py
+++ b/badgergap/site/source.py
@@ -74,7 +74,7 @@
 
     def join(self, proxy: Proxy) -> None:
         if self.store is not None:
-            proxy.registry.restore(self.store.load())
+            proxy.directory.registry.restore(self.store.load())
         config, site = proxy.config, self.site()
         fallback = site.etcd is not None and site.etcd.boxes_of_this_file == "until-heard"
         if self.pool is not None:
@@ -84,9 +84,9 @@
             config.names,
             config.settings.zone,
             fallback,
-            partial(proxy.receive_update, FileSource.name),
+            partial(proxy.directory.receive_update, FileSource.name),
         )
-        proxy.add_source(self.source)
+        proxy.directory.add_source(self.source)
 
     def boxes(self) -> list[BoxTable]:
         return [box for box in self.site().boxes if (box.pool or MAIN) == (self.pool or MAIN)]
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -22,7 +22,7 @@
 from badgergap.proxy.downstream.client_connection import LINGER_S
 from badgergap.proxy.downstream.response_writer import REASONS, Downward, Written
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.proxy import plain, refused
+from badgergap.proxy.gateway_responses import plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
 from badgergap.proxy.upstream.connection_pool import Answer
 from badgergap.proxy.header_fields import BadHead, trailers
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -187,9 +187,11 @@
     entries = tuple(room.source.hosts.good.values())
     it.close()
     whole = proxy()
-    whole.registry.add_source("whole", 0, True)
+    whole.directory.registry.add_source("whole", 0, True)
     began = time.perf_counter()
-    whole.publish_update(whole.registry.receive(1, "whole", EndpointUpdate(EndpointListKind.FULL, entries)))
+    whole.directory.publish_update(
+        whole.directory.registry.receive(1, "whole", EndpointUpdate(EndpointListKind.FULL, entries))
+    )
     at_once = time.perf_counter() - began
     assert store.stdin is not None
     store.stdin.close()
--- a/tests/admin/test_room.py
+++ b/tests/admin/test_room.py
@@ -154,7 +154,7 @@
             reply = await admin.ask(**fields)
             assert not reply["ok"] and reply["error"]["code"] == code and reply["error"]["text"]
             assert reply.get("id", "") == ("" if fields.get("id") else "1")
-            assert (await admin.ask(do="snapshot"))["ok"] and not it.proxy.registry.drains
+            assert (await admin.ask(do="snapshot"))["ok"] and not it.proxy.directory.registry.drains
 
     run(test())
 
@@ -165,7 +165,7 @@
             admin = await caller(room)
             assert (await admin.ask(do="drain", box="h0", by="a", action="x1"))["ok"]
             refused = await admin.ask(do="drain", box="h1", by="a", action="x2")
-            assert refused["error"]["code"] == "last-box" and "h1" not in it.proxy.registry.drains
+            assert refused["error"]["code"] == "last-box" and "h1" not in it.proxy.directory.registry.drains
             assert (await admin.ask(do="drain", box="h1", by="a", action="x2", even_last=True))["ok"]
             shown = (await admin.ask(do="snapshot"))["result"]
             assert shown["problems"][-1] == "No box serves: every request is refused."
@@ -189,7 +189,7 @@
                 seen = 0
                 while seen < 20:
                     seen += (await each.hear()).get("id", "").startswith("w")
-            state = "drained" if "h0" in it.proxy.registry.drains else "untried"
+            state = "drained" if "h0" in it.proxy.directory.registry.drains else "untried"
             shown = [(await (await caller(room)).ask(do="snapshot"))["result"]["boxes"][0]["state"]]
             room.story.tell(0, "the last look")
             room.refresh()
@@ -233,7 +233,7 @@
             admin = await caller(room)
             disk.error = OSError(28, "No space left on device")
             reply = await admin.ask(do="drain", box="h0", by="a", action="x1")
-            assert reply["ok"] and "h0" in it.proxy.registry.drains
+            assert reply["ok"] and "h0" in it.proxy.directory.registry.drains
             assert (reply["result"]["kept"], reply["result"]["not_kept"]) == (
                 False,
                 "No space left on device",
@@ -262,7 +262,7 @@
             for n in range(4):
                 reply = await admin.ask(do="drain", box=f"h{n}", by="a", action=f"x{n}")
                 assert reply["result"]["not_kept"] == "the disk takes too long"
-                assert f"h{n}" in it.proxy.registry.drains
+                assert f"h{n}" in it.proxy.directory.registry.drains
             disk.gate.set()
             reply = await admin.ask(do="drain", box="h0", by="a", action="y")
             while not disk.saved or len(disk.saved[-1]) < 4:
@@ -275,7 +275,7 @@
 def test_drains_that_were_kept_hold_from_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         async with gateway(hosts=2) as it:
-            it.proxy.registry.restore([ManualDrain("h0", "anna", 5, "a1")])
+            it.proxy.directory.registry.restore([ManualDrain("h0", "anna", 5, "a1")])
             room = AdminRoom(tmp_path / "s", it.proxy.config, Figures(()), None)
             room.join(it.proxy)
             assert room.actions.result("a1").box == "h0"
@@ -427,8 +427,8 @@
                 message = await admin.hear()
                 replies += message.get("push") != "snapshot"
                 assert message.get("ok", True) or message["error"]["code"] != "failed", message
-            for name in list(it.proxy.registry.drains):
-                it.proxy.undrain(name, "test")
+            for name in list(it.proxy.directory.registry.drains):
+                it.proxy.directory.undrain(name, "test")
             await it.served(await it.client())
 
     run(test())
@@ -540,7 +540,9 @@
             client = await it.client()
             client.send(request())
             (await it.host.taken.get()).answer()
-            assert (await it.event(AttemptEnded)).endpoint_id == it.proxy.registry.entry("h1").listed.endpoint_id  # type: ignore[union-attr]
+            assert (await it.event(AttemptEnded)).endpoint_id == it.proxy.directory.registry.entry(
+                "h1"
+            ).listed.endpoint_id  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -88,7 +88,7 @@
 
     def known(self) -> dict[str, str]:
         """What the gateway would send to, or drain: by name."""
-        views = (view.entry for view in self.proxy.registry.view())
+        views = (view.entry for view in self.proxy.directory.registry.view())
         return {e.name: e.listed.status.value for e in views if e.listed.status is not EndpointStatus.GONE}
 
     def truth(self) -> dict[str, str]:
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -110,7 +110,7 @@
         async with site(count=4, static=("box-1", "box-2"), etcd=etcd) as it:
             for name in it.boxes:
                 it.put(name)
-            while not it.proxy.registry.sources["etcd"].failing_since_us:
+            while not it.proxy.directory.registry.sources["etcd"].failing_since_us:
                 await asyncio.sleep(0.01)
             assert it.known() == {"box-1": "ready", "box-2": "ready"}
 
@@ -123,7 +123,7 @@
                     await asyncio.sleep(0.01)
 
             await under_load(it, work())
-            assert it.proxy.registry.sources["etcd"].failing_since_us == 0
+            assert it.proxy.directory.registry.sources["etcd"].failing_since_us == 0
 
     run(test())
 
@@ -352,7 +352,7 @@
         async with site(static=("box-2",)) as it:
             await _until(lambda: "box-1" in it.known())
             if by_hand:
-                it.proxy.drain("box-1", "anna")
+                it.proxy.directory.drain("box-1", "anna")
             if etcd == "deleted":
                 it.delete("box-1")
             else:
@@ -369,7 +369,7 @@
                 from badgergap.proxy.endpoints.discovery import parse_list
 
                 news = parse_list({"snapshot": False, "endpoints": [entry]}, it.proxy.config.names)
-                it.proxy.receive_update("platform", news)
+                it.proxy.directory.receive_update("platform", news)
             assert it.known().get("box-1", "gone") == holds
 
     async def _until(holds: object) -> None:
--- a/tests/h3/test_boxes.py
+++ b/tests/h3/test_boxes.py
@@ -175,7 +175,7 @@
             asked = [asyncio.create_task(ask(it, "POST", "/upload", b"r")) for _ in range(20)]
             while not it.proxy.balancer.servers[number(it, hidden.name)].out:
                 await asyncio.sleep(0.01)
-            it.proxy.drain(hidden.name, "test")
+            it.proxy.directory.drain(hidden.name, "test")
             await asyncio.sleep(0.55)
             relay.out.black_hole = False  # the handshake goes on, and nothing that waited for it
             assert {status for status, _ in await asyncio.gather(*asked)} <= {200, 503}
@@ -228,7 +228,7 @@
 
 
 def number(it: Site, name: str) -> int:
-    entry = it.proxy.registry.entry(name)
+    entry = it.proxy.directory.registry.entry(name)
     assert entry is not None
     return entry.listed.endpoint_id
 
@@ -254,7 +254,7 @@
             app: App = it.apps[0]
             while not (box.runs and app.runs):
                 assert (await ask(it))[0] == 200
-            it.proxy.drain(app.name, "test")
+            it.proxy.directory.drain(app.name, "test")
             for fault in ("cut", "short"):
                 box.fault = fault
                 it.forgive()
@@ -262,8 +262,8 @@
                     await ask(it, "GET", "/file?n=2000000")
             box.fault = ""
             it.forgive()
-            it.proxy.undrain(app.name, "test")
-            it.proxy.drain(box.name, "test")
+            it.proxy.directory.undrain(app.name, "test")
+            it.proxy.directory.drain(box.name, "test")
             await asyncio.sleep(0.55)
             before = len(box.runs)
             answers: Sequence[tuple[int, bytes]] = await asyncio.gather(*(ask(it) for _ in range(30)))
--- a/tests/h3/test_run.py
+++ b/tests/h3/test_run.py
@@ -171,11 +171,11 @@
                     await asyncio.sleep(0.1)
                     app.fault = ""
                 case 3:
-                    s.it.proxy.drain(app.name, "test")
+                    s.it.proxy.directory.drain(app.name, "test")
                     at = time.monotonic()
                     await asyncio.sleep(GRACE_S + 0.3)
                     drained.append((app.name, at, time.monotonic()))
-                    s.it.proxy.undrain(app.name, "test")
+                    s.it.proxy.directory.undrain(app.name, "test")
                 case 4:
                     relay.rebind()
             await asyncio.sleep(0.05)
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -444,7 +444,7 @@
             assert it.downstream.elsewhere >= 100 and it.proxy.upstream.connections_elsewhere == 50
             assert it.downstream.limit <= limit - 100
             old.send({"hand": ["h0", "anna", True]})
-            while not it.proxy.registry.drains:
+            while not it.proxy.directory.registry.drains:
                 await asyncio.sleep(0.001)
             old.close()
             while it.proxy.upstream.connections_elsewhere:
--- a/tests/joining/test_joins.py
+++ b/tests/joining/test_joins.py
@@ -429,11 +429,11 @@
                     await asyncio.sleep(0.05)
                     await app.revive()
                 else:
-                    it.proxy.drain(app.name, "test")
+                    it.proxy.directory.drain(app.name, "test")
                     at = time.monotonic()
                     await asyncio.sleep(0.1)
                     assert all(each.at <= at + 0.02 for each in app.runs)
-                    it.proxy.undrain(app.name, "test")
+                    it.proxy.directory.undrain(app.name, "test")
                 it.forgive()
             over = True
             await asyncio.gather(*tasks)
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -95,13 +95,17 @@
             assert await call(address, b"DETACH h0\n") == b"ok h0 is out\n"
             assert await call(address, b"DETACH h0\n") == b"ok h0 was out already\n"
             _, watch = await it.registry.watches.get()
-            numbers = {e.name: e.listed.endpoint_id for e in it.proxy.registry._merged(["h0", "h1"])}
+            numbers = {
+                e.name: e.listed.endpoint_id for e in it.proxy.directory.registry._merged(["h0", "h1"])
+            }
             for index, since_ms in enumerate([0, 5, 6]):
                 said = news(
                     entry("h0", it.host.address, since_ms=since_ms, weight=1.0 + index), index=20 + index
                 )
                 watch.write(chunk(said))
-                while it.proxy.discovery is None or it.proxy.discovery.index != 20 + index:
+                while (
+                    it.proxy.directory.discovery is None or it.proxy.directory.discovery.index != 20 + index
+                ):
                     await asyncio.sleep(0.001)
                 for _ in range(20):
                     await it.served(client)
@@ -167,7 +171,7 @@
                 with pytest.raises(ConnectionError):
                     if await reader.read() == b"":
                         raise ConnectionResetError
-            assert it.proxy.registry.drains == {}
+            assert it.proxy.directory.registry.drains == {}
             for _, writer in held:
                 writer.transport.abort()
 
@@ -195,7 +199,7 @@
                 writer.write_eof()
             assert (await reader.readline()).startswith(b"fail ")
             writer.transport.abort()
-            assert it.proxy.registry.drains == {}
+            assert it.proxy.directory.registry.drains == {}
 
     run(test())
 
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -232,7 +232,10 @@
             address, port = second.address.split(":")
             second.stop()
             it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
-            while it.proxy.discovery is not None and it.proxy.discovery.current_watch is not None:  # refused
+            while (
+                it.proxy.directory.discovery is not None
+                and it.proxy.directory.discovery.current_watch is not None
+            ):  # refused
                 await asyncio.sleep(0.001)
             third = Registry()
             third.listener = await asyncio.start_server(third.accept, address, int(port))
@@ -309,7 +312,7 @@
                 watch.write(chunk(news(entry("h1", "nowhere"), entry("h2", it.host.address), index=9)))
                 assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert asked == [7, 7, 0, 0] and it.registry.watches.empty()
-            assert it.proxy.discovery is not None and it.proxy.discovery.index == 9
+            assert it.proxy.directory.discovery is not None and it.proxy.directory.discovery.index == 9
             watch.write(chunk(news(entry("h3", it.host.address), index=10)))
             assert await told(it) == (EndpointListKind.DELTA, ["h3 ready"])
 
@@ -348,7 +351,7 @@
             later = loop.call_later
 
             def noted(delay_s: float, call: Callable[..., object], *args: Any, **more: Any) -> Any:
-                if getattr(call, "__self__", None) is it.proxy.discovery:
+                if getattr(call, "__self__", None) is it.proxy.directory.discovery:
                     waits.append(delay_s)
                 return later(delay_s, call, *args, **more)
 
@@ -383,7 +386,10 @@
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
             assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert it.proxy.discovery is not None and it.proxy.discovery.previous_watch is None
+            assert (
+                it.proxy.directory.discovery is not None
+                and it.proxy.directory.discovery.previous_watch is None
+            )
             for registry in (second, third):
                 registry.stop()
 
@@ -410,7 +416,11 @@
             new.write(chunk(news(entry("h1", it.host.address))))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             await asyncio.sleep(0)
-            call = it.proxy.discovery.current_watch if it.proxy.discovery is not None else None
+            call = (
+                it.proxy.directory.discovery.current_watch
+                if it.proxy.directory.discovery is not None
+                else None
+            )
             assert call is not None and call.silence is not None
             assert call.silence.when() - it.proxy.loop.time() > 60.0  # the first word's time is over
             second.stop()
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -289,8 +289,8 @@
                     assert await loop.sock_recv(peer, 512) == message.data
                 with pytest.raises(ValueError, match="too long"):
                     it.proxy.carry_out(SendPeerMessage(bytes(257)))
-                assert it.proxy.peers is not None
-                to = it.proxy.peers.get_extra_info("sockname")
+                assert it.proxy.peers.transport is not None
+                to = it.proxy.peers.transport.get_extra_info("sockname")
                 stranger.sendto(b"from nobody", to)
                 peer.sendto(b"hello", to)
                 heard = await it.event(PeerMessage)
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -22,7 +22,7 @@
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy import unread_input
 from badgergap.proxy.downstream import client_connection
-from badgergap.proxy.proxy import AttemptListener
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.balancing.interface import (
@@ -480,12 +480,17 @@
             client = await it.client()
             ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
             assert (await client.ask(ready))[0] == 503
-            assert it.proxy.discovery is not None
+            assert it.proxy.directory.discovery is not None
             if says:
                 watch.write(chunk(news(index=8)))
-                await until(lambda: it.proxy.discovery is not None and it.proxy.discovery.index == 8)
+                await until(
+                    lambda: it.proxy.directory.discovery is not None
+                    and it.proxy.directory.discovery.index == 8
+                )
             else:
-                it.proxy.discovery.current_at = it.proxy.loop.time()  # it was waited for long enough
+                it.proxy.directory.discovery.current_at = (
+                    it.proxy.loop.time()
+                )  # it was waited for long enough
             assert (await client.ask(ready))[0] == 200
 
     run(test())
--- a/tests/web/test_clients.py
+++ b/tests/web/test_clients.py
@@ -90,7 +90,7 @@
             async with websockets.connect(uri) as ann, websockets.connect(uri) as ben:
                 await ann.send("round 4")
                 assert await ann.recv() == await ben.recv() == "round 4"
-                it.proxy.drain("app-0", "test")  # what is open stays open
+                it.proxy.directory.drain("app-0", "test")  # what is open stays open
                 await ben.send("x" * 300_000)
                 assert len(await ann.recv()) == 300_000
                 assert it.proxy.balancer.out == 0  # a chat is no load
@@ -194,7 +194,7 @@
                 f'name = "{side.name}"\naddress', 'name = "other"\naddress'
             )
             await it.reload(text)
-            assert proxy.registry.endpoint_count == 1
+            assert proxy.directory.registry.endpoint_count == 1
 
     run(test(), 60)
 
--- a/tests/web/test_run.py
+++ b/tests/web/test_run.py
@@ -84,11 +84,11 @@
                 await asyncio.sleep(draw.uniform(0.05, 0.3))
                 await app.revive()
             case "drain":
-                it.proxy.drain(app.name, "test")
+                it.proxy.directory.drain(app.name, "test")
                 began = time.monotonic()
                 await asyncio.sleep(GRACE_S + draw.uniform(0.1, 0.3))
                 ledger.drained.append((app.name, began + GRACE_S, time.monotonic()))
-                it.proxy.undrain(app.name, "test")
+                it.proxy.directory.undrain(app.name, "test")
             case "reload":
                 await it.reload(
                     text.replace('given_up_after = "20s"', f'given_up_after = "{draw.randint(20, 22)}s"')
