--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -39,7 +39,8 @@
 
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
-from badgergap.proxy.upstream.connection_pool import Answer, Endpoint, Upstream
+from badgergap.proxy.upstream.connection_pool import Endpoint, Upstream
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.h3.driver import Driver, Sender
 from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
 from badgergap.balancing.interface import Outcome
--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -18,7 +18,7 @@
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 from badgergap.proxy.gateway_responses import plain
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.h3.endpoint import Link, User, address_of
 from badgergap.h3.library import CONNECTION_WINDOW, Http, Malformed
 from badgergap.h3.rules import CHURN, CHURN_BURST, Budget
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -18,7 +18,7 @@
 from badgergap.proxy.proxy import Proxy, TRANSIT_US
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import Client
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.joining.group import Act, Do, Group, State
 from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
--- a/badgergap/ordinary/heads.py
+++ b/badgergap/ordinary/heads.py
@@ -24,7 +24,7 @@
 
 from badgergap.proxy.header_fields import FORWARDED, HOP, KEPT, OWN, TOKEN, VALUE, BadHead, ForBox
 from badgergap.proxy.body_streams import AnswerHead, Headers
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 
 STREAM_NEVER = (b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade")
 ID = re.compile(rb"[!-~]{1,128}")
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -21,7 +21,8 @@
 from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
 from badgergap.proxy.body_streams import DownloadSource, Upload
 from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt, ExchangeSpec, is_early
-from badgergap.proxy.upstream.connection_pool import Exchange, Upstream
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Exchange
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 
 log = logging.getLogger(__name__)
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -13,7 +13,7 @@
 from badgergap.proxy.gateway_responses import plain, refused
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Launch, RequestSpec
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.ordinary.heads import request_id
 from badgergap.ordinary.plan import WebPlan, choose, turns_to_spare
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -29,7 +29,8 @@
 from badgergap.proxy.requests import AttemptListener, Request
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import StreamAttempt, ExchangeSpec, is_early
-from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
--- a/badgergap/proxy/gateway_responses.py
+++ b/badgergap/proxy/gateway_responses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 
 OUT_OF_TOUCH = "this gateway is out of touch with its group"
 RETRY_AFTER = b"1"  # seconds, where the balancer names no time; the least that every client understands
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -24,7 +24,6 @@
     Fail,
     FetchEndpoints,
     HealthCheck,
-    HealthCheckEnded,
     Log,
     Outcome,
     Reject,
@@ -44,10 +43,12 @@
 from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import Budget, total_of
+from badgergap.proxy.load_reports import parse_report
 from badgergap.proxy.peer_messages import PeerMessenger
 from badgergap.proxy.requests import Observer, Reply, Request, RequestSpec
-from badgergap.proxy.upstream.connection_pool import REST_S, Answer, Upstream
-from badgergap.simulator.codec import parse_load
+from badgergap.proxy.upstream.connection_pool import REST_S, Upstream
+from badgergap.proxy.upstream.exchange import Answer
+from badgergap.proxy.upstream.health_check import HealthChecker
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +56,6 @@
 TRANSIT_US = 4_000
 # After the balancer's own limits, before the client's: the answer of last resort.
 LAST_RESORT_US = 2_000
-PROBE_TIMEOUT_S = 1.0
 FOR_EVER_US = 2**62
 SWEEP_S = 1.0
 
@@ -114,6 +114,9 @@
         )
         self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
         self.peers = PeerMessenger(config, settings.may_message, loop, self.feed)
+        self.health_checker = HealthChecker(
+            self.upstream, settings.reports.mode, self.clock.now_us, self.feed
+        )
         self.requests: dict[str, Request] = {}
         self.open_requests = 0  # requests that are owed an answer
         self.client_address: Address | None = None  # where clients come in, once it is known
@@ -238,7 +241,8 @@
             case FetchEndpoints():
                 self.directory.fetch()
             case HealthCheck():
-                self.check_health(action.endpoint_id)
+                if self.settings.may_probe:
+                    self.health_checker.check(action.endpoint_id)
             case CloseIdleConnections():
                 self.upstream.close_idle(action.endpoint_id)
             case SendPeerMessage():
@@ -466,21 +470,3 @@
         if answer is None or self.settings.reports.mode is not ReportMode.ANSWERS:
             return ()
         return parse_report(answer.header(b"server-load"))
-
-    def check_health(self, server: int) -> None:
-        if not self.settings.may_probe:
-            return
-        reports = self.settings.reports.mode is not ReportMode.NONE
-        sent_us = self.clock.now_us()
-
-        def ended(outcome: Outcome, answer: Answer | None) -> None:
-            load = parse_report(answer.body) if reports and answer is not None else ()
-            self.feed(HealthCheckEnded(server, outcome, self.clock.now_us() - sent_us, load))
-
-        path = b"/stats" if reports else b"/health/live"
-        payload = b"GET " + path + b" HTTP/1.1\r\nHost: service.internal\r\n\r\n"
-        self.upstream.send(server, payload, PROBE_TIMEOUT_S, ended)
-
-
-def parse_report(text: bytes) -> tuple[tuple[str, float], ...]:
-    return parse_load(text.decode("latin-1").replace("=", ":"))
--- a/badgergap/proxy/requests.py
+++ b/badgergap/proxy/requests.py
@@ -21,7 +21,8 @@
 from typing import Protocol
 
 from badgergap.balancing.interface import Outcome
-from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 
 # Gives a request its final answer, complete.
 Reply = Callable[[Answer], None]
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -11,23 +11,17 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from operator import attrgetter
-from typing import Protocol, cast
+from typing import cast
 
-import httptools
 
 from badgergap.proxy.limits.memory import Budget, Reads
 from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy import unread_input
-from badgergap.balancing.interface import Outcome, EndpointStatus
+from badgergap.balancing.interface import EndpointStatus, Outcome
+from badgergap.proxy.upstream.exchange import Exchange
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 64 * 1024
-HEAD_LIMIT = 16 * 1024
-# An answer with its framing. Guards against a header, a chunk extension or a trailer that does not end and
-# would grow inside the parser.
-RAW_LIMIT = 2 * HEAD_LIMIT + 2 * BODY_LIMIT
-INTERIM_LIMIT = 8  # answers of the kind 1xx ahead of the final one
 NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 # Part of the time after which hosts close idle connections. Guards against a request that crosses the host's
 # close: it would end as a reset, which may have run.
@@ -43,78 +37,6 @@
 EndpointId = int
 
 
-@dataclass(slots=True)
-class Answer:
-    status: int = 0
-    headers: list[tuple[bytes, bytes]] = field(default_factory=list)
-    body: bytes = b""
-
-    def header(self, name: bytes) -> bytes:
-        return next((value for key, value in self.headers if key == name), b"")
-
-
-Ended = Callable[[Outcome, Answer | None], None]
-
-
-def outcome_of(answer: Answer) -> Outcome:
-    if answer.status == 200:
-        return Outcome.SUCCESS
-    if answer.status in (503, 504) and answer.header(b"not-started").strip() == b"1":
-        return Outcome.REJECTED
-    return Outcome.ERROR
-
-
-class Carrier(Protocol):
-    """What an exchange is out on."""
-
-    def abort(self) -> None:
-        """It is not wanted any more: end it in a way that the host can tell."""
-
-
-class Exchange:
-    """One request to one host."""
-
-    __slots__ = ("_ended", "connection", "done", "payload", "timer", "unwanted", "written")
-
-    def __init__(self, payload: bytes, ended: Ended) -> None:
-        self.payload = payload
-        self._ended = ended
-        self.connection: Carrier | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.written = False  # the last byte has left the process: from here on it may have run
-        self.done = False
-        self.unwanted = False
-
-    def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
-        if self.done:
-            return
-        self.done = True
-        if self.timer is not None:
-            self.timer.cancel()
-        self._ended(outcome, answer)
-
-    def unwant(self) -> None:
-        """Its request is over: what has not been sent is not sent any more."""
-        self.unwanted = True
-
-    def lost(self) -> None:
-        """The connection has gone, or what came on it was no answer."""
-        self.end(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
-
-    def never_sent(self) -> None:
-        """Nothing was tried, for a reason that lies with this gateway: the host is not to blame."""
-        self.end(Outcome.NEVER_SENT)
-
-    def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting: the host learns of it by the close of its connection."""
-        if self.done:
-            return
-        connection = self.connection
-        self.end(outcome if self.written or outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
-        if connection is not None:
-            connection.abort()
-
-
 class PooledConnection(asyncio.BaseProtocol):
     """One connection to a host, of whatever kind; carries one exchange at a time.
 
@@ -183,108 +105,6 @@
         return unread_input.is_quiet(self.transport)
 
 
-class HostConnection(PooledConnection, asyncio.Protocol):
-    """Exchanges whole, as probes are: a payload out, an answer of bounded size in."""
-
-    def __init__(self, pool: Upstream, host: Endpoint) -> None:
-        super().__init__(pool, host)
-        self.answer = Answer()
-        self.size = 0
-        self.raw = 0  # bytes since the request went out, however they are framed
-        self.interim = 0
-        self.chunks: list[bytes] = []
-        self.complete = False
-        self.keep_alive = False
-        self.parser = httptools.HttpResponseParser(self)
-
-    # Transport
-
-    def write(self, exchange: Exchange) -> None:
-        transport = self.transport
-        assert transport is not None
-        self.exchange = exchange
-        self.raw = self.interim = 0
-        exchange.connection = self
-        exchange.written = True  # unless pause_writing says otherwise from within write
-        transport.write(exchange.payload)
-        if transport.is_closing():  # the write itself met a broken connection
-            exchange.written = False
-
-    def pause_writing(self) -> None:
-        if self.exchange is not None:
-            self.exchange.written = False
-
-    def resume_writing(self) -> None:
-        if self.exchange is not None:
-            self.exchange.written = True
-
-    def data_received(self, data: bytes) -> None:
-        if self.exchange is None:  # nothing was asked
-            self.abort()
-            return
-        self.raw += len(data)
-        clean = True
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            clean = False
-        if self.complete:
-            # What comes right behind a whole answer spoils the connection, not the answer.
-            self.conclude(clean)
-        elif not clean or self.raw > RAW_LIMIT:
-            self.fail()
-
-    # Parser
-
-    def on_message_begin(self) -> None:
-        if self.complete:
-            # The parser turns it into its own error, and leaves the first answer as it is.
-            raise ValueError("a second answer to one request")
-        self.answer, self.chunks, self.size = Answer(), [], 0
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        self.answer.headers.append((name.lower(), value))
-        self.size += len(name) + len(value)
-        if self.size > HEAD_LIMIT:
-            raise ValueError("head too long")
-
-    def on_headers_complete(self) -> None:
-        self.size = 0
-        if self.parser.get_status_code() < 200:
-            self.interim += 1
-            if self.interim > INTERIM_LIMIT:
-                raise ValueError("too many interim answers")
-        elif (
-            int(self.answer.header(b"content-length") or 0) > BODY_LIMIT
-        ):  # the parser takes nothing but digits
-            raise ValueError("body too long")
-
-    def on_body(self, body: bytes) -> None:
-        self.chunks.append(body)
-        self.size += len(body)
-        if self.size > BODY_LIMIT:
-            raise ValueError("body too long")
-
-    def on_message_complete(self) -> None:
-        self.complete = self.parser.get_status_code() >= 200  # else an interim answer: the final one follows
-        # Asked here and not later: once the message is over the parser has forgotten how it was framed, and
-        # calls every connection one that closes.
-        self.keep_alive = self.parser.should_keep_alive()
-
-    def conclude(self, clean: bool) -> None:
-        """Only now that the parser has read all there was: the next request may go out on this connection."""
-        exchange, answer = self.exchange, self.answer
-        assert exchange is not None
-        answer.status = self.parser.get_status_code()
-        answer.body = b"".join(self.chunks)
-        self.exchange, self.complete = None, False
-        if clean and exchange.written and self.keep_alive:
-            self.pool.return_idle(self)
-        else:
-            self.abort()
-        exchange.end(outcome_of(answer), answer)
-
-
 @dataclass(slots=True, eq=False)
 class Endpoint:
     address: Address
@@ -367,11 +187,6 @@
 
     # Exchanges
 
-    def send(self, number: EndpointId, payload: bytes, timeout_s: float, ended: Ended) -> Exchange:
-        exchange = Exchange(payload, ended)
-        self.carry(number, exchange, timeout_s, HostConnection)
-        return exchange
-
     def carry(
         self, number: EndpointId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
     ) -> None:
--- /dev/null
+++ b/badgergap/proxy/upstream/health_check.py
@@ -0,0 +1,164 @@
+"""Health checks of endpoints over HTTP/1.1: one small GET, on connections that only health checks use."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import httptools
+
+from badgergap.balancing.interface import HealthCheckEnded, Outcome, ReportMode
+from badgergap.proxy.load_reports import parse_report
+from badgergap.proxy.upstream.connection_pool import Endpoint, EndpointId, PooledConnection, Upstream
+from badgergap.proxy.upstream.exchange import HEAD_LIMIT, INTERIM_LIMIT, Answer, Exchange
+
+TIMEOUT_S = 1.0
+BODY_LIMIT = 64 * 1024
+# A response with its framing. Guards against a header, a chunk extension or a trailer that does not end and
+# would grow inside the parser.
+RAW_LIMIT = 2 * HEAD_LIMIT + 2 * BODY_LIMIT
+
+
+class HealthChecker:
+    """Carries out the balancer's health checks, and feeds each result to it.
+
+    With load reports of any mode it asks for `/stats`, whose body is a report; otherwise for `/health/live`.
+    """
+
+    def __init__(
+        self,
+        upstream: Upstream,
+        mode: ReportMode,
+        now_us: Callable[[], int],
+        feed: Callable[[HealthCheckEnded], None],
+    ) -> None:
+        self._upstream = upstream
+        self._reports = mode is not ReportMode.NONE
+        self._now_us = now_us
+        self._feed = feed
+        path = b"/stats" if self._reports else b"/health/live"
+        self._payload = b"GET " + path + b" HTTP/1.1\r\nHost: service.internal\r\n\r\n"
+
+    def check(self, endpoint_id: EndpointId) -> None:
+        sent_us = self._now_us()
+
+        def ended(outcome: Outcome, answer: Answer | None) -> None:
+            load = parse_report(answer.body) if self._reports and answer is not None else ()
+            self._feed(HealthCheckEnded(endpoint_id, outcome, self._now_us() - sent_us, load))
+
+        exchange = Exchange(self._payload, ended)
+        self._upstream.carry(endpoint_id, exchange, TIMEOUT_S, HealthCheckConnection)
+
+
+class HealthCheckConnection(PooledConnection, asyncio.Protocol):
+    """Sends a payload, and reads a response of bounded size to its end.
+
+    Its own class beside that of streams: health checks and requests never share a connection.
+    """
+
+    def __init__(self, pool: Upstream, host: Endpoint) -> None:
+        super().__init__(pool, host)
+        self.answer = Answer()
+        self.size = 0
+        self.raw = 0  # bytes since the request went out, however they are framed
+        self.interim = 0
+        self.chunks: list[bytes] = []
+        self.complete = False
+        self.keep_alive = False
+        self.parser = httptools.HttpResponseParser(self)
+
+    # Transport
+
+    def write(self, exchange: Exchange) -> None:
+        transport = self.transport
+        assert transport is not None
+        self.exchange = exchange
+        self.raw = self.interim = 0
+        exchange.connection = self
+        exchange.written = True  # unless pause_writing says otherwise from within write
+        transport.write(exchange.payload)
+        if transport.is_closing():  # the write itself met a broken connection
+            exchange.written = False
+
+    def pause_writing(self) -> None:
+        if self.exchange is not None:
+            self.exchange.written = False
+
+    def resume_writing(self) -> None:
+        if self.exchange is not None:
+            self.exchange.written = True
+
+    def data_received(self, data: bytes) -> None:
+        if self.exchange is None:  # nothing was asked
+            self.abort()
+            return
+        self.raw += len(data)
+        clean = True
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError:
+            clean = False
+        if self.complete:
+            # What comes right behind a whole answer spoils the connection, not the answer.
+            self.conclude(clean)
+        elif not clean or self.raw > RAW_LIMIT:
+            self.fail()
+
+    # Parser
+
+    def on_message_begin(self) -> None:
+        if self.complete:
+            # The parser turns it into its own error, and leaves the first answer as it is.
+            raise ValueError("a second answer to one request")
+        self.answer, self.chunks, self.size = Answer(), [], 0
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        self.answer.headers.append((name.lower(), value))
+        self.size += len(name) + len(value)
+        if self.size > HEAD_LIMIT:
+            raise ValueError("head too long")
+
+    def on_headers_complete(self) -> None:
+        self.size = 0
+        if self.parser.get_status_code() < 200:
+            self.interim += 1
+            if self.interim > INTERIM_LIMIT:
+                raise ValueError("too many interim answers")
+        elif (
+            int(self.answer.header(b"content-length") or 0) > BODY_LIMIT
+        ):  # the parser takes nothing but digits
+            raise ValueError("body too long")
+
+    def on_body(self, body: bytes) -> None:
+        self.chunks.append(body)
+        self.size += len(body)
+        if self.size > BODY_LIMIT:
+            raise ValueError("body too long")
+
+    def on_message_complete(self) -> None:
+        self.complete = self.parser.get_status_code() >= 200  # else an interim answer: the final one follows
+        # Asked here and not later: once the message is over the parser has forgotten how it was framed, and
+        # calls every connection one that closes.
+        self.keep_alive = self.parser.should_keep_alive()
+
+    def conclude(self, clean: bool) -> None:
+        """Only now that the parser has read all there was: the next request may go out on this connection."""
+        exchange, answer = self.exchange, self.answer
+        assert exchange is not None
+        answer.status = self.parser.get_status_code()
+        answer.body = b"".join(self.chunks)
+        self.exchange, self.complete = None, False
+        if clean and exchange.written and self.keep_alive:
+            self.pool.return_idle(self)
+        else:
+            self.abort()
+        exchange.end(outcome_of(answer), answer)
+
+
+def outcome_of(answer: Answer) -> Outcome:
+    """What a health check's complete response says of its endpoint."""
+    if answer.status == 200:
+        return Outcome.SUCCESS
+    if answer.status in (503, 504) and answer.header(b"not-started").strip() == b"1":
+        return Outcome.REJECTED
+    return Outcome.ERROR
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -9,7 +9,7 @@
 
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import AnswerHead, Download, Headers, Upload
-from badgergap.proxy.upstream.connection_pool import Answer, Exchange
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 from badgergap.balancing.interface import Outcome
 
 EXPECT_S = 1.0  # for a box to say 100; some never do (RFC 9110 section 10.1.1), and the client is told anyway
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -19,15 +19,8 @@
 
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
-from badgergap.proxy.upstream.connection_pool import (
-    HEAD_LIMIT,
-    INTERIM_LIMIT,
-    Answer,
-    Exchange,
-    Endpoint,
-    PooledConnection,
-    Upstream,
-)
+from badgergap.proxy.upstream.connection_pool import Endpoint, PooledConnection, Upstream
+from badgergap.proxy.upstream.exchange import HEAD_LIMIT, INTERIM_LIMIT, Answer, Exchange
 from badgergap.balancing.interface import Outcome
 from badgergap.proxy.limits.memory import LEAST
 from badgergap.proxy.downstream.response_writer import last_chunk
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -25,7 +25,8 @@
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt
-from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 from badgergap.balancing.interface import Idempotency, Outcome, DeduplicationScope
 from badgergap.ordinary.turn import Guide, Turn, Way
 
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -24,7 +24,7 @@
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 from badgergap.proxy.gateway_responses import plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.proxy.header_fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, own_answer
 from badgergap.ordinary.turn import Turn
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -16,7 +16,7 @@
 from badgergap.proxy.lifecycle.config import Config, parse_config
 from badgergap.proxy.downstream.client_connection import Downstream
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.upstream.connection_pool import Exchange
+from badgergap.proxy.upstream.exchange import Exchange
 from badgergap.balancing.interface import EndpointStatus
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -10,7 +10,7 @@
 import pytest
 
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.upstream import connection_pool
+from badgergap.proxy.upstream import health_check
 from badgergap.proxy.downstream import client_connection
 from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
@@ -140,7 +140,7 @@
         async with gateway() as it:
             client = await it.client()
             client.send(ask("buy"))
-            (await it.host.taken.get()).raw(start + b"x" * connection_pool.RAW_LIMIT)
+            (await it.host.taken.get()).raw(start + b"x" * health_check.RAW_LIMIT)
             assert (await it.event(AttemptEnded)).outcome is Outcome.RESET
             assert (await client.answer())[0] == 502
 
