--- a/badgergap/etcd/values.py
+++ b/badgergap/etcd/values.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy.endpoints.discovery import STATUSES
+from badgergap.proxy.endpoints.endpoint_list import STATUSES
 from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
 from badgergap.balancing.interface import ListedEndpoint
 
--- /dev/null
+++ b/badgergap/proxy/endpoints/discovery_call.py
@@ -0,0 +1,144 @@
+"""One HTTP call to discovery, from its connection to its end."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+from typing import TYPE_CHECKING, cast
+
+import httptools
+
+from badgergap.proxy.endpoints.message_splitter import MessageSplitter
+
+if TYPE_CHECKING:
+    from badgergap.proxy.endpoints.discovery import Discovery
+
+log = logging.getLogger(__name__)
+
+# A watch sends a line every 2 s. Guards against one that is open and says nothing more, as when the machine
+# at its other end has vanished: the list would go stale unseen. A change counts as announced 6 s late at
+# the latest, and by then the next call should have been answered.
+SILENCE_S = 3.5
+CONNECT_S = 1.0
+MOVE_ANSWER_S = 1.5  # the same until the first answer of a service after a move
+LINE_LIMIT = 8 * 1024 * 1024
+
+
+class DiscoveryCall(asyncio.Protocol):
+    """One call to discovery: a watch that goes on, or the whole list once."""
+
+    def __init__(self, discovery: Discovery, target: str, watch: bool) -> None:
+        self.discovery = discovery
+        self.address = discovery.address
+        self.target = target
+        self.watch = watch
+        self.parser = httptools.HttpResponseParser(self)
+        self.transport: asyncio.Transport | None = None
+        self.buffer = bytearray()
+        self.messages = MessageSplitter()
+        self.partial_bytes = 0  # bytes of a message that is not complete
+        self.over = False
+        self.silent = False  # that is why it is over
+        self.answered = False  # it has said something of the list, or that there is nothing new
+        self.silence: asyncio.TimerHandle | None = None
+        self.task = discovery.loop.create_task(self.open())
+
+    async def open(self) -> None:
+        try:
+            async with asyncio.timeout(CONNECT_S):
+                await self.discovery.loop.create_connection(lambda: self, *self.address)
+        except (OSError, TimeoutError) as error:
+            self.fail(f"no connection: {error}")
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
+        if self.over:
+            self.transport.abort()
+            return
+        host, port = self.address
+        self.transport.write(f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
+        self.restart_silence_timer()
+
+    def restart_silence_timer(self) -> None:
+        if self.silence is not None:
+            self.silence.cancel()
+        moved = self.watch and not self.answered and self.discovery.moving_until
+        self.silence = self.discovery.loop.call_later(MOVE_ANSWER_S if moved else SILENCE_S, self.fall_silent)
+
+    def fall_silent(self) -> None:
+        self.silent = True
+        self.fail("silent for too long")
+
+    def data_received(self, data: bytes) -> None:
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            self.fail(f"malformed answer: {error}")
+        if not self.over:
+            self.restart_silence_timer()  # with the limit that holds after this answer
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self.fail("connection lost")
+
+    def on_headers_complete(self) -> None:
+        status = self.parser.get_status_code()
+        if status != 200:
+            self.fail(f"answered {status}")
+
+    def on_body(self, body: bytes) -> None:
+        if self.over:
+            return
+        self.buffer += body
+        self.answered = True
+        if len(self.buffer) + self.partial_bytes > LINE_LIMIT:
+            self.fail("a line too long")
+        elif self.watch:
+            *lines, rest = self.buffer.split(b"\n")
+            self.buffer = rest
+            for line in lines:
+                if not self.over:
+                    self.read_line(bytes(line))
+
+    def on_message_complete(self) -> None:
+        if self.over:
+            return
+        if self.watch:
+            self.fail("the watch ended")
+        else:
+            self.end()
+            if not self.read(bytes(self.buffer)):
+                self.discovery.on_call_failed(self)
+
+    def read_line(self, line: bytes) -> None:
+        try:
+            message = self.messages.add_line(line)
+        except ValueError as error:
+            log.warning("skipped what discovery said: %s", error)
+            self.discovery.on_unreadable(self)
+            message = None
+        self.partial_bytes = sum(map(len, self.messages.lines))
+        if message is not None and not self.read(message):
+            self.discovery.on_unreadable(self)
+
+    def read(self, text: bytes) -> bool:
+        try:
+            self.discovery.on_list(json.loads(text), self)
+        except (ValueError, RecursionError) as error:
+            log.warning("skipped what discovery said: %s: %.200r", error, text)
+            return False
+        return True
+
+    def end(self) -> None:
+        self.over = True
+        if self.silence is not None:
+            self.silence.cancel()
+        if self.transport is not None:
+            self.transport.abort()
+
+    def fail(self, why: str) -> None:
+        if self.over:
+            return
+        self.end()
+        log.info("discovery: %s", why)
+        self.discovery.on_call_failed(self)
--- a/badgergap/proxy/endpoints/registry.py
+++ b/badgergap/proxy/endpoints/registry.py
@@ -1,17 +1,17 @@
-"""The hosts as all sources together name them, and the drains by hand. Pure: no I/O, no clock.
+"""The endpoints as all sources together name them, and the drains by hand. Pure: no I/O, no clock.
 
 The rules, stated once:
 
-1. A host is known by its name. Of the sources that have spoken of it, that of the lowest rank is believed.
-2. A dynamic source that said a host is gone, or sent a whole list without it, has spoken: weaker sources do
-   not bring the host back until that source names it again. A static source that no longer names a host is
-   silent.
-3. A drain by hand turns a host that serves into one that is out, whatever any source says of it, under
-   whatever start time or address, until it is undone by hand. It never brings a host back that is gone.
-4. What a fallback source names counts only until a dynamic source has said something useful. Then its hosts
-   are gone, but for those that another source names.
-5. What goes on to the balancer keeps the kind of the update that caused it: a whole list stays a whole list
-   (of all that is known), a change names what changed.
+1. An endpoint is known by its name. Of the sources that have named it, that of the lowest rank is believed.
+2. A dynamic source that reported an endpoint gone, or sent a full list without it, still counts: weaker
+   sources do not bring the endpoint back until that source names it again. A static source that no longer
+   names an endpoint has no say about it.
+3. A drain by hand turns an endpoint that is ready into one that is out, whatever any source reports of it,
+   under whatever start time or address, until it is undone by hand. It never brings back one that is gone.
+4. What a fallback source names counts only until a dynamic source has sent an update that is no error. Then
+   its endpoints are gone, but for those that another source names.
+5. What goes on to the balancer keeps the kind of the update that caused it: a full list stays a full list (of
+   all that is known), a delta names what changed.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate
 from badgergap.balancing.interface import EndpointListKind, EndpointStatus
+from badgergap.errors import BadgergapError
+from badgergap.proxy.endpoints.sources import EndpointUpdate, Entry
 
-# Names a dynamic source has said are gone. Beyond it the oldest are forgotten: a weaker source that still
+# Names that a dynamic source reported gone. Beyond it the oldest are forgotten: a weaker source that still
 # names one of them is believed again.
 GONE_LIMIT = 1024
-# Drains by hand. Beyond it a further one is refused.
+# Drains by hand. Beyond it a further one is rejected.
 DRAIN_LIMIT = 1024
 
 
-class EndpointRegistryError(ValueError):
-    """What was asked by hand cannot be done; the text says why."""
+class EndpointRegistryError(BadgergapError, ValueError):
+    """A drain by hand, or its end, cannot be carried out; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What one source said last of one host. `at_us`: microseconds of the gateway's clock."""
+    """What one source reported last of one endpoint. `at_us`: microseconds of the gateway's clock."""
 
     entry: Entry
     at_us: int
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ManualDrain:
-    """A drain by hand: whose wish, when (microseconds of the gateway's clock), under which action id."""
+    """A drain by hand: of what, by whom, when (microseconds of the gateway's clock), by which action id."""
 
     name: str
     by: str
@@ -57,7 +58,10 @@
 
 @dataclass(slots=True)
 class SourceState:
-    """How a source does: when it last said something useful, and since when it fails (0: it does not)."""
+    """A source's records and health, both times in microseconds.
+
+    `last_update_us`: of its last update that was no error; `failing_since_us`: 0 while it does not fail.
+    """
 
     name: str
     rank: int
@@ -72,10 +76,11 @@
     def endpoint_count(self) -> int:
         return len(self.records) - len(self.gone)
 
-    def record(self, words: dict[str, EndpointRecord]) -> None:
-        self.records.update(words)
-        for name, word in words.items():
-            if word.gone:
+    def record(self, records: dict[str, EndpointRecord]) -> None:
+        """Take records in, each in place of the one before of the same name."""
+        self.records.update(records)
+        for name, record in records.items():
+            if record.gone:
                 self.gone.add(name)
             else:
                 self.gone.discard(name)
@@ -87,7 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedEndpoint:
-    """One host as merged. `said`: each source that has spoken of it, its status there, and when."""
+    """One endpoint as merged. `source` is the one believed.
+
+    `statements`: each source that has named it, the strongest first, with its status there, and when.
+    """
 
     entry: Entry
     source: str
@@ -96,6 +104,8 @@
 
 
 class EndpointRegistry:
+    """Merges what the sources report. Its methods return what has to be passed on."""
+
     def __init__(self) -> None:
         self.sources: dict[str, SourceState] = {}
         self.drains: dict[str, ManualDrain] = {}
@@ -104,49 +114,52 @@
         self.sources[name] = SourceState(name, rank, dynamic, fallback)
         self.sources = dict(sorted(self.sources.items(), key=lambda item: item[1].rank))
 
-    # What sources say
+    # What sources report
 
     def receive(self, now_us: int, source: str, update: EndpointUpdate) -> EndpointUpdate:
-        """Take what a source says; returns what the balancer and the upstream are to be told."""
+        """Take a source's update; returns what the balancer and the connections have to learn of it."""
         state = self.sources[source]
         if update.kind is EndpointListKind.ERROR:
             state.failing_since_us = state.failing_since_us or now_us
             return update
         ends_fallback = state.dynamic and not self._is_fallback_replaced()
         state.last_update_us, state.failing_since_us = now_us, 0
-        named = {entry.name: EndpointRecord(entry, now_us) for entry in update.entries}
+        records = {entry.name: EndpointRecord(entry, now_us) for entry in update.entries}
         if update.kind is not EndpointListKind.DELTA:
-            self._apply_absences(state, named, now_us)
-        state.record(named)
+            self._apply_absences(state, records, now_us)
+        state.record(records)
         self._trim_gone(state)
         if len(self.sources) == 1 and not self.drains:
-            return update  # nothing to merge: as the source said it
-        if update.kind is EndpointListKind.DELTA:
-            replaced = [n for s in self.sources.values() if s.fallback and ends_fallback for n in s.records]
-            return EndpointUpdate(
-                update.kind, (*self._merged(named), *self._merged(n for n in replaced if n not in named))
-            )
-        return EndpointUpdate(update.kind, self._listed())
+            return update  # nothing to merge: as the source reported it
+        if update.kind is not EndpointListKind.DELTA:
+            return EndpointUpdate(update.kind, self._listed())
+        entries = self._merged(records)
+        if ends_fallback:
+            entries += self._merged(name for name in self._fallback_names() if name not in records)
+        return EndpointUpdate(update.kind, entries)
+
+    def _fallback_names(self) -> list[str]:
+        return [name for state in self.sources.values() if state.fallback for name in state.records]
 
     def _is_fallback_replaced(self) -> bool:
-        """Whether a dynamic source has spoken, so that fallback sources no longer count."""
+        """Whether a dynamic source has sent an update, so that fallback sources no longer count."""
         return any(state.dynamic and state.last_update_us for state in self.sources.values())
 
     def _records_of(self, name: str) -> list[tuple[SourceState, EndpointRecord]]:
-        """Who speaks of a host, the strongest first; a fallback that no longer counts calls it gone."""
-        words = []
+        """The records of an endpoint, the strongest source first; a replaced fallback's count as gone."""
+        found = []
         for state in self.sources.values():
-            word = state.records.get(name)
-            if word is None:
+            record = state.records.get(name)
+            if record is None:
                 continue
             if state.fallback and self._is_fallback_replaced():
-                word = EndpointRecord(_with_status(word.entry, EndpointStatus.GONE), word.at_us)
-            words.append((state, word))
-        return words
+                record = EndpointRecord(_with_status(record.entry, EndpointStatus.GONE), record.at_us)
+            found.append((state, record))
+        return found
 
-    def _apply_absences(self, state: SourceState, named: dict[str, EndpointRecord], now_us: int) -> None:
-        """A whole list has come: what it lacks is gone, or for a static source no longer spoken of."""
-        for name in state.records.keys() - named.keys():
+    def _apply_absences(self, state: SourceState, records: dict[str, EndpointRecord], now_us: int) -> None:
+        """A full list has come: what it lacks is gone, or for a static source no longer named."""
+        for name in state.records.keys() - records.keys():
             if not state.dynamic:
                 state.forget(name)
             elif name not in state.gone:
@@ -154,17 +167,20 @@
                 state.record({name: EndpointRecord(entry, now_us)})
 
     def _trim_gone(self, state: SourceState) -> None:
+        """Forget the oldest of the names that are gone, beyond GONE_LIMIT."""
         excess = len(state.gone) - GONE_LIMIT
-        if excess > 0:
-            for name in sorted(state.gone, key=lambda name: (state.records[name].at_us, name))[:excess]:
-                state.forget(name)
+        if excess <= 0:
+            return
+        oldest_first = sorted(state.gone, key=lambda name: (state.records[name].at_us, name))
+        for name in oldest_first[:excess]:
+            state.forget(name)
 
     # By hand
 
     def drain(self, now_us: int, name: str, by: str, action: str = "") -> EndpointUpdate:
-        """Drain a host by hand; one that is drained already keeps its first drain.
+        """Drain an endpoint by hand; one that is drained already keeps its first drain.
 
-        Raises EndpointRegistryError for an unknown host, and beyond DRAIN_LIMIT.
+        Raises EndpointRegistryError for an unknown endpoint, and beyond DRAIN_LIMIT.
         """
         if name not in self.drains:
             entry = self.entry(name)
@@ -176,9 +192,9 @@
         return EndpointUpdate(EndpointListKind.DELTA, self._merged((name,)))
 
     def undrain(self, name: str) -> EndpointUpdate:
-        """Undo a drain by hand, also of a host that no source names any more.
+        """Undo a drain by hand, also of an endpoint that no source names any more.
 
-        Raises EndpointRegistryError for an unknown host.
+        Raises EndpointRegistryError for an unknown endpoint.
         """
         if name not in self.drains:
             entry = self.entry(name)
@@ -189,59 +205,63 @@
         return EndpointUpdate(EndpointListKind.DELTA, self._merged((name,)))
 
     def restore(self, drains: Iterable[ManualDrain]) -> None:
-        """Drains kept from before, told before any source speaks. Those beyond the limit are left out."""
+        """Take over drains kept from before, ahead of any update. Those beyond the limit are left out."""
         for drain in list(drains)[:DRAIN_LIMIT]:
             self.drains[drain.name] = drain
 
     # What is known
 
     def entry(self, name: str) -> Entry | None:
-        """The host as the balancer knows it, or None for one that no source has ever named."""
-        words = self._records_of(name)
-        return self._believed(name, words[0][1]) if words else None
+        """The endpoint as the balancer knows it, or None for one that no source has ever named."""
+        records = self._records_of(name)
+        return self._with_drain(name, records[0][1]) if records else None
 
-    def _believed(self, name: str, word: EndpointRecord) -> Entry:
-        entry = word.entry
+    def _with_drain(self, name: str, record: EndpointRecord) -> Entry:
+        """The entry that a record holds, out where it is drained by hand."""
+        entry = record.entry
         if name in self.drains and entry.listed.status is EndpointStatus.READY:
             return _with_status(entry, EndpointStatus.OUT)
         return entry
 
     def view(self, limit: int | None = None, gone_since_us: int = 0) -> tuple[MergedEndpoint, ...]:
-        """Hosts as merged: at most `limit`, those drained by hand first.
+        """Endpoints as merged: at most `limit`, those drained by hand first.
 
-        Of the hosts that are gone, those that the believed source has called so since `gone_since_us`.
+        Of the endpoints that are gone, those that the believed source has reported so since `gone_since_us`.
         """
         views: list[MergedEndpoint] = []
-        named = (name for s in self.sources.values() for name in s.records)
-        for name in dict.fromkeys((*(n for n in self.drains if self._records_of(n)), *named)):
+        drained = (name for name in self.drains if self._records_of(name))
+        named = (name for state in self.sources.values() for name in state.records)
+        for name in dict.fromkeys((*drained, *named)):
             if limit is not None and len(views) >= limit:
                 break
-            words = self._records_of(name)
-            first = words[0][1]
-            if first.gone and first.at_us < gone_since_us:
+            records = self._records_of(name)
+            source, believed = records[0]
+            if believed.gone and believed.at_us < gone_since_us:
                 continue
-            said = tuple((s.name, w.entry.listed.status, w.at_us) for s, w in words)
-            entry = self._believed(name, first)
-            views.append(MergedEndpoint(entry, said[0][0], said, self.drains.get(name)))
+            statements = tuple((state.name, each.entry.listed.status, each.at_us) for state, each in records)
+            entry = self._with_drain(name, believed)
+            views.append(MergedEndpoint(entry, source.name, statements, self.drains.get(name)))
         return tuple(views)
 
     @property
     def endpoint_count(self) -> int:
-        """How many hosts there are that are not gone."""
-        there, spoken = set[str](), set[str]()
+        """How many endpoints there are that are not gone."""
+        present: set[str] = set()
+        named: set[str] = set()  # by the stronger sources
         for state in self.sources.values():
             if not (state.fallback and self._is_fallback_replaced()):
-                there |= state.records.keys() - state.gone - spoken
-                spoken |= state.records.keys()
-        return len(there)
+                present |= state.records.keys() - state.gone - named
+                named |= state.records.keys()
+        return len(present)
 
     def _merged(self, names: Iterable[str]) -> tuple[Entry, ...]:
         entries = (self.entry(name) for name in names)
         return tuple(entry for entry in entries if entry is not None)
 
     def _listed(self) -> tuple[Entry, ...]:
-        names = dict.fromkeys(name for s in self.sources.values() for name in s.records)
-        return tuple(e for e in self._merged(names) if e.listed.status is not EndpointStatus.GONE)
+        names = dict.fromkeys(name for state in self.sources.values() for name in state.records)
+        merged = self._merged(names)
+        return tuple(entry for entry in merged if entry.listed.status is not EndpointStatus.GONE)
 
 
 def _with_status(entry: Entry, status: EndpointStatus) -> Entry:
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -1,7 +1,8 @@
-"""The pools of a gateway: one proxy each, with a balancer, hosts and connections of its own.
+"""The pools of a gateway: one proxy each, with a balancer, endpoints and connections of its own.
 
 The first is the main pool, the one that a gateway without pools consists of. The others come and go with the
-operator file. One that goes takes nothing new; it is closed once the last of its requests has ended.
+operator file. One that goes drains: it admits nothing new, and is closed once the last of its requests has
+ended.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 log = logging.getLogger(__name__)
 
 MAIN = "main"
-LEAVE_POLL_S = 0.25
+DRAIN_POLL_S = 0.25
 
 
 class PoolComponent(Protocol):
-    """Lets hosts into one pool: a room of the pool's own."""
+    """A component of one pool, such as a source of its endpoints."""
 
     def join(self, proxy: Proxy) -> None:
-        """Before the pool starts: add sources, restore what was kept."""
+        """Called before the pool starts: adds sources, restores what was kept."""
 
     async def start(self) -> None: ...
 
@@ -41,7 +42,7 @@
 class PoolPlan:
     """A pool as the operator file names it.
 
-    `feed` makes its feeders; a plan whose `same` is another one needs other feeders, and so another pool.
+    A plan whose `identity` differs from the one before needs other components, and so another pool.
     """
 
     name: str
@@ -77,16 +78,17 @@
         return {MAIN: self.main, **{name: pool.proxy for name, pool in self.pools.items()}}
 
     async def apply(self, plans: Sequence[PoolPlan], config: Config) -> None:
-        """The pools as they shall be from now on. Those that stay keep all that they have learnt."""
-        wanted = {plan.name: plan for plan in plans}
-        for name in [name for name, pool in self.pools.items() if not _stays(pool.plan, wanted.get(name))]:
+        """Have these pools from now on. Those that stay keep all that they have learned."""
+        planned = {plan.name: plan for plan in plans}
+        ending = [name for name, pool in self.pools.items() if not _stays(pool.plan, planned.get(name))]
+        for name in ending:
             self._spawn(self._drain(name, self.pools.pop(name)))
-        for name, plan in wanted.items():
+        for name, plan in planned.items():
             if name in self.pools:
                 self.pools[name].plan = plan
                 self.pools[name].proxy.add_classes(plan.config)
-                for feeder in self.pools[name].components:
-                    feeder.reload(config)
+                for component in self.pools[name].components:
+                    component.reload(config)
             else:
                 await self._start(plan)
         self.open_requests.total = config.settings.max_open_requests
@@ -102,12 +104,12 @@
         proxy.set_epoch_source(self.main.current_epoch)
         pool = Pool(plan, proxy, list(plan.make_components()))
         self.pools[plan.name] = pool
-        for feeder in pool.components:
-            feeder.join(proxy)
+        for component in pool.components:
+            component.join(proxy)
         self._divide()
         await proxy.start()
-        for feeder in pool.components:
-            await feeder.start()
+        for component in pool.components:
+            await component.start()
 
     def _divide(self) -> None:
         weights = {MAIN: self.main_weight, **{name: pool.plan.weight for name, pool in self.pools.items()}}
@@ -133,14 +135,14 @@
         proxy = pool.proxy
         self.draining.add(proxy)
         while proxy.requests:
-            await asyncio.sleep(LEAVE_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         self.draining.discard(proxy)
         await self._close(pool)
         log.info("pool %s has ended", name)
 
     async def _close(self, pool: Pool) -> None:
-        for feeder in reversed(pool.components):
-            await feeder.close()
+        for component in reversed(pool.components):
+            await component.close()
         pool.proxy.close()
 
     async def close(self) -> None:
@@ -167,8 +169,8 @@
 
 
 def _stays(old: PoolPlan, new: PoolPlan | None) -> bool:
-    """A pool stays while its hosts come the same way and the decisions' settings are as they were."""
+    """A pool stays while its components and the balancer's settings are as they were."""
     if new is None or new.identity != old.identity:
         return False
-    settings = new.config.settings  # classes only grow, and are taken over
+    settings = new.config.settings  # classes are only added, and taken over
     return replace(old.config.settings, classes=settings.classes) == settings
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -366,7 +366,7 @@
                     "type": "m1",
                     "status": platform,
                 }
-                from badgergap.proxy.endpoints.discovery import parse_list
+                from badgergap.proxy.endpoints.endpoint_list import parse_list
 
                 news = parse_list({"snapshot": False, "endpoints": [entry]}, it.proxy.config.names)
                 it.proxy.directory.receive_update("platform", news)
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -14,7 +14,7 @@
 
 from badgergap.balancing.choice import Balancer
 from badgergap.proxy.lifecycle.config import Names
-from badgergap.proxy.endpoints.discovery import parse_list
+from badgergap.proxy.endpoints.endpoint_list import parse_list
 from badgergap.proxy.endpoints.registry import ManualDrain
 from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
 from badgergap.hot_restart.state_transfer import (
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from badgergap.proxy.endpoints import discovery
+from badgergap.proxy.endpoints import discovery, discovery_call
 from badgergap.proxy.lifecycle.config import parse_address
 from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.balancing.interface import (
@@ -131,7 +131,7 @@
 
 
 def test_a_silent_watch_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
+    monkeypatch.setattr(discovery_call, "SILENCE_S", 0.05)
 
     async def test() -> None:
         async with gateway() as it:
@@ -259,7 +259,7 @@
             await told(it)
             it.proxy.carry_out(WatchEndpoints())
             _, watch = await it.registry.watches.get()
-            monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
+            monkeypatch.setattr(discovery_call, "SILENCE_S", 0.05)
             watch.write(chunk(news(entry("h1", it.host.address), index=12)))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             first, watch = await it.registry.watches.get()
@@ -400,9 +400,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it has counts as told 4 s after the move."""
-    assert discovery.MOVE_ANSWER_S * 2 + discovery.MOVE_RETRY_S < 4.0
-    monkeypatch.setattr(discovery, "MOVE_ANSWER_S", 0.05)
-    monkeypatch.setattr(discovery, "SILENCE_S", 3600.0)
+    assert discovery_call.MOVE_ANSWER_S * 2 + discovery.MOVE_RETRY_S < 4.0
+    monkeypatch.setattr(discovery_call, "MOVE_ANSWER_S", 0.05)
+    monkeypatch.setattr(discovery_call, "SILENCE_S", 3600.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -451,8 +451,8 @@
 
 
 def test_a_new_service_whose_first_word_is_spoilt_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 3600.0)
-    monkeypatch.setattr(discovery, "MOVE_ANSWER_S", 3600.0)
+    monkeypatch.setattr(discovery_call, "SILENCE_S", 3600.0)
+    monkeypatch.setattr(discovery_call, "MOVE_ANSWER_S", 3600.0)
 
     async def test() -> None:
         async with gateway() as it:
