--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -194,9 +194,7 @@
             self.size += len(data)
             self.chunks.append(data)
             if self.size > HOLD:
-                self.start_response(self.held)
-                for chunk in self.chunks:
-                    self.spec.download.data(chunk)
+                self.pass_held(self.held, self.chunks)
                 self.chunks = []
         if ended and not self.done:
             self.whole_answer([])
@@ -206,13 +204,9 @@
         if head is not None and head.has_body and head.length is not None and head.length != self.got:
             raise BadHead("an answer of another length than it says")
         self.response_complete = True
-        if self.response_started:
-            self.spec.download.end(fields)
-            self.end(self.outcome)
-        else:
-            if self.answer is not None:
-                self.answer.body = b"".join(self.chunks)
-            self.end(self.outcome, self.answer)
+        if not self.response_started and self.answer is not None:
+            self.answer.body = b"".join(self.chunks)
+        self.finish(self.outcome, self.answer, fields)
 
     def never_ran(self) -> None:
         """By the box's own word: as good as no connection."""
--- a/badgergap/proxy/upstream/exchange.py
+++ b/badgergap/proxy/upstream/exchange.py
@@ -1,4 +1,15 @@
-"""One request to one endpoint: what it was answered, and how it ended."""
+"""One request to one endpoint: what it was answered, and how it ended.
+
+| what happens first | before all of it is written | after |
+| --- | --- | --- |
+| a complete response | SUCCESS, ERROR or REJECTED, by its status | the same |
+| the connection is lost, or its input is invalid | CONNECT_FAILED: never ran | RESET: may have run |
+| its time is over | CONNECT_FAILED | TIMEOUT |
+| it is cancelled | CANCELLED | CANCELLED |
+| its endpoint drains, its request is over, no capacity | NEVER_SENT | |
+
+For a stream "written" means its first bytes: see `stream_attempt.py`.
+"""
 
 from __future__ import annotations
 
@@ -31,14 +42,14 @@
 
 
 class Carrier(Protocol):
-    """What an exchange is out on."""
+    """What an exchange is sent on."""
 
     def abort(self) -> None:
-        """It is not wanted any more: end it in a way that the host can tell."""
+        """The exchange is over: end it in a way that the endpoint notices."""
 
 
 class Exchange:
-    """One request to one host."""
+    """One request to one endpoint. It ends once, with one outcome."""
 
     __slots__ = ("_ended", "connection", "done", "payload", "timer", "unwanted", "written")
 
@@ -60,19 +71,19 @@
         self._ended(outcome, answer)
 
     def unwant(self) -> None:
-        """Its request is over: what has not been sent is not sent any more."""
+        """Its request is over: what has not been sent yet shall not be."""
         self.unwanted = True
 
     def lost(self) -> None:
-        """The connection has gone, or what came on it was no answer."""
+        """The connection is lost, or what came on it was no response."""
         self.end(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
 
     def never_sent(self) -> None:
-        """Nothing was tried, for a reason that lies with this gateway: the host is not to blame."""
+        """Nothing was sent, for a reason that lies with this gateway: the endpoint is not to blame."""
         self.end(Outcome.NEVER_SENT)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting: the host learns of it by the close of its connection."""
+        """Stop waiting: the endpoint learns of it by the close of its connection."""
         if self.done:
             return
         connection = self.connection
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -12,7 +12,9 @@
 from badgergap.proxy.upstream.exchange import Answer, Exchange
 from badgergap.balancing.interface import Outcome
 
-EXPECT_S = 1.0  # for a box to say 100; some never do (RFC 9110 section 10.1.1), and the client is told anyway
+EXPECT_S = (
+    1.0  # for an endpoint to say 100; some never do (RFC 9110 section 10.1.1), and the client is told anyway
+)
 NO_BODY = (204, 304)
 
 
@@ -28,7 +30,7 @@
 
 
 class RequestLines(Protocol):
-    """A request's head as a box is to hear it: `ForBox`, or one whose lines are ready."""
+    """A request's head as an endpoint is to hear it: `ForBox`, or one whose lines are ready."""
 
     def lines(self) -> bytes:
         """As HTTP/1.1, without the final empty line."""
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True)
 class ExchangeSpec:
-    """What an exchange with a box is for."""
+    """What an exchange with an endpoint is for."""
 
     head: RequestLines
     upload: Upload
@@ -44,10 +46,10 @@
     is_head: bool  # the method is HEAD: the answer has no body
     chunked: bool  # the length of the request's body is not known
     allows_upgrade: bool  # the client would speak as it likes from 101 on
-    is_failure: Callable[[int], bool]  # whether a status counts as the box's failure
+    is_failure: Callable[[int], bool]  # whether a status counts as the endpoint's failure
     expects_continue: bool = False  # the client sends no body before it is told to
     buffers_success: bool = False  # an answer that is good is held for another try too, while it fits
-    runs_when_complete: bool = False  # a box begins a request with its last byte, and never before
+    runs_when_complete: bool = False  # an endpoint begins a request with its last byte, and never before
     response_limit: int | None = None  # bytes of an answer, beyond which it is none
 
 
@@ -57,11 +59,11 @@
 
 
 class StreamAttempt(Exchange):
-    """One try of a request at a box, as a stream; what carries it says how.
+    """One attempt of a request at an endpoint, as a stream; a subclass for each protocol carries it.
 
-    What an outcome says of a box that may have run the request: nothing of it has left this process, never
-    ran. Else it may have, whatever became of the rest. Once the head of an answer is passed on the outcome is
-    that of the stream: whole, broken off by the box, or no longer wanted by the client.
+    The outcome tells whether the endpoint may have run the request: not if nothing of it has left this
+    process; else it may have, whatever became of the rest. Once the head of a response is passed on the
+    outcome is that of the stream: complete, broken off by the endpoint, or no longer wanted by the client.
     """
 
     __slots__ = (
@@ -87,10 +89,10 @@
         self.response_complete = False  # and so is its end
         self.client_paused = False  # by the client, which takes no more
         self.is_committed = False  # the request's body is not held any more
-        self.write_blocked = False  # the box takes no more of it
-        self.sent_at = self.progress_at = loop.time()  # last: when the box last said or took something
+        self.write_blocked = False  # the endpoint takes no more of it
+        self.sent_at = self.progress_at = loop.time()  # last: when the endpoint last said or took something
         self.continue_timer: asyncio.TimerHandle | None = (
-            None  # the box has yet to say that it wants the body
+            None  # the endpoint has yet to say that it wants the body
         )
 
     # What carries it
@@ -118,7 +120,7 @@
             self.spec.download.broke()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
-        """The box says or takes nothing for too long, where the decisions' own time is over."""
+        """The endpoint says or takes nothing for too long, where the decisions' own time is over."""
         if self.done or not (self.response_started or self.is_committed):
             return
         quiet_s, upload = now - self.progress_at, self.spec.upload
@@ -134,7 +136,7 @@
     # The request's body
 
     def await_continue(self) -> None:
-        """Nothing of the body goes to the box before it says 100, or has had its time for that."""
+        """Nothing of the body goes to the endpoint before it says 100, or has had its time for that."""
         self.spec.upload.awaits_continue = True
         self.continue_timer = self.loop.call_later(EXPECT_S, self.on_continue)
 
@@ -144,7 +146,7 @@
             self.continue_timer = None
 
     def on_continue(self) -> None:
-        """The client is told to send: to this box, and to no other after it."""
+        """The client may send its body: to this endpoint, and to no other after it."""
         if self.continue_timer is None or self.done or self.response_started:
             return
         self.cancel_continue_timer()
@@ -169,8 +171,23 @@
         self.listener.on_response_started(head.status, self.progress_at - self.sent_at)
         self.spec.download.begin(head, self)
 
+    def pass_held(self, head: AnswerHead, chunks: list[bytes]) -> None:
+        """A response held until now goes to the client, with as much of its body as there is."""
+        self.start_response(head)
+        for chunk in chunks:
+            self.spec.download.data(chunk)
+
+    def finish(self, outcome: Outcome, answer: Answer | None, fields: Headers) -> None:
+        """The response is complete: either `answer` was held, or what was passed on ends with trailers."""
+        if self.response_started:
+            self.response_complete = True
+            self.spec.download.end(fields)
+            self.end(outcome)
+        else:
+            self.end(outcome, answer)
+
     def client_left(self) -> None:
-        self.response_complete = True  # nobody is to be told of a break
+        self.response_complete = True  # nobody is to be notified of a break
         self.give_up(Outcome.CANCELLED)
 
 
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -11,6 +11,7 @@
 
 import asyncio
 import contextlib
+import enum
 import os
 import socket
 from dataclasses import replace
@@ -27,7 +28,7 @@
 from badgergap.proxy.header_fields import BadHead, answer_headers, trailers
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
 
-BUFFER = 64 * 1024  # bytes written to a box and not yet sent, beyond which the client is not read
+BUFFER = 64 * 1024  # bytes written to an endpoint and not yet sent, beyond which the client is not read
 LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
 
 
@@ -37,6 +38,32 @@
 FRAMING_LIMIT, FRAMING_SHARE = 4 * HEAD_LIMIT, 32
 
 
+class ResponseState(enum.Enum):
+    """How far the response to the request on a connection has come.
+
+    | state | what comes next is | leads to |
+    | --- | --- | --- |
+    | HEAD | parsed: interim heads, the final one | BODY; COMPLETE without a body; TUNNEL after 101 |
+    | BODY | parsed: content, trailers | DIRECT once the length is known and the head passed on; COMPLETE |
+    | DIRECT | content, passed on unparsed | COMPLETE when all of its length has come |
+    | TUNNEL | anything, passed on unparsed | COMPLETE when the connection ends |
+    | COMPLETE | nothing | HEAD when the next request is written |
+
+    A body without a length and the tunnel are COMPLETE at the connection's end, any other one is broken off.
+    """
+
+    HEAD = enum.auto()
+    BODY = enum.auto()
+    DIRECT = enum.auto()
+    TUNNEL = enum.auto()
+    COMPLETE = enum.auto()
+
+
+# Names of this module: one look-up each, on the path of every read.
+HEAD, BODY, DIRECT = ResponseState.HEAD, ResponseState.BODY, ResponseState.DIRECT
+TUNNEL, COMPLETE = ResponseState.TUNNEL, ResponseState.COMPLETE
+
+
 class Http1Attempt(StreamAttempt):
     """One try of a request, over HTTP/1.1."""
 
@@ -47,25 +74,30 @@
         return self.connection if isinstance(self.connection, Http1Connection) else None
 
     def send_body(self, data: bytes) -> None:
-        box = self.http1_connection
-        if box is not None:
+        connection = self.http1_connection
+        if connection is not None:
             self.progress_at = self.loop.time()
-            box.send(b"%x\r\n%b\r\n" % (len(data), data) if self.spec.chunked else data)
+            connection.send(b"%x\r\n%b\r\n" % (len(data), data) if self.spec.chunked else data)
 
     def end_body(self, fields: Headers) -> None:
-        box = self.http1_connection
-        if box is not None and self.spec.chunked:
-            box.send(last_chunk(fields))
-        if box is not None and self.spec.runs_when_complete:
-            self.written = not box.blocked
+        connection = self.http1_connection
+        if connection is not None and self.spec.chunked:
+            connection.send(last_chunk(fields))
+        if connection is not None and self.spec.runs_when_complete:
+            self.written = not connection.write_blocked
         self.sent_at = self.progress_at = self.loop.time()
 
     def flow(self, on: bool) -> None:
         self.client_paused = not on
         self.progress_at = self.loop.time()
-        box = self.http1_connection
-        if box is not None and box.transport is not None and not box.transport.is_closing():
-            (box.transport.resume_reading if on else box.transport.pause_reading)()
+        connection = self.http1_connection
+        transport = connection.transport if connection is not None else None
+        if transport is None or transport.is_closing():
+            return
+        if on:
+            transport.resume_reading()
+        else:
+            transport.pause_reading()
 
 
 def carry(
@@ -79,23 +111,26 @@
 class Http1Connection(PooledConnection, asyncio.BufferedProtocol):
     def __init__(self, pool: Upstream, host: Endpoint) -> None:
         super().__init__(pool, host)
-        self.carried: Http1Attempt | None = None
+        self.attempt: Http1Attempt | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.headers: Headers = []
-        self.fields: Headers = []  # trailers
-        self.size = 0
-        self.interim = 0
-        self.head_read = self.complete = self.keep_alive = False
-        self.until_close = self.tunnel = self.ended = self.direct = False
-        self.until_told = False  # a good answer is held that does not say its length
-        self.left = 0  # of a body whose length is known
+        self.trailer_fields: Headers = []
+        self.head_size = 0
+        self.interim_count = 0
+        self.state = HEAD
+        self.keep_alive = False
+        self.until_close = False  # only the connection's end tells the body's
+        self.peer_ended = False  # the endpoint has closed its side
+        self.length_unknown = False  # a good answer is held that does not say its length
+        self.body_left = 0  # of a body whose length is known
         self.outcome = Outcome.SUCCESS
-        self.answer: Answer | None = None  # held: it counts as the box's failure
-        self.chunks: list[bytes] = []
-        self.hold = HOLD
-        self.raw = self.body = 0  # bytes of the answer as they come, and of its body
-        self.counted = self.unsent = 0  # what the budget knows of: held, and not yet taken by the box
-        self.blocked = False  # the box takes no more for now
+        self.held_answer: Answer | None = None  # a failure, or a success that is held as well
+        self.held_chunks: list[bytes] = []
+        self.hold_limit = HOLD
+        self.raw_size = self.body_size = 0  # bytes of the answer as they come, and of its body
+        self.counted_held = 0  # bytes of the response held here, as the budget counts them
+        self.counted_unsent = 0  # bytes of the request not yet taken by the endpoint, likewise
+        self.write_blocked = False  # the endpoint takes no more for now
 
     # Transport
 
@@ -108,10 +143,10 @@
     def write(self, exchange: Exchange) -> None:
         transport = self.transport
         assert transport is not None and isinstance(exchange, Http1Attempt)
-        self.exchange = self.carried = exchange
+        self.exchange = self.attempt = exchange
         exchange.connection = self
-        self.fresh()
-        self.interim = 0
+        self.reset_response()
+        self.interim_count = 0
         spec = exchange.spec
         if not spec.upload.is_held:  # its request has had its answer, and its body is gone
             exchange.never_sent()
@@ -130,77 +165,88 @@
         exchange.written = True
         transport.write(payload)  # may tell from within that not all of it has left the process
         if spec.runs_when_complete:
-            exchange.written = spec.upload.complete and not self.blocked and not transport.is_closing()
+            exchange.written = spec.upload.complete and not self.write_blocked and not transport.is_closing()
             return
         # Nothing has left the process: the write met a broken connection, or all of it waits.
         if transport.is_closing() or transport.get_write_buffer_size() >= len(payload):
             exchange.written = False
         transport.set_write_buffer_limits(high=BUFFER)
 
-    def fresh(self) -> None:
-        self.headers, self.fields, self.chunks = [], [], []
-        self.size = 0
-        self.head_read = self.complete = self.keep_alive = False
-        self.until_close = self.tunnel = self.ended = self.direct = self.until_told = False
-        self.left = self.raw = self.body = 0
-        self.outcome, self.answer = Outcome.SUCCESS, None
-        self.hold = self.pool.budget.hold
-        self.count(0)
+    def reset_response(self) -> None:
+        """Forget the response before, ahead of a request."""
+        self.headers = []
+        self.trailer_fields = []
+        self.held_chunks = []
+        self.head_size = 0
+        self.state = HEAD
+        self.keep_alive = False
+        self.until_close = False
+        self.peer_ended = False
+        self.length_unknown = False
+        self.body_left = 0
+        self.raw_size = 0
+        self.body_size = 0
+        self.outcome = Outcome.SUCCESS
+        self.held_answer = None
+        self.hold_limit = self.pool.budget.hold
+        self.count_held(0)
 
     def send(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def count(self, held: int) -> None:
+    def count_held(self, held: int) -> None:
         """So much of an answer is held here."""
-        if held != self.counted:
-            self.pool.budget.change(held - self.counted)
-            self.counted = held
+        if held != self.counted_held:
+            self.pool.budget.change(held - self.counted_held)
+            self.counted_held = held
 
     def count_unsent(self) -> None:
-        unsent = self.transport.get_write_buffer_size() if self.transport is not None and self.blocked else 0
-        self.pool.budget.change(unsent - self.unsent)
-        self.unsent = unsent
+        unsent = (
+            self.transport.get_write_buffer_size() if self.transport is not None and self.write_blocked else 0
+        )
+        self.pool.budget.change(unsent - self.counted_unsent)
+        self.counted_unsent = unsent
 
     def pause_writing(self) -> None:
-        self.blocked = True
+        self.write_blocked = True
         self.count_unsent()
-        if self.carried is not None and self.exchange is not None:
-            self.carried.write_blocked = True
-            self.carried.spec.upload.pace(False)
+        if self.attempt is not None and self.exchange is not None:
+            self.attempt.write_blocked = True
+            self.attempt.spec.upload.pace(False)
 
     def resume_writing(self) -> None:
-        self.blocked = False
+        self.write_blocked = False
         self.count_unsent()
-        if self.carried is not None and self.exchange is not None:
-            spec = self.carried.spec
-            self.carried.written, self.carried.write_blocked = (
+        if self.attempt is not None and self.exchange is not None:
+            spec = self.attempt.spec
+            self.attempt.written, self.attempt.write_blocked = (
                 not spec.runs_when_complete or spec.upload.complete,
                 False,
             )
-            self.carried.progress_at = self.carried.loop.time()
-            self.carried.spec.upload.pace(True)
+            self.attempt.progress_at = self.attempt.loop.time()
+            self.attempt.spec.upload.pace(True)
 
     def data_received(self, data: bytes) -> None:
-        exchange = self.carried
+        exchange = self.attempt
         if exchange is None or self.exchange is None:  # nothing was asked
             self.abort()
             return
         exchange.written = exchange.written or not exchange.spec.runs_when_complete
         exchange.progress_at = exchange.loop.time()
-        if self.tunnel:
+        if self.state is TUNNEL:
             exchange.spec.download.data(data)
             return
-        if self.direct:
-            self.pass_on(exchange, data)
+        if self.state is DIRECT:
+            self.pass_direct(exchange, data)
             return
         clean = True
-        self.raw += len(data)
+        self.raw_size += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as switch:
             rest = data[switch.args[0] :]
-            if not self.tunnel:
+            if self.state is not TUNNEL:
                 clean = False
             elif rest:
                 exchange.spec.download.data(rest)
@@ -208,34 +254,34 @@
             clean = False
         if self.exchange is not exchange:
             return  # it has ended from within
-        if self.complete:
+        if self.state is COMPLETE:
             # What comes right behind a whole answer spoils the connection, not the answer.
             self.conclude(clean)
-        elif not clean or self.raw > FRAMING_LIMIT + FRAMING_SHARE * self.body:
+        elif not clean or self.raw_size > FRAMING_LIMIT + FRAMING_SHARE * self.body_size:
             self.fail()
-        elif self.answer is not None and self.until_told and exchange.spec.buffers_success:
-            self.until_told = False
+        elif self.held_answer is not None and self.length_unknown and exchange.spec.buffers_success:
+            self.length_unknown = False
             exchange.loop.call_later(HOLD_S, self.pass_late, exchange)
-        elif self.left > 0 and exchange.response_started:
+        elif self.body_left > 0 and exchange.response_started:
             # The rest of a body of known length needs no parser: it would copy every byte.
-            self.direct = True
+            self.state = DIRECT
             self.parser = httptools.HttpResponseParser(self)
 
-    def pass_on(self, exchange: Http1Attempt, data: bytes) -> None:
-        rest, clean = self.left - len(data), True
+    def pass_direct(self, exchange: Http1Attempt, data: bytes) -> None:
+        rest, clean = self.body_left - len(data), True
         if rest < 0:
-            data, rest, clean = data[: self.left], 0, False
-        self.left = rest
+            data, rest, clean = data[: self.body_left], 0, False
+        self.body_left = rest
         exchange.spec.download.data(data)
         if not rest and self.exchange is exchange:
-            self.complete = True
+            self.state = COMPLETE
             self.conclude(clean)
 
     def pass_late(self, exchange: Http1Attempt) -> None:
         """The end of an answer whose length was not said takes its time: what there is goes on now."""
         if (
-            self.carried is exchange
-            and self.answer is not None
+            self.attempt is exchange
+            and self.held_answer is not None
             and not exchange.response_started
             and not exchange.done
         ):
@@ -246,40 +292,40 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.forget(self)
-        self.blocked = False
+        self.write_blocked = False
         self.count_unsent()
         if exc is not None and self.exchange is not None:
             self.read_last()
-        exchange = self.carried
+        exchange = self.attempt
         if self.exchange is None or exchange is None:
             return
-        if self.ended and self.head_read and (self.until_close or self.tunnel):
-            self.complete = True
+        if self.peer_ended and (self.until_close or self.state is TUNNEL):
+            self.state = COMPLETE
             self.conclude(False)
         else:
-            self.count(0)
+            self.count_held(0)
             exchange.lost()
 
     def abort(self) -> None:
-        self.count(0)
+        self.count_held(0)
         super().abort()
 
     def eof_received(self) -> bool:
-        """The box has ended by itself; over TLS by its close_notify, as a connection cut short is no end.
+        """The endpoint has closed its side; over TLS by its close_notify, as a cut connection is no end.
 
-        Guards against a box that ends and takes no more of a request: until that is sent the transport would
-        not call its connection lost, and the attempt would hang until its time is over.
+        Guards against an endpoint that closes and takes no more of a request: until that is sent the
+        transport would not call its connection lost, and the attempt would hang until its time is over.
         """
-        self.ended = True
+        self.peer_ended = True
         if self.transport is not None and self.transport.get_write_buffer_size():
             self.transport.abort()
         return False
 
     def read_last(self) -> None:
-        """What the box had said before the connection broke.
+        """Read what the endpoint had sent before the connection broke.
 
-        Guards against losing the answer of a box that refuses an upload and closes: the next write meets the
-        reset, while the answer still stands unread in the socket.
+        Guards against losing the answer of an endpoint that rejects an upload and closes: the next write
+        meets the reset, while the answer still stands unread in the socket.
         """
         transport = self.transport
         if transport is None or transport.get_extra_info("ssl_object") is not None:
@@ -300,31 +346,31 @@
     # Parser
 
     def on_message_begin(self) -> None:
-        if self.complete:
+        if self.state is COMPLETE:
             # The parser turns it into its own error, and leaves the first answer as it is.
             raise ValueError("a second answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.size += len(name) + len(value) + 4
-        if self.size > HEAD_LIMIT:
+        self.head_size += len(name) + len(value) + 4
+        if self.head_size > HEAD_LIMIT:
             raise ValueError("head too long")
-        (self.fields if self.head_read else self.headers).append((name.lower(), value))
+        (self.headers if self.state is HEAD else self.trailer_fields).append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        exchange = self.carried
+        exchange = self.attempt
         assert exchange is not None
         status = self.parser.get_status_code()
-        headers, self.headers, self.size = self.headers, [], 0
+        headers, self.headers, self.head_size = self.headers, [], 0
         if status < 200 and status != 101:
-            self.interim += 1
-            if self.interim > INTERIM_LIMIT:
+            self.interim_count += 1
+            if self.interim_count > INTERIM_LIMIT:
                 raise ValueError("too many interim answers")
             if status == 100:
                 exchange.on_continue()
             else:
                 exchange.spec.download.interim(status, answer_headers(headers))
             return
-        self.head_read = True
+        self.state = BODY
         if status == 101:
             self.switch(exchange, headers)
             return
@@ -332,26 +378,26 @@
         head = self.read_head(spec, status, headers)
         if spec.response_limit is not None and (head.length or 0) > spec.response_limit:
             raise ValueError("body too long")
-        self.left = head.length or 0 if head.has_body else 0
+        self.body_left = head.length or 0 if head.has_body else 0
         self.keep_alive = self.parser.should_keep_alive() and not self.until_close
         self.outcome = outcome_of(status, headers, exchange.spec.is_failure)
-        fits = spec.buffers_success and (head.length is None or head.length <= self.hold)
+        fits = spec.buffers_success and (head.length is None or head.length <= self.hold_limit)
         if self.outcome is Outcome.SUCCESS and not fits:
             exchange.start_response(self.passed(head))
         else:
-            self.answer = Answer(status, headers if spec.buffers_success else answer_headers(headers))
-            self.held = head
-            self.until_told = self.outcome is Outcome.SUCCESS and head.has_body and head.length is None
+            self.held_answer = Answer(status, headers if spec.buffers_success else answer_headers(headers))
+            self.held_head = head
+            self.length_unknown = self.outcome is Outcome.SUCCESS and head.has_body and head.length is None
         if not head.has_body:
             # The parser would wait for the body that the length names: it is done with here.
-            self.complete = True
+            self.state = COMPLETE
             self.parser = httptools.HttpResponseParser(self)
 
     def switch(self, exchange: Http1Attempt, headers: Headers) -> None:
         upgrade = next((value for name, value in headers if name == b"upgrade"), b"")
         if not exchange.spec.allows_upgrade or upgrade.lower() != b"websocket":
             raise ValueError("an upgrade that nobody asked for")
-        self.tunnel = True
+        self.state = TUNNEL
         kept = [*answer_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
         exchange.start_response(AnswerHead(101, kept, None, has_body=True, upgraded=True))
 
@@ -371,46 +417,44 @@
         return AnswerHead(status, headers, length, has_body)
 
     def on_body(self, body: bytes) -> None:
-        exchange = self.carried
-        if exchange is None or self.exchange is None or self.complete:
+        exchange = self.attempt
+        if exchange is None or self.exchange is None or self.state is COMPLETE:
             return
-        self.left -= len(body)
-        self.body += len(body)
+        self.body_left -= len(body)
+        self.body_size += len(body)
         limit = exchange.spec.response_limit
-        if limit is not None and self.body > limit:
+        if limit is not None and self.body_size > limit:
             raise ValueError("body too long")
         if exchange.response_started:
             exchange.spec.download.data(body)
             return
-        self.chunks.append(body)
-        if self.body > LEAST:
-            self.count(self.body)
-        if self.body > self.hold:
+        self.held_chunks.append(body)
+        if self.body_size > LEAST:
+            self.count_held(self.body_size)
+        if self.body_size > self.hold_limit:
             if exchange.spec.buffers_success and self.outcome is not Outcome.SUCCESS:
                 raise ValueError("a failure that is too long")
             self.pass_held(exchange)
 
     def pass_held(self, exchange: Http1Attempt) -> None:
         """What is held of an answer goes to the client: from here on it is the final one."""
-        exchange.start_response(self.passed(self.held))
-        for chunk in self.chunks:
-            exchange.spec.download.data(chunk)
-        self.chunks = []
-        self.count(0)
+        exchange.pass_held(self.passed(self.held_head), self.held_chunks)
+        self.held_chunks = []
+        self.count_held(0)
 
     def on_message_complete(self) -> None:
-        if self.head_read and not self.tunnel:
-            self.complete = True
+        if self.state is BODY:
+            self.state = COMPLETE
 
     def conclude(self, clean: bool) -> None:
         """Only now that the parser has read all there was: the next request may go out on this connection."""
-        exchange = self.carried
+        exchange = self.attempt
         assert exchange is not None
-        outcome, answer = self.outcome, self.answer
+        outcome, answer = self.outcome, self.held_answer
         if answer is not None:
-            answer.body = b"".join(self.chunks)
-            self.count(0)
-        self.exchange = self.carried = None
+            answer.body = b"".join(self.held_chunks)
+            self.count_held(0)
+        self.exchange = self.attempt = None
         transport = self.transport
         upload = exchange.spec.upload
         reusable = clean and self.keep_alive and upload.complete and transport is not None
@@ -421,9 +465,4 @@
             self.pool.return_idle(self)
         else:
             self.abort()
-        if exchange.response_started:
-            exchange.response_complete = True
-            exchange.spec.download.end(trailers(self.fields))
-            exchange.end(outcome)
-        else:
-            exchange.end(outcome, answer)
+        exchange.finish(outcome, answer, trailers(self.trailer_fields))
