--- a/badgergap/proxy/body_streams.py
+++ b/badgergap/proxy/body_streams.py
@@ -1,16 +1,17 @@
-"""Bodies as streams between a client's transport and a host's: the seam of every transport.
-
-The rules, stated once. `Upload` is the body of a request on its way, `Download` what a client's side takes.
-
-1. A request may be tried elsewhere only while all of its body that has come is still held. `HOLD` bytes are,
-   and the read that goes beyond them; the next drops the hold, and the attempt then out is the last. So does
-   a host's word to a client that waits for it (100-continue, RFC 9110 section 10.1.1).
-2. Nothing is sent to a host before the body is whole or the hold is full: a slow client costs no host. The
-   head alone goes first where the client waits to be told that its body is wanted.
-3. What a client sends is read no faster than the host takes it, beyond the hold; what a host sends is read no
-   faster than the client takes it. Each side is paused by the other, and holds one write's worth at most.
-4. Once an answer's head is passed on the attempt is the last one. If it breaks, `broke` tells the client's
-   side, which must make the client see it: a short body never ends as a whole one does.
+"""Bodies as streams between a client's transport and an endpoint's: what every transport implements.
+
+`Upload` is the body of a request on its way, `Download` what a client's side takes. The rules:
+
+1. A request may be retried elsewhere only while all of its body that has come is still held. `HOLD` bytes
+   are, and the read that goes beyond them; the next drops the hold, and the attempt then out is the last. So
+   does an endpoint's 100 to a client that waits for it (100-continue, RFC 9110 section 10.1.1).
+2. Nothing is sent to an endpoint before the body is complete or the hold is full: a slow client occupies no
+   endpoint. The head alone goes first where the client waits for 100.
+3. What a client sends is read no faster than the endpoint takes it, beyond the hold; what an endpoint sends
+   is read no faster than the client takes it. Each side is paused by the other, and holds one write's worth
+   at most.
+4. Once a response's head is passed on the attempt is the last one. If it breaks, `broke` notifies the
+   client's side, which must make the client see it: a short body never ends as a complete one does.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-HOLD = 64 * 1024  # bytes of a body that are held for another try, at the most
+HOLD = 64 * 1024  # bytes of a body that are held for a retry, at the most
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class UploadReceiver(Protocol):
-    """The host's side of a request: takes what comes after the first lot."""
+    """The endpoint's side of a request: takes what comes after the part that was held."""
 
     def send_body(self, data: bytes) -> None: ...
     def end_body(self, trailers: Headers) -> None: ...
@@ -42,7 +43,7 @@
     held: list[bytes] = field(default_factory=list)
     is_held: bool = True  # all that has come: it can be sent again
     complete: bool = False
-    awaits_continue: bool = False  # its taker has yet to say that it wants the body (100-continue)
+    awaits_continue: bool = False  # its receiver has yet to say that it wants the body (100-continue)
     trailers: Headers = field(default_factory=list)
     receiver: UploadReceiver | None = None
     on_ready: Callable[[], None] | None = None  # called once, when rule 2 is met
@@ -74,11 +75,12 @@
             return
         self.held.append(data)
         if self.size >= self.hold and self.receiver is None:
-            self.flow(False)  # until a host takes it
+            self.flow(False)  # until an endpoint takes it
         self._notify_if_ready()
 
     def end(self, trailers: Headers) -> None:
-        self.complete, self.trailers = True, trailers
+        self.complete = True
+        self.trailers = trailers
         self.flow(True)  # nothing more of it is to come that could be held back
         if self.receiver is not None and not self.awaits_continue:
             self.receiver.end_body(trailers)
@@ -90,18 +92,18 @@
             ready()
 
     def pace(self, on: bool) -> None:
-        """The host's side takes no more for now, or takes it again."""
+        """The endpoint's side takes no more for now, or takes it again."""
         if not self.complete:
             self.flow(on)
 
-    def attach(self, taker: UploadReceiver, on_drop: Callable[[], None]) -> bytes:
-        """A host's side takes over: what is held, to be sent now. The rest comes by `more`."""
-        self.receiver, self.on_drop = taker, on_drop
+    def attach(self, receiver: UploadReceiver, on_drop: Callable[[], None]) -> bytes:
+        """An endpoint's side takes over. Returns what is held, to be sent now; `send_body` has the rest."""
+        self.receiver, self.on_drop = receiver, on_drop
         self.flow(True)
         return b"".join(self.held)
 
     def release(self) -> None:
-        """The taker wants the body: what has come meanwhile goes to it, and nothing is held any more."""
+        """The receiver wants the body: what has come meanwhile goes to it, and nothing is held any more."""
         self.awaits_continue = self.is_held = False
         data = b"".join(self.held)
         self.held.clear()
@@ -112,13 +114,13 @@
         self.flow(True)
 
     def discard(self) -> None:
-        """Nobody will want it again."""
+        """Drop what is held: nobody will want it again."""
         self.is_held = False
         self.held.clear()
 
-    def detach(self, taker: UploadReceiver) -> None:
-        """That side takes no more. What is held stays, for another."""
-        if self.receiver is taker:
+    def detach(self, receiver: UploadReceiver) -> None:
+        """That side takes no more. What is held stays, for a retry."""
+        if self.receiver is receiver:
             self.receiver = self.on_drop = None
             self.awaits_continue = False
             self.flow(self.complete or not self.is_held or self.size < self.hold)
@@ -126,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerHead:
-    """A host's answer as it is passed on. `length`: of the body, None if only its end will tell."""
+    """An endpoint's response as it is passed on. `length`: bytes of the body, None if only its end tells."""
 
     status: int
     headers: Headers
@@ -136,28 +138,28 @@
 
 
 class Download(Protocol):
-    """The client's side of an answer."""
+    """The client's side of a response."""
 
     def interim(self, status: int, headers: Headers) -> None:
-        """An answer of the kind 1xx, ahead of the final one."""
+        """A response of the kind 1xx, ahead of the final one."""
 
     def go_on(self) -> None:
-        """A client that waits to be told so may send its body."""
+        """A client that waits for 100 may send its body."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
-        """The final answer's head. Called once at the most."""
+        """The final response's head. Called once at the most."""
 
     def data(self, data: bytes) -> None: ...
 
     def end(self, trailers: Headers) -> None:
-        """The answer is whole."""
+        """The response is complete."""
 
     def broke(self) -> None:
-        """The answer has broken off."""
+        """The response has broken off."""
 
 
 class DownloadSource(Protocol):
-    """The host's side of an answer that is passed on."""
+    """The endpoint's side of a response that is passed on."""
 
     def flow(self, on: bool) -> None:
         """The client takes no more, or takes it again."""
--- a/badgergap/proxy/endpoints/discovery.py
+++ b/badgergap/proxy/endpoints/discovery.py
@@ -38,14 +38,14 @@
         address: Address,
         names: Names,
         pushed: bool,
-        known: dict[str, Any],
+        initial_list: dict[str, Any],
         on_update: OnUpdate,
     ) -> None:
         self.loop = loop
         self.address = address
         self.names = names
         self.pushed = pushed
-        self.initial_list = known  # the list as last held, to begin with
+        self.initial_list = initial_list  # the list as last held, to begin with
         self.on_update = on_update
         self.index = 0
         self.current_watch: DiscoveryCall | None = None  # the watch
@@ -61,10 +61,10 @@
 
     def start(self) -> None:
         """Begin with the list as last held; a pushed list comes without being asked for."""
-        known, self.initial_list = self.initial_list, {}
-        self.index = version_of(known)
+        initial, self.initial_list = self.initial_list, {}
+        self.index = version_of(initial)
         self.on_update(
-            parse_list({"endpoints": [], **known, "snapshot": True}, self.names, EndpointListKind.DISK)
+            parse_list({"endpoints": [], **initial, "snapshot": True}, self.names, EndpointListKind.DISK)
         )
         if self.pushed:
             self.current_at = self.loop.time() + FIRST_S
@@ -95,11 +95,11 @@
         late.
         Version numbers of the one need mean nothing to the other.
         """
-        heard = self.current_watch if self.moving_until == 0.0 else self.previous_watch
-        if heard is not self.current_watch and self.current_watch is not None:
+        kept_watch = self.current_watch if self.moving_until == 0.0 else self.previous_watch
+        if kept_watch is not self.current_watch and self.current_watch is not None:
             self.current_watch.end()  # a second move before the first was answered
         self.address, self.index = address, 0
-        self.previous_watch, self.moving_until = heard, self.loop.time() + MOVE_S
+        self.previous_watch, self.moving_until = kept_watch, self.loop.time() + MOVE_S
         for call in self.fetches:
             call.end()
         if self.fetches:
--- a/badgergap/proxy/endpoints/manual_drains.py
+++ b/badgergap/proxy/endpoints/manual_drains.py
@@ -1,4 +1,4 @@
-"""Drains by hand, kept in the state folder: written whole or not at all."""
+"""Drains by hand, kept in the state folder: written completely or not at all."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any
 
+from badgergap.errors import BadgergapError
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain
 
 log = logging.getLogger(__name__)
@@ -19,6 +20,10 @@
 SIZE_LIMIT = 1024 * 1024
 
 
+class DrainStoreError(BadgergapError, OSError):
+    """The file is of a later version, and is left as it is."""
+
+
 class DrainStore:
     """One file. `load` never fails; `save` raises OSError and leaves the file before it as it was."""
 
@@ -62,7 +67,7 @@
     def save(self, drains: Iterable[ManualDrain]) -> None:
         """Blocks for as long as the disk takes: not for the event loop. Raises OSError."""
         if self.untouchable:
-            raise OSError(None, "the file there is of a later version")
+            raise DrainStoreError(None, "the file there is of a later version")
         items = [{"box": d.name, "by": d.by, "at_us": d.at_us, "action": d.action} for d in drains]
         raw = {"format": FORMAT, "version": VERSION, "drains": items, "sum": _sum(items)}
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
--- a/badgergap/proxy/endpoints/sources.py
+++ b/badgergap/proxy/endpoints/sources.py
@@ -1,8 +1,8 @@
-"""What a source of hosts says, and the protocol by which the core knows one.
+"""What a source of endpoints reports, and the protocol that every source implements.
 
 A source (the platform's discovery, a file, a watched store) turns its own format into an `EndpointUpdate` and
-hands each to the proxy, which merges what all of them say (`registry.py`). The core never learns what kind it
-is.
+hands each to the proxy, which merges the updates of all of them (`registry.py`). The proxy never learns what
+kind it is.
 """
 
 from __future__ import annotations
@@ -20,6 +20,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """One endpoint of a list: what the balancer needs of it, and how to reach it."""
+
     listed: ListedEndpoint
     address: Address
     name: str
@@ -28,10 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
+    """A full list, a change or a failure, as a source reports it."""
+
     kind: EndpointListKind
     entries: tuple[Entry, ...] = ()
 
     def as_event(self) -> EndpointList:
+        """For the balancer."""
         return EndpointList(self.kind, tuple(entry.listed for entry in self.entries))
 
 
@@ -39,11 +44,12 @@
 
 
 class EndpointSource(Protocol):
-    """One source of hosts.
+    """One source of endpoints.
 
-    `rank` orders sources: where several speak of one host, the lowest rank that does is believed. A source
-    that is not `dynamic` (a file) has no say about what it no longer names; a dynamic one that stops naming a
-    host has said that it is gone. What a `fallback` source names counts only until a dynamic one has spoken.
+    `rank` orders sources: where several name one endpoint, the lowest rank that does is believed. A source
+    that is not `dynamic` (a file) has no say about what it no longer names; a dynamic one that stops naming
+    an endpoint has reported it gone. What a `fallback` source names counts only until a dynamic one has sent
+    an update.
     """
 
     @property
@@ -56,21 +62,21 @@
     def fallback(self) -> bool: ...
 
     def start(self) -> None:
-        """Begin to speak; the first update may come from within the call."""
+        """Begin to send updates; the first may come from within the call."""
 
     def watch(self, on: bool) -> None:
-        """The balancer wants to be told of changes from now on, or no more. May do nothing."""
+        """The balancer wants changes from now on, or no more. May do nothing."""
 
     def fetch(self) -> None:
         """The balancer wants the whole list once. May do nothing."""
 
     def describe(self) -> str:
-        """Where it listens and how that goes, for people."""
+        """Where its list comes from and how that goes, for operators."""
 
     def close(self) -> None:
-        """Say nothing more."""
+        """Send no more updates."""
 
 
 def endpoint_id_of(name: str) -> int:
-    """A number for a name that is the same at every gateway and after every restart."""
+    """The id of an endpoint by its name: the same at every gateway and after every restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest())
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -116,7 +116,7 @@
         self.connections.divide(weights)
         self.open_requests.divide(weights)
         for name, proxy in self.proxies().items():
-            proxy.upstream.has_capacity = partial(self._has_capacity, name)  # type: ignore[method-assign]
+            proxy.upstream.has_capacity = partial(self._has_capacity, name)
             proxy.may_admit = partial(self._may_admit, name) if self.open_requests.total else None
 
     def _has_capacity(self, name: str) -> bool:
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -54,19 +54,24 @@
 
 # Taken off the client's time: its request was on the way before it came here, and so will the answer be.
 TRANSIT_US = 4_000
-# After the balancer's own limits, before the client's: the answer of last resort.
+# The answer of last resort comes after the balancer's own limits, and before the client's.
 LAST_RESORT_US = 2_000
 FOR_EVER_US = 2**62
-SWEEP_S = 1.0
+CLEAN_UP_S = 1.0
 
 
 class AttemptRecorder:
-    """One streamed attempt as the proxy accounts for it."""
+    """An `AttemptListener`: accounts for one attempt, and feeds its progress to the balancer."""
 
     __slots__ = ("attempt_number", "endpoint_id", "proxy", "request", "sent_us")
 
-    def __init__(self, proxy: Proxy, request: Request, number: int, server: int, sent_us: int) -> None:
-        self.proxy, self.request, self.attempt_number, self.endpoint_id = proxy, request, number, server
+    def __init__(
+        self, proxy: Proxy, request: Request, attempt_number: int, endpoint_id: int, sent_us: int
+    ) -> None:
+        self.proxy = proxy
+        self.request = request
+        self.attempt_number = attempt_number
+        self.endpoint_id = endpoint_id
         self.sent_us = sent_us
 
     def on_committed(self) -> None:
@@ -81,12 +86,12 @@
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
         if outcome is Outcome.ERROR and self.request.spec.passes_failures:
             self.request.endpoint_failure = answer
-        self.proxy.attempt_ended(
-            self.request, self.attempt_number, self.endpoint_id, self.sent_us, outcome, answer
-        )
+        self.proxy.attempt_ended(self, outcome, answer)
 
 
 class Proxy:
+    """One pool: its balancer, its endpoints, the connections to them, and the requests that are open."""
+
     def __init__(
         self,
         config: Config,
@@ -96,22 +101,13 @@
     ) -> None:
         settings = config.settings
         self.observer = observer
-        self.config, self.settings, self.loop = config, settings, loop
+        self.config = config
+        self.settings = settings
+        self.loop = loop
         self.latest_config = config  # as read last: the start of the next reload
         self.clock = clock if clock is not None else Clock()
         self.balancer = Balancer(settings, config.seed)
-        self.upstream = Upstream(
-            loop,
-            # Of an operator file's site further listeners have the other half.
-            connections=eviction.limit(config.sockets, 0)
-            if not config.grows
-            else eviction.half(config.sockets),
-            connect_timeout_us=settings.connect_timeout_us,
-            idle_us=settings.idle_connection_us,
-            drain_grace_us=settings.drain_grace_us,
-            budget=Budget(total_of(config.memory_mb)),
-            rest_s=REST_S if not config.grows else 0.0,
-        )
+        self.upstream = _upstream(config, loop)
         self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
         self.peers = PeerMessenger(config, settings.may_message, loop, self.feed)
         self.health_checker = HealthChecker(
@@ -121,31 +117,30 @@
         self.open_requests = 0  # requests that are owed an answer
         self.client_address: Address | None = None  # where clients come in, once it is known
         self.shutdown_us = FOR_EVER_US  # by when all has to be answered: the process is killed soon after
-        self.accepted_count = 0
-        self.may_admit: Callable[[], bool] | None = (
-            None  # of a gateway of several pools; None: the setting holds
-        )
+        self.accepted_count = 0  # the last request's id
+        # Set where several pools share one limit on open requests. None: the setting holds.
+        self.may_admit: Callable[[], bool] | None = None
         # Whether this gateway may act: the epoch of its rules, or -1. None: nobody else has a say in it.
         self.current_epoch: Callable[[], int] | None = None
         self.events: deque[Event] = deque()
         self.is_dispatching = False
 
-    def set_epoch_source(self, acting: Callable[[], int] | None) -> None:
-        """Ask before each request is taken, and again before it is sent to a host."""
-        self.current_epoch = acting
-        self.upstream.current_epoch = acting
+    def set_epoch_source(self, current_epoch: Callable[[], int] | None) -> None:
+        """Call this before each request is admitted, and again before it is sent to an endpoint."""
+        self.current_epoch = current_epoch
+        self.upstream.current_epoch = current_epoch
 
     async def start(self) -> None:
         await self.peers.start()
         self.directory.start()
-        self.loop.call_later(SWEEP_S, self.clean_up)
+        self.loop.call_later(CLEAN_UP_S, self.clean_up)
 
     def clean_up(self) -> None:
         self.upstream.clean_up()
-        self.loop.call_later(SWEEP_S, self.clean_up)
+        self.loop.call_later(CLEAN_UP_S, self.clean_up)
 
     def reload(self, config: Config) -> None:
-        """A new configuration: hosts, connections and the balancer stay; what can be followed is."""
+        """Follow what can be followed of a new configuration; endpoints, connections and balancer stay."""
         self.directory.reload(config)
         for name in needs_restart(self.config, config):
             log.warning("the new configuration changes %s: that needs a restart", name)
@@ -154,15 +149,16 @@
         self.latest_config = config
 
     def add_classes(self, config: Config) -> None:
-        """Take over the classes that a configuration holds behind those there are."""
-        known = len(self.settings.classes)
-        classes, names = config.settings.classes[known:], config.names.classes
-        # A class that was changed stands under its own name anew, the old entry under the name and a mark.
-        old = {name.partition("~")[0]: number for number, name in enumerate(names[:known])}
-        self.balancer.add_classes(classes, tuple(old.get(name) for name in names[known:]))
-        most = config.settings.max_open_requests
+        """Add the classes that a configuration holds behind those there are."""
+        first_new = len(self.settings.classes)
+        classes, names = config.settings.classes[first_new:], config.names.classes
+        # A class that was changed has a new entry under its name; its old one is named with a mark.
+        old_index = {name.partition("~")[0]: index for index, name in enumerate(names[:first_new])}
+        self.balancer.add_classes(classes, tuple(old_index.get(name) for name in names[first_new:]))
         self.settings = replace(
-            self.settings, classes=self.settings.classes + classes, max_open_requests=most
+            self.settings,
+            classes=self.settings.classes + classes,
+            max_open_requests=config.settings.max_open_requests,
         )
 
     def close(self) -> None:
@@ -171,7 +167,7 @@
         self.peers.close()
 
     def waiting_count(self) -> int:
-        """Requests that are owed an answer and are with no host at the moment."""
+        """How many requests are owed an answer and are with no endpoint at the moment."""
         return sum(
             request.reply is not None and not request.attempts_in_flight for request in self.requests.values()
         )
@@ -184,7 +180,7 @@
     # Events in, actions out
 
     def feed(self, event: Event) -> None:
-        """Events that come of carrying out actions wait until those are carried out."""
+        """Hand an event to the balancer. Events that come of its actions wait until those are carried out."""
         self.events.append(event)
         if self.is_dispatching:
             return
@@ -196,7 +192,10 @@
             self.is_dispatching = False
 
     def decide(self, event: Event) -> None:
-        """An exception must not end the process, nor leave the request that it concerns unanswered."""
+        """Have the balancer decide, and carry its actions out.
+
+        An exception must not end the process, nor leave the request that it concerns unanswered.
+        """
         try:
             actions = self.balancer.handle(self.clock.now_us(), event)
         except Exception:
@@ -210,8 +209,9 @@
                 log.exception("failed to carry out %.300r", action)
                 self.answer_broken(getattr(action, "request_id", None))
 
-    def answer_broken(self, number: str | None) -> None:
-        request = self.requests.get(number) if number is not None else None
+    def answer_broken(self, request_id: str | None) -> None:
+        """Answer 500 to a request that a fault of this gateway concerns, if it is owed an answer."""
+        request = self.requests.get(request_id) if request_id is not None else None
         if request is not None and request.reply is not None:
             self.settle(request, plain(500, "internal error"))
             self.events.append(ClientDisconnected(request.id))
@@ -253,7 +253,7 @@
     # Requests
 
     def arrive(self, spec: RequestSpec, reply: Reply) -> Request | None:
-        """Take a request: `reply` is called exactly once, unless `leave` comes first."""
+        """Admit a request or reject it: `reply` is called exactly once, unless `client_left` comes first."""
         epoch = self.current_epoch() if self.current_epoch is not None else 0
         if epoch < 0 or not self.has_capacity():
             reply(refused("too many requests" if epoch >= 0 else OUT_OF_TOUCH))
@@ -262,10 +262,10 @@
             return None
         self.accepted_count += 1
         now_us = self.clock.now_us()
-        patience_us = max(
+        remaining_us = max(
             0, min(spec.client_timeout_us - spec.waited_us - TRANSIT_US, self.shutdown_us - now_us)
         )
-        request = Request(str(self.accepted_count), spec, now_us, now_us + patience_us, reply, epoch=epoch)
+        request = Request(str(self.accepted_count), spec, now_us, now_us + remaining_us, reply, epoch=epoch)
         self.requests[request.id] = request
         self.open_requests += 1
         self.set_deadline(request, now_us, request.deadline_us)
@@ -273,7 +273,7 @@
             RequestArrived(
                 request.id,
                 spec.request_class,
-                patience_us,
+                remaining_us,
                 spec.key,
                 spec.expected_work_us,
                 spec.is_retry,
@@ -285,13 +285,14 @@
         return request
 
     def has_capacity(self) -> bool:
+        """Whether one more request may be open."""
         if self.may_admit is not None:
             return self.may_admit()
         return not 0 < self.settings.max_open_requests <= self.open_requests
 
-    def is_able(self, klass: int) -> bool:
-        """Whether any host may be given a request of this class now."""
-        return self.balancer.is_able(self.clock.now_us(), klass)
+    def is_able(self, request_class: int) -> bool:
+        """Whether any endpoint may be given a request of this class now."""
+        return self.balancer.is_able(self.clock.now_us(), request_class)
 
     def client_left(self, request: Request) -> None:
         """The client has closed its connection."""
@@ -309,11 +310,12 @@
         if request.reply is None:
             return
         now_us = self.clock.now_us()
-        patience_us = max(0, min(timeout_us - TRANSIT_US, self.shutdown_us - now_us))
-        self.set_deadline(request, now_us, max(request.deadline_us, now_us + patience_us))
-        self.feed(RequestCoalesced(request.id, patience_us))
+        remaining_us = max(0, min(timeout_us - TRANSIT_US, self.shutdown_us - now_us))
+        self.set_deadline(request, now_us, max(request.deadline_us, now_us + remaining_us))
+        self.feed(RequestCoalesced(request.id, remaining_us))
 
     def extend(self, action: ExtendTimeout) -> None:
+        """Give an attempt that is still out more time."""
         request = self.requests.get(action.request_id)
         exchange = request.attempts[action.attempt_number] if request is not None else None
         if exchange is not None and not exchange.done and exchange.timer is not None:
@@ -321,19 +323,19 @@
             exchange.timer = self.loop.call_later(action.timeout_us / 1e6, exchange.give_up, Outcome.TIMEOUT)
 
     def on_body_complete(self, request: Request) -> None:
-        """The rest of a body that was passed on as it came: its client's time counts from here."""
+        """A body that was passed on as it came is complete: its client's time counts from here."""
         if request.reply is None:
             return
         request.arrived_us = self.clock.now_us()
-        patience_us = max(
+        remaining_us = max(
             0, min(request.spec.client_timeout_us - TRANSIT_US, self.shutdown_us - request.arrived_us)
         )
-        self.set_deadline(request, request.arrived_us, request.arrived_us + patience_us)
+        self.set_deadline(request, request.arrived_us, request.arrived_us + remaining_us)
 
     def end_within(self, seconds: float) -> None:
-        """The process is killed soon after: what is open has its answer by then, and so has what comes yet.
+        """Answer what is open, and what comes yet, within so long: the process is killed soon after.
 
-        But for what is not whole yet, whose time has not begun.
+        But for requests that are not complete yet, whose time has not begun.
         """
         now_us = self.clock.now_us()
         self.shutdown_us = now_us + int(seconds * 1e6)
@@ -343,7 +345,7 @@
                 self.set_deadline(request, now_us, min(request.deadline_us, self.shutdown_us))
 
     def set_deadline(self, request: Request, now_us: int, deadline_us: int) -> None:
-        """It is answered by then, at the last by `answer_at_last`."""
+        """Have a request answered by then, at the last by `answer_at_deadline`."""
         if request.last_resort is not None:
             request.last_resort.cancel()
         request.deadline_us = deadline_us
@@ -358,24 +360,25 @@
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
-    def finish(self, number: str, answer: Answer) -> None:
-        request = self.requests.get(number)
+    def finish(self, request_id: str, answer: Answer) -> None:
+        """Give the balancer's verdict on a request, if an answer is still owed."""
+        request = self.requests.get(request_id)
         if request is not None:
-            # What a host says of its own failure tells the client more than what this gateway could.
+            # An endpoint's own failure tells the client more than what this gateway could say.
             self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
-    def hand_over(self, number: str) -> bool:
-        """A refused request goes to another pool, if one takes it: its final answer is that pool's."""
-        request = self.requests.get(number)
+    def hand_over(self, request_id: str) -> bool:
+        """Offer a rejected request to another pool. True: that pool has it, and answers it."""
+        request = self.requests.get(request_id)
         if request is None or request.reply is None or request.endpoint_failure is not None:
             return False
         elsewhere = request.spec.offer_elsewhere
-        tried = [exchange for exchange in request.attempts if exchange is not None]
-        if elsewhere is None or not elsewhere(bool(tried), any(exchange.written for exchange in tried)):
+        launched = [exchange for exchange in request.attempts if exchange is not None]
+        if elsewhere is None or not elsewhere(bool(launched), any(exchange.written for exchange in launched)):
             return False
         self.close_account(request)
-        for exchange in tried:
+        for exchange in launched:
             exchange.give_up(Outcome.CANCELLED)  # its answer would come beside the other pool's
         self.forget_if_over(request)
         return True
@@ -388,7 +391,7 @@
             reply(answer)
 
     def close_with(self, request: Request, status: int) -> None:
-        """The final answer, with this status, is given now."""
+        """Account for the final answer, which is given now, with this status."""
         if request.reply is not None:
             self.close_account(request)
             if request.spec.on_answered is not None:
@@ -401,11 +404,12 @@
                 )
 
     def close_account(self, request: Request) -> None:
+        """No answer is owed any more: what has not been sent to an endpoint yet shall not be."""
         request.reply = None
         self.open_requests -= 1
         for exchange in request.attempts:
             if exchange is not None:
-                exchange.unwant()  # also where the settings allow no cancelling: it was never sent
+                exchange.unwant()  # also where the settings allow no cancelling
         if request.last_resort is not None:
             request.last_resort.cancel()
 
@@ -416,6 +420,7 @@
     # Attempts
 
     def send(self, action: Send) -> None:
+        """Launch an attempt. One that comes too late, or is one too many, ends as never sent."""
         request = self.requests.get(action.request_id)
         if request is None:
             log.warning("an attempt for request %s, which is over", action.request_id)
@@ -440,33 +445,45 @@
         request.attempts.append(exchange)
 
     def withdraw(self, request: Request) -> None:
-        """The rules that it was taken under may have been taken back: it goes to no host any more."""
+        """End a request whose epoch is over: the rules that it was admitted under may have been revoked."""
         if request.reply is not None and not request.attempts_in_flight:
             ran = any(exchange is not None and exchange.written for exchange in request.attempts)
             answer = plain(502, "failed") if ran else refused(OUT_OF_TOUCH)
             self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
-    def attempt_ended(
-        self,
-        request: Request,
-        number: int,
-        server: int,
-        sent_us: int,
-        outcome: Outcome,
-        answer: Answer | None,
-    ) -> None:
+    def attempt_ended(self, attempt: AttemptRecorder, outcome: Outcome, answer: Answer | None) -> None:
+        """Answer with a success, and feed the outcome to the balancer."""
+        request = attempt.request
         request.attempts_in_flight -= 1
-        latency_us = self.clock.now_us() - sent_us
+        latency_us = self.clock.now_us() - attempt.sent_us
         if outcome is Outcome.SUCCESS and answer is not None:
             self.settle(request, answer)
+        endpoint_id = attempt.endpoint_id
         if self.observer is not None:
-            self.observer.on_attempt_ended(sent_us + latency_us, server, outcome, latency_us)
-        over, load = request.reply is None, self.report(answer)
-        self.feed(AttemptEnded(request.id, number, server, outcome, latency_us, over, load))
+            self.observer.on_attempt_ended(attempt.sent_us + latency_us, endpoint_id, outcome, latency_us)
+        finished, load = request.reply is None, self.load_report(answer)
+        self.feed(
+            AttemptEnded(request.id, attempt.attempt_number, endpoint_id, outcome, latency_us, finished, load)
+        )
         self.forget_if_over(request)
 
-    def report(self, answer: Answer | None) -> tuple[tuple[str, float], ...]:
+    def load_report(self, answer: Answer | None) -> tuple[tuple[str, float], ...]:
+        """The load report that came along with an answer, where the settings say that there is one."""
         if answer is None or self.settings.reports.mode is not ReportMode.ANSWERS:
             return ()
         return parse_report(answer.header(b"server-load"))
+
+
+def _upstream(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
+    settings = config.settings
+    return Upstream(
+        loop,
+        # With an operator file the other half is for the listeners of its site.
+        connections=eviction.half(config.sockets) if config.grows else eviction.limit(config.sockets, 0),
+        connect_timeout_us=settings.connect_timeout_us,
+        idle_us=settings.idle_connection_us,
+        drain_grace_us=settings.drain_grace_us,
+        budget=Budget(total_of(config.memory_mb)),
+        rest_s=0.0 if config.grows else REST_S,
+    )
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to hosts. Every exchange on them, an attempt or a probe, ends with exactly one outcome."""
+"""Connections to endpoints. Every exchange on them, an attempt or a health check, ends with one outcome."""
 
 from __future__ import annotations
 
@@ -13,24 +13,23 @@
 from operator import attrgetter
 from typing import cast
 
-
-from badgergap.proxy.limits.memory import Budget, Reads
-from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy import unread_input
 from badgergap.balancing.interface import EndpointStatus, Outcome
+from badgergap.proxy import unread_input
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.proxy.limits.memory import Budget, Reads
 from badgergap.proxy.upstream.exchange import Exchange
 
 log = logging.getLogger(__name__)
 
 NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# Part of the time after which hosts close idle connections. Guards against a request that crosses the host's
-# close: it would end as a reset, which may have run.
+# Part of the time after which endpoints close idle connections. Guards against a request that crosses the
+# endpoint's close: it would end as a reset, which may have run.
 IDLE_SHARE = 0.7
 IDLE_UNSTATED_S = 5.0
 # After an answer a connection rests before it is used again. Guards against a second answer that comes some
 # milliseconds late: on a connection taken again it would pass for the answer to the next request. Ten
 # milliseconds: for the lateness, and for how much longer than the first it may be on its way. Not more, as
-# each that rests is one that a busy host has to be connected to anew.
+# each that rests is one that a busy endpoint has to be connected to anew.
 REST_S = 0.01
 CONNECT_UNSTATED_S = 1.0
 
@@ -38,21 +37,20 @@
 
 
 class PooledConnection(asyncio.BaseProtocol):
-    """One connection to a host, of whatever kind; carries one exchange at a time.
+    """One connection to an endpoint; carries one exchange at a time.
 
-    A kind says how an exchange is written and what is read; that it is there, idle or busy, is the pool's.
+    A subclass says how an exchange is written and what is read; whether it is idle or busy is up to the pool.
     """
 
-    def __init__(self, pool: Upstream, host: Endpoint) -> None:
+    def __init__(self, pool: Upstream, endpoint: Endpoint) -> None:
         self.pool = pool
-        self.endpoint = host
+        self.endpoint = endpoint
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.idle_since = 0.0
-        self.epoch = (
-            pool.current_epoch() if pool.current_epoch is not None else 0
-        )  # of the rules it is made under
+        # Of the rules that it is made under.
+        self.epoch = pool.current_epoch() if pool.current_epoch is not None else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
@@ -114,7 +112,7 @@
 
 
 class Upstream:
-    """The hosts that discovery has named and the connections to them."""
+    """The endpoints that discovery has named and the connections to them."""
 
     def __init__(
         self,
@@ -133,99 +131,108 @@
         self.reads = Reads(self.budget)
         self.limit = connections
         self.connections_elsewhere = 0  # connections that another process of this gateway holds
-        self.current_epoch: Callable[[], int] | None = None  # as `Proxy.acting`
-        self.on_open: Callable[[], None] | None = None  # a connection to a host has been begun
+        self.current_epoch: Callable[[], int] | None = None  # as `Proxy.current_epoch`
+        self.on_open: Callable[[], None] | None = None  # a connection to an endpoint has been begun
         self.connect_timeout_s = connect_timeout_us / 1e6 or CONNECT_UNSTATED_S
         self.idle_s = (idle_us / 1e6 or IDLE_UNSTATED_S) * IDLE_SHARE
         self.drain_grace_s = drain_grace_us / 1e6
         self.rest_s = rest_s
-        self.tls: ssl.SSLContext | None = None  # to all hosts; a certificate that does not fit: no connection
+        # For connections to all endpoints; a certificate that does not fit means no connection.
+        self.tls: ssl.SSLContext | None = None
         self.tls_name: str | None = None  # whom certificates must name; None: the address
         self.authority: bytes | None = None  # PEM, for transports with a TLS of their own
-        self.on_close: list[Callable[[], None]] = []  # of what carries exchanges without a connection here
+        # Called by `close`: for transports with connections of their own.
+        self.on_close: list[Callable[[], None]] = []
         self.endpoints: dict[EndpointId, Endpoint] = {}
         self.connections: set[PooledConnection] = set()
+        # Whether one more connection may be made. Replaced where several pools share one limit.
+        self.has_capacity: Callable[[], bool] = self.is_below_limit
 
-    # Hosts
+    # Endpoints
 
     def update_endpoint(
-        self, number: EndpointId, address: Address, status: EndpointStatus, protocol: str = ""
+        self, endpoint_id: EndpointId, address: Address, status: EndpointStatus, protocol: str = ""
     ) -> None:
-        host = self.endpoints.setdefault(number, Endpoint(address, protocol))
-        if host.address != address or host.protocol != protocol:
+        endpoint = self.endpoints.setdefault(endpoint_id, Endpoint(address, protocol))
+        if endpoint.address != address or endpoint.protocol != protocol:
             # Another machine. Guards against a connection to the one before that is busy now and rests later.
-            self.close_idle(number)
-            host.stop_at = self.loop.time()
-            host = self.endpoints[number] = Endpoint(address, protocol)
+            self.close_idle(endpoint_id)
+            endpoint.stop_at = self.loop.time()
+            endpoint = self.endpoints[endpoint_id] = Endpoint(address, protocol)
         if status is EndpointStatus.READY:
-            host.stop_at = None
+            endpoint.stop_at = None
         else:
-            self.drain_endpoint(number)
+            self.drain_endpoint(endpoint_id)
 
-    def drain_endpoint(self, number: EndpointId) -> None:
-        """The host drains or is gone: nothing new to it once the grace is over."""
-        host = self.endpoints.get(number)
-        if host is not None and host.stop_at is None:
-            host.stop_at = self.loop.time() + self.drain_grace_s
-            self.close_idle(number)
+    def drain_endpoint(self, endpoint_id: EndpointId) -> None:
+        """The endpoint drains or is gone: nothing new to it once the grace is over."""
+        endpoint = self.endpoints.get(endpoint_id)
+        if endpoint is not None and endpoint.stop_at is None:
+            endpoint.stop_at = self.loop.time() + self.drain_grace_s
+            self.close_idle(endpoint_id)
 
     def drain_unlisted(self, listed: Iterable[EndpointId]) -> None:
-        for number in self.endpoints.keys() - set(listed):
-            self.drain_endpoint(number)
+        for endpoint_id in self.endpoints.keys() - set(listed):
+            self.drain_endpoint(endpoint_id)
 
-    def may_send(self, host: Endpoint) -> bool:
-        return host.stop_at is None or self.loop.time() < host.stop_at
+    def may_send(self, endpoint: Endpoint) -> bool:
+        return endpoint.stop_at is None or self.loop.time() < endpoint.stop_at
 
     def is_epoch_current(self, epoch: int) -> bool:
         """Whether what was begun in this epoch may still be sent."""
         return self.current_epoch is None or 0 <= self.current_epoch() == epoch
 
     def connecting_counts(self) -> dict[EndpointId, int]:
-        """How many exchanges wait for a connection to each host."""
+        """How many exchanges wait for a connection to each endpoint."""
         waiting = Counter(id(c.endpoint) for c in self.connections if c.connecting is not None)
-        return {number: waiting[id(host)] for number, host in self.endpoints.items() if id(host) in waiting}
+        return {
+            endpoint_id: waiting[id(endpoint)]
+            for endpoint_id, endpoint in self.endpoints.items()
+            if id(endpoint) in waiting
+        }
 
     # Exchanges
 
     def carry(
-        self, number: EndpointId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
+        self, endpoint_id: EndpointId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
     ) -> None:
         """Have an exchange carried by an idle connection of this kind, or else by a new one."""
-        host = self.endpoints.get(number)
-        if host is None or not self.may_send(host):
+        endpoint = self.endpoints.get(endpoint_id)
+        if endpoint is None or not self.may_send(endpoint):
             self.loop.call_soon(exchange.never_sent)
             return
         exchange.timer = self.loop.call_later(timeout_s, exchange.give_up, Outcome.TIMEOUT)
-        while (connection := self.take_idle(host)) is not None:
+        while (connection := self.take_idle(endpoint)) is not None:
             if type(connection) is kind and connection.is_quiet():
                 connection.write(exchange)
                 return
             connection.abort()
-        self.connect(host, exchange, kind)
+        self.connect(endpoint, exchange, kind)
 
-    def take_idle(self, host: Endpoint) -> PooledConnection | None:
+    def take_idle(self, endpoint: Endpoint) -> PooledConnection | None:
         """Take the connection to use again: of those that have rested, the one used last.
 
-        Where no new one can be made, one that has hardly rested is better than another host's that has to go.
+        Where no new one can be made, one that has hardly rested is better than closing another endpoint's.
         """
-        idle = host.idle
+        idle = endpoint.idle
         rested = bisect_right(idle, self.loop.time() - self.rest_s, key=attrgetter("idle_since"))
         if rested or (idle and not self.has_capacity()):
             return idle.pop(max(0, rested - 1))
         return None
 
-    def connect(self, host: Endpoint, exchange: Exchange, kind: type[PooledConnection]) -> None:
+    def connect(self, endpoint: Endpoint, exchange: Exchange, kind: type[PooledConnection]) -> None:
         if not self.has_capacity() and not self.close_oldest_idle():
             self.loop.call_soon(exchange.never_sent)
             return
-        connection = kind(self, host)
+        connection = kind(self, endpoint)
         connection.exchange, exchange.connection = exchange, connection
         self.connections.add(connection)
         connection.connecting = self.loop.create_task(self.open(connection, exchange))
         if self.on_open is not None:
             self.on_open()
 
-    def has_capacity(self) -> bool:
+    def is_below_limit(self) -> bool:
+        """Whether one more connection is within this pool's own limit."""
         return len(self.connections) + self.connections_elsewhere < self.limit
 
     async def open(self, connection: PooledConnection, exchange: Exchange) -> None:
@@ -260,31 +267,31 @@
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
 
-    def close_idle(self, number: EndpointId) -> None:
-        host = self.endpoints.get(number)
-        for connection in list(host.idle) if host is not None else ():
+    def close_idle(self, endpoint_id: EndpointId) -> None:
+        endpoint = self.endpoints.get(endpoint_id)
+        for connection in list(endpoint.idle) if endpoint is not None else ():
             connection.abort()
 
     def close_all_idle(self) -> None:
-        for number in self.endpoints:
-            self.close_idle(number)
+        for endpoint_id in self.endpoints:
+            self.close_idle(endpoint_id)
 
     def close_oldest_idle(self) -> bool:
         """Make room for a new connection."""
-        idle = [host.idle[0] for host in self.endpoints.values() if host.idle]
+        idle = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
         if not idle:
             return False
         min(idle, key=lambda c: c.idle_since).abort()
         return True
 
     def clean_up(self) -> None:
-        """Close what has stood idle for long and forget hosts that are gone."""
+        """Close what has stood idle for long and forget endpoints that are gone."""
         oldest = self.loop.time() - self.idle_s
-        for number, host in list(self.endpoints.items()):
-            while host.idle and host.idle[0].idle_since < oldest:
-                host.idle[0].abort()
-            if host.stop_at is not None and not self.may_send(host) and not host.idle:
-                del self.endpoints[number]
+        for endpoint_id, endpoint in list(self.endpoints.items()):
+            while endpoint.idle and endpoint.idle[0].idle_since < oldest:
+                endpoint.idle[0].abort()
+            if endpoint.stop_at is not None and not self.may_send(endpoint) and not endpoint.idle:
+                del self.endpoints[endpoint_id]
 
     def close(self) -> None:
         for end in self.on_close:
