--- a/badgergap/proxy/endpoints/discovery.py
+++ b/badgergap/proxy/endpoints/discovery.py
@@ -19,16 +19,17 @@
 # calls that fail are made again here, so that the balancer's growing waits do not add up to more than that.
 MOVE_RETRY_S = 0.2
 MOVE_S = 10.0
-# Of a pushed list, where the balancer does not ask: what changes meanwhile counts as told, and the agent
-# answers at once and at no cost. So the first call after a watch has ended is made at once, the next ones
-# more slowly.
+# Of a pushed list, which the balancer does not poll: what changes meanwhile counts as announced, and the
+# agent answers at once and at no cost. So the first call after a watch has ended is made at once, the next
+# ones with a backoff.
 REOPEN_S, REOPEN_MOST_S = 0.02, 0.5
-FIRST_S = 0.2  # for an agent's first word, before the list as last held has to do
-SPOILT_MOST = 3  # answers in a row that cannot be read whole, after which what can be read has to do
+BACKOFF_STEPS = 16  # doublings of REOPEN_S, at the most
+FIRST_S = 0.2  # for an agent's first message, before the list as last held has to do
+UNREADABLE_MOST = 3  # messages in a row that are partly unreadable, after which the rest of them has to do
 
 
 class Discovery:
-    """A source of hosts. Carries out the balancer's calls; `on_update` receives each answer, in order."""
+    """A source of endpoints. Carries out the balancer's calls; `on_update` receives each answer, in order."""
 
     name, rank, dynamic, fallback = PLATFORM, 0, True, False
 
@@ -47,15 +48,14 @@
         self.pushed = pushed
         self.initial_list = initial_list  # the list as last held, to begin with
         self.on_update = on_update
-        self.index = 0
-        self.current_watch: DiscoveryCall | None = None  # the watch
-        self.previous_watch: DiscoveryCall | None = (
-            None  # the watch on the service before, until the new one has answered
-        )
+        self.index = 0  # the version of the list as last received
+        self.current_watch: DiscoveryCall | None = None
+        # The watch before, kept until the current one is answered: after a move, or an unreadable message.
+        self.previous_watch: DiscoveryCall | None = None
         self.moving_until = 0.0  # loop time; 0 once the new service has answered
         self.fetches: set[DiscoveryCall] = set()
-        self.unreadable_count = 0  # answers in a row that could not be read whole
-        self.failures = 0  # of a pushed list: watches in a row that have ended with nothing said
+        self.unreadable_count = 0  # messages in a row that were partly unreadable
+        self.failures = 0  # of a pushed list: watches in a row that have ended unanswered
         self.closed = False
         self.current_at = 0.0  # loop time from which the list counts as that of now
 
@@ -71,6 +71,7 @@
             self.watch(True)
 
     def watch(self, on: bool) -> None:
+        """Open the watch, or close it."""
         if on and self.moving_until and self.current_watch is not None:
             return  # opened at the move, and still to be answered
         self.stop_watch()
@@ -89,11 +90,10 @@
         self.current_watch = self.previous_watch = None
 
     def move(self, address: Address) -> None:
-        """Discovery is elsewhere now: ask there at once for everything, and hear the old one out meanwhile.
+        """Discovery has another address: ask there at once for everything, and keep the old watch meanwhile.
 
         Guards against a gap in the updates: the old service goes on for a moment, the new one may come up
-        late.
-        Version numbers of the one need mean nothing to the other.
+        late. Version numbers of the one need mean nothing to the other.
         """
         kept_watch = self.current_watch if self.moving_until == 0.0 else self.previous_watch
         if kept_watch is not self.current_watch and self.current_watch is not None:
@@ -108,6 +108,7 @@
         self.open_watch()
 
     def reopen(self) -> None:
+        """Retry the first watch after a move."""
         if self.moving_until and self.current_watch is None:
             self.open_watch()
 
@@ -115,31 +116,36 @@
         self.fetches.add(DiscoveryCall(self, PATH, watch=False))
 
     def on_list(self, raw: Any, call: DiscoveryCall) -> None:
+        """A call has received a message. Raises ValueError for one that is no list."""
         update = parse_list(raw, self.names)
-        whole = len(update.entries) == len(raw["endpoints"])
+        is_complete = len(update.entries) == len(raw["endpoints"])
         if call.watch:
             self.failures, self.current_at = 0, 0.0
-        if call is self.current_watch and (self.moving_until or self.previous_watch is not None):
-            self.moving_until = 0.0
-            if self.previous_watch is not None:
-                self.previous_watch.end()
-                self.previous_watch = None
+        if call is self.current_watch:
+            self.finish_move()
         self.fetches = {call for call in self.fetches if not call.over}
-        if whole and call is self.current_watch:
+        if is_complete and call is self.current_watch:
             self.unreadable_count = 0
-        if call is not self.previous_watch and (whole or self.unreadable_count >= SPOILT_MOST):
+        if call is not self.previous_watch and (is_complete or self.unreadable_count >= UNREADABLE_MOST):
             self.index = version_of(raw)
         self.on_update(update)
-        if not whole:
+        if not is_complete:
             self.on_unreadable(call)
 
+    def finish_move(self) -> None:
+        """The current watch has been answered: the one before it ends."""
+        self.moving_until = 0.0
+        if self.previous_watch is not None:
+            self.previous_watch.end()
+            self.previous_watch = None
+
     def on_unreadable(self, call: DiscoveryCall) -> None:
-        """Something was said that cannot be read: ask for it again, and hear this watch out meanwhile.
+        """Part of a message cannot be read: ask for it again, and keep this watch open meanwhile.
 
         Guards against updates that the next version's number would hide: they would never be sent again.
-        A second time the whole list is asked for; what still cannot be read then is left to `SPOILT_MOST`.
+        A second time the full list is asked for; what still cannot be read then is left to `UNREADABLE_MOST`.
         """
-        if call is not self.current_watch or self.unreadable_count >= SPOILT_MOST:
+        if call is not self.current_watch or self.unreadable_count >= UNREADABLE_MOST:
             return
         if self.moving_until:
             call.fail("what a new service said first could not be read")  # it is asked again soon
@@ -154,38 +160,46 @@
         self.open_watch()
 
     def on_call_failed(self, call: DiscoveryCall) -> None:
+        """A call has ended by itself: retry it here, or leave that to the balancer by an ERROR update."""
         self.fetches.discard(call)
         if call is self.previous_watch:  # its service has moved: no error
             self.previous_watch = None
             return
         if call is self.current_watch:
             self.current_watch = None
-            if self.moving_until > self.loop.time():
-                self.loop.call_later(MOVE_RETRY_S, self.reopen)
-                return
-            self.moving_until = 0.0
-            if self.pushed:
-                wait_s = min(REOPEN_S * 2**self.failures, REOPEN_MOST_S)
-                self.failures = min(self.failures + 1, 16)
-                self.loop.call_later(wait_s, self.reopen_pushed)
-                return
-            if call.silent and call.answered:
-                # What it misses counts as told so long after it fell silent that no wait of the balancer's,
-                # which grows with the time that the settings give for asking, may come on top.
-                self.open_watch()
+            if self._retries_watch(call):
                 return
         self.on_update(EndpointUpdate(EndpointListKind.ERROR))
 
+    def _retries_watch(self, call: DiscoveryCall) -> bool:
+        """Open the watch again, now or soon, unless that is up to the balancer. Returns whether it does."""
+        if self.moving_until > self.loop.time():
+            self.loop.call_later(MOVE_RETRY_S, self.reopen)
+            return True
+        self.moving_until = 0.0
+        if self.pushed:
+            wait_s = min(REOPEN_S * 2**self.failures, REOPEN_MOST_S)
+            self.failures = min(self.failures + 1, BACKOFF_STEPS)
+            self.loop.call_later(wait_s, self.reopen_pushed)
+            return True
+        if call.silent and call.answered:
+            # What it misses counts as announced so long after it fell silent that no wait of the balancer's,
+            # which grows with the time that the settings give for asking, may come on top.
+            self.open_watch()
+            return True
+        return False
+
     def reopen_pushed(self) -> None:
+        """Retry the watch of a pushed list."""
         if self.current_watch is None and not self.closed:
             self.open_watch()
 
     @property
     def is_current(self) -> bool:
-        """Whether clients may be sent here: what a pushed list holds counts as told from the very start.
+        """Whether clients may be sent here: what a pushed list holds counts as announced from the very start.
 
-        Guards against requests for a host that drained while this process was not there. An agent that says
-        nothing is not waited for.
+        Guards against requests for an endpoint that drained while this process was not there. An agent that
+        sends nothing is not waited for.
         """
         return self.loop.time() >= self.current_at
 
--- a/badgergap/proxy/endpoints/discovery_call.py
+++ b/badgergap/proxy/endpoints/discovery_call.py
@@ -21,12 +21,16 @@
 # the latest, and by then the next call should have been answered.
 SILENCE_S = 3.5
 CONNECT_S = 1.0
-MOVE_ANSWER_S = 1.5  # the same until the first answer of a service after a move
-LINE_LIMIT = 8 * 1024 * 1024
+MOVE_ANSWER_S = 1.5  # in place of SILENCE_S, until a service has answered its first watch after a move
+LINE_LIMIT = 8 * 1024 * 1024  # bytes, also of a message of several lines
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call to discovery: a watch that goes on, or the whole list once."""
+    """One call to discovery: a watch that goes on, or the full list once.
+
+    It reports each message by `Discovery.on_list`, an unreadable one of a watch by `on_unreadable`, and its
+    end, unless that was by `end`, by `on_call_failed`.
+    """
 
     def __init__(self, discovery: Discovery, target: str, watch: bool) -> None:
         self.discovery = discovery
@@ -39,12 +43,13 @@
         self.messages = MessageSplitter()
         self.partial_bytes = 0  # bytes of a message that is not complete
         self.over = False
-        self.silent = False  # that is why it is over
-        self.answered = False  # it has said something of the list, or that there is nothing new
+        self.silent = False  # it is over because nothing came for too long
+        self.answered = False  # something has come: of the list, or that there is nothing new
         self.silence: asyncio.TimerHandle | None = None
         self.task = discovery.loop.create_task(self.open())
 
     async def open(self) -> None:
+        """Connect; `connection_made` sends the request."""
         try:
             async with asyncio.timeout(CONNECT_S):
                 await self.discovery.loop.create_connection(lambda: self, *self.address)
@@ -61,6 +66,7 @@
         self.restart_silence_timer()
 
     def restart_silence_timer(self) -> None:
+        """Something has come, or is awaited from now on."""
         if self.silence is not None:
             self.silence.cancel()
         moved = self.watch and not self.answered and self.discovery.moving_until
@@ -122,6 +128,7 @@
             self.discovery.on_unreadable(self)
 
     def read(self, text: bytes) -> bool:
+        """Report a message. Returns whether it could be read."""
         try:
             self.discovery.on_list(json.loads(text), self)
         except (ValueError, RecursionError) as error:
@@ -130,6 +137,7 @@
         return True
 
     def end(self) -> None:
+        """End without a report."""
         self.over = True
         if self.silence is not None:
             self.silence.cancel()
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -306,7 +306,7 @@
         async with gateway() as it:
             await told(it)
             asked = []
-            for _ in range(discovery.SPOILT_MOST + 1):
+            for _ in range(discovery.UNREADABLE_MOST + 1):
                 first, watch = await it.registry.watches.get()
                 asked.append(int(first.partition("index=")[2].split()[0]))
                 watch.write(chunk(news(entry("h1", "nowhere"), entry("h2", it.host.address), index=9)))
