--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -30,8 +30,6 @@
 
 BUFFER = 64 * 1024  # bytes written to an endpoint and not yet sent, beyond which the client is not read
 LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
-
-
 HOLD_S = 0.05  # for the end of a good answer whose length is not said
 # Of what frames a body: so much, and so many times the body. Guards against an extension of a chunk, or a
 # trailer, that does not end and would grow inside the parser; a body may come in chunks of one byte.
@@ -65,7 +63,7 @@
 
 
 class Http1Attempt(StreamAttempt):
-    """One try of a request, over HTTP/1.1."""
+    """One attempt of a request, over HTTP/1.1."""
 
     __slots__ = ()
 
@@ -103,14 +101,20 @@
 def carry(
     upstream: Upstream, server: int, timeout_s: float, spec: ExchangeSpec, listener: AttemptListener
 ) -> Http1Attempt:
+    """Start an attempt over HTTP/1.1, for an endpoint that has so many seconds to begin its response."""
     exchange = Http1Attempt(spec, listener, upstream.loop)
     upstream.carry(server, exchange, timeout_s, Http1Connection)
     return exchange
 
 
 class Http1Connection(PooledConnection, asyncio.BufferedProtocol):
-    def __init__(self, pool: Upstream, host: Endpoint) -> None:
-        super().__init__(pool, host)
+    """A connection for `Http1Attempt`s, one after another. `ResponseState` has its states.
+
+    `attempt` is the exchange that it carries, as `exchange` is; None between two.
+    """
+
+    def __init__(self, pool: Upstream, endpoint: Endpoint) -> None:
+        super().__init__(pool, endpoint)
         self.attempt: Http1Attempt | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.headers: Headers = []
@@ -141,9 +145,11 @@
         self.data_received(self.pool.reads.taken(nbytes))
 
     def write(self, exchange: Exchange) -> None:
+        """Send an attempt's head, and as much of its body as is held."""
         transport = self.transport
         assert transport is not None and isinstance(exchange, Http1Attempt)
-        self.exchange = self.attempt = exchange
+        self.exchange = exchange
+        self.attempt = exchange
         exchange.connection = self
         self.reset_response()
         self.interim_count = 0
@@ -192,16 +198,18 @@
         self.count_held(0)
 
     def send(self, data: bytes) -> None:
+        """Send more of a request, or of a tunnel."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def count_held(self, held: int) -> None:
-        """So much of an answer is held here."""
+        """Tell the budget how many bytes of a response are held here."""
         if held != self.counted_held:
             self.pool.budget.change(held - self.counted_held)
             self.counted_held = held
 
     def count_unsent(self) -> None:
+        """Tell the budget how many bytes of a request the endpoint has not taken yet."""
         unsent = (
             self.transport.get_write_buffer_size() if self.transport is not None and self.write_blocked else 0
         )
@@ -268,6 +276,7 @@
             self.parser = httptools.HttpResponseParser(self)
 
     def pass_direct(self, exchange: Http1Attempt, data: bytes) -> None:
+        """Pass on the rest of a body of known length. What comes behind it spoils the connection."""
         rest, clean = self.body_left - len(data), True
         if rest < 0:
             data, rest, clean = data[: self.body_left], 0, False
@@ -278,7 +287,7 @@
             self.conclude(clean)
 
     def pass_late(self, exchange: Http1Attempt) -> None:
-        """The end of an answer whose length was not said takes its time: what there is goes on now."""
+        """A held response of unknown length has not ended within HOLD_S: what there is of it is passed on."""
         if (
             self.attempt is exchange
             and self.held_answer is not None
@@ -362,13 +371,7 @@
         status = self.parser.get_status_code()
         headers, self.headers, self.head_size = self.headers, [], 0
         if status < 200 and status != 101:
-            self.interim_count += 1
-            if self.interim_count > INTERIM_LIMIT:
-                raise ValueError("too many interim answers")
-            if status == 100:
-                exchange.on_continue()
-            else:
-                exchange.spec.download.interim(status, answer_headers(headers))
+            self.on_interim(exchange, status, headers)
             return
         self.state = BODY
         if status == 101:
@@ -393,7 +396,18 @@
             self.state = COMPLETE
             self.parser = httptools.HttpResponseParser(self)
 
+    def on_interim(self, exchange: Http1Attempt, status: int, headers: Headers) -> None:
+        """A response of the kind 1xx. Raises ValueError, into the parser, for one too many."""
+        self.interim_count += 1
+        if self.interim_count > INTERIM_LIMIT:
+            raise ValueError("too many interim answers")
+        if status == 100:
+            exchange.on_continue()
+        else:
+            exchange.spec.download.interim(status, answer_headers(headers))
+
     def switch(self, exchange: Http1Attempt, headers: Headers) -> None:
+        """101: from here on a tunnel. Raises ValueError, into the parser, for one that was not asked for."""
         upgrade = next((value for name, value in headers if name == b"upgrade"), b"")
         if not exchange.spec.allows_upgrade or upgrade.lower() != b"websocket":
             raise ValueError("an upgrade that nobody asked for")
@@ -402,11 +416,11 @@
         exchange.start_response(AnswerHead(101, kept, None, has_body=True, upgraded=True))
 
     def passed(self, head: AnswerHead) -> AnswerHead:
-        """A head as the client gets it. Raises BadHead."""
+        """A response's head as the client gets it. Raises BadHead."""
         return replace(head, headers=answer_headers(head.headers))
 
     def read_head(self, spec: ExchangeSpec, status: int, headers: Headers) -> AnswerHead:
-        """What frames the answer; its fields as they came."""
+        """The head, with its fields as they came, and what frames the body. Raises BadHead."""
         lengths = {value for name, value in headers if name == b"content-length"}
         codings = [value.lower() for name, value in headers if name == b"transfer-encoding"]
         if (codings and (lengths or codings != [b"chunked"])) or len(lengths) > 1:
@@ -437,7 +451,7 @@
             self.pass_held(exchange)
 
     def pass_held(self, exchange: Http1Attempt) -> None:
-        """What is held of an answer goes to the client: from here on it is the final one."""
+        """Pass on what is held of a response: from here on it is the final one. Raises BadHead."""
         exchange.pass_held(self.passed(self.held_head), self.held_chunks)
         self.held_chunks = []
         self.count_held(0)
@@ -447,7 +461,11 @@
             self.state = COMPLETE
 
     def conclude(self, clean: bool) -> None:
-        """Only now that the parser has read all there was: the next request may go out on this connection."""
+        """End the exchange, whose response is complete, and return the connection to the pool, or close it.
+
+        Only now that the parser has read all there was may the next request go out on this connection.
+        `clean`: nothing came behind the response.
+        """
         exchange = self.attempt
         assert exchange is not None
         outcome, answer = self.outcome, self.held_answer
