--- a/badgergap/consensus/drain_agreement.py
+++ b/badgergap/consensus/drain_agreement.py
@@ -13,7 +13,7 @@
 from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S, REPEAT_S
 from badgergap.consensus.replicated_state import BACK_ALREADY, OUT_ALREADY
 from badgergap.consensus.versions import ANY_PARENT, Outcome, ProposeVersion, VersionContent
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain, RosterError
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain, EndpointRegistryError
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
 
@@ -53,8 +53,8 @@
     def join(self, proxy: Proxy) -> None:
         """Follow what is drained and reinstated by hand at this gateway."""
         self.main = proxy
-        proxy.put_back = self._may_reinstate
-        proxy.by_hand.append(self._on_drained_here)
+        proxy.directory.may_undrain = self._may_reinstate
+        proxy.directory.manual_drain_listeners.append(self._on_drained_here)
 
     def _main(self) -> Proxy:
         assert self.main is not None
@@ -73,7 +73,7 @@
     def apply(self) -> None:
         """Drain what the group has drained, and reinstate what neither it nor anybody here has."""
         agreed = self._agreed()
-        drains = self._main().roster.drains
+        drains = self._main().directory.registry.drains
         for name, by in agreed.items():
             if name not in drains:
                 self._drain(name, by)
@@ -82,20 +82,20 @@
                 self._reinstate(name)
 
     def _drain(self, name: str, by: str) -> None:
-        drains = self._main().roster.drains
+        drains = self._main().directory.registry.drains
         proxy = proxy_of(self.proxies().values(), name)
         try:
-            proxy.drain(name, by)
-        except RosterError:
+            proxy.directory.drain(name, by)
+        except EndpointRegistryError:
             # No source names it yet: it is drained as soon as one does.
             if len(drains) < DRAIN_LIMIT:
-                drains[name] = HandDrain(name, by, proxy.clock.now_us())
+                drains[name] = ManualDrain(name, by, proxy.clock.now_us())
 
     def _reinstate(self, name: str) -> None:
         try:
-            proxy_of(self.proxies().values(), name).undrain(name, GROUP)
-        except RosterError:
-            self._main().roster.drains.pop(name, None)
+            proxy_of(self.proxies().values(), name).directory.undrain(name, GROUP)
+        except EndpointRegistryError:
+            self._main().directory.registry.drains.pop(name, None)
 
     # By hand at this gateway
 
@@ -104,7 +104,7 @@
         if by == GROUP:
             return True
         waiting = self.being_agreed.get(name)
-        if waiting is None and name not in self._main().roster.drains:
+        if waiting is None and name not in self._main().directory.registry.drains:
             return True
         self.tasks.spawn(self.agree(name, "back", by, None))
         if waiting is None:
--- a/badgergap/consensus/endpoint_list_source.py
+++ b/badgergap/consensus/endpoint_list_source.py
@@ -14,7 +14,7 @@
 from badgergap.consensus import endpoint_lists
 from badgergap.consensus.endpoint_lists import AgreedEndpoint, Endpoints, SourceList
 from badgergap.consensus.versions import ANY_PARENT, Outcome, ProposeVersion, VersionContent
-from badgergap.proxy.endpoints.sources import Entry, News, host_id
+from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate, endpoint_id_of
 from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
@@ -62,8 +62,8 @@
         zones, kinds = proxy.config.names.zones, proxy.config.names.kinds
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
-        proxy.instead = self._on_source_update
-        proxy.follows = self._may_follow
+        proxy.directory.intercept_update = self._on_source_update
+        proxy.directory.may_follow = self._may_follow
 
     @property
     def is_orphan(self) -> bool:
@@ -75,7 +75,7 @@
     def _may_follow(self, source: str) -> bool:
         return source != self.source or self.follows_source
 
-    def _on_source_update(self, source: str, update: News) -> bool:
+    def _on_source_update(self, source: str, update: EndpointUpdate) -> bool:
         """True for an update that goes to the group; failures are for the gateway, which polls again."""
         if source != self.source:
             return False
@@ -105,7 +105,7 @@
         if follows is self.follows_source:
             return
         self.follows_source = follows
-        source = self.proxy.sources[self.source]
+        source = self.proxy.directory.sources[self.source]
         log.info("the group's list: this gateway %s the source", "follows" if follows else "leaves")
         source.watch(follows)
         if follows:
@@ -118,7 +118,7 @@
         now = asyncio.get_running_loop().time()
         if self.has_agreed_list and now - self.refreshed_at > REFRESH_S and not self.is_orphan:
             self.refreshed_at = now
-            self.proxy.heard(self.source, News(EndpointListKind.DELTA))
+            self.proxy.directory.apply_update(self.source, EndpointUpdate(EndpointListKind.DELTA))
 
     async def _propose(self) -> None:
         found = self.own.propose(self.now_us(), self.newest)
@@ -150,7 +150,7 @@
             return
         self.passed_on = dict(endpoints)
         entries = tuple(map(self._to_entry, endpoints.values()))
-        self.proxy.heard(self.source, News(EndpointListKind.FULL, entries))
+        self.proxy.directory.apply_update(self.source, EndpointUpdate(EndpointListKind.FULL, entries))
 
     # Endpoints of the gateway, with its own numbers of zones and kinds, and agreed ones
 
@@ -172,7 +172,7 @@
     def _to_entry(self, endpoint: AgreedEndpoint) -> Entry:
         host, _, port = endpoint.address.rpartition(":")
         listed = ListedEndpoint(
-            host_id(endpoint.name),
+            endpoint_id_of(endpoint.name),
             EndpointStatus.DRAINING if endpoint.draining else EndpointStatus.READY,
             endpoint.weight,
             self.zones.setdefault(endpoint.zone, len(self.zones)) if endpoint.zone else 0,
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -115,9 +115,9 @@
     def join(self, proxy: Proxy) -> None:
         """Act by the group's right to act, and follow what is drained by hand."""
         self.main = proxy
-        proxy.act_by(self.acting)
+        proxy.set_epoch_source(self.acting)
         self.drains.join(proxy)
-        dynamic = [source.name for source in proxy.sources.values() if source.dynamic]
+        dynamic = [source.name for source in proxy.directory.sources.values() if source.dynamic]
         if self.options.one_list and dynamic:
             self.endpoint_list = EndpointListFollower(proxy, dynamic[0], self, clock_us, self._alert)
 
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -50,7 +50,7 @@
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.endpoints.manual_drains import DrainStore
-from badgergap.proxy.endpoints.registry import HandDrain, RosterError
+from badgergap.proxy.endpoints.registry import ManualDrain, EndpointRegistryError
 from badgergap.proxy.endpoints.sources import PLATFORM
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.lifecycle.component import Component, PoolOwner
@@ -222,14 +222,14 @@
         stored = self.drain_store.load() if self.drain_store is not None else []
         state = self.state
         if state is None:
-            proxy.roster.restore(stored)
+            proxy.directory.registry.restore(stored)
         else:
             for component in self.components.values():
                 component.import_listeners(self.component_listeners, self.ready)
-            proxy.roster.restore(state.drains)
+            proxy.directory.registry.restore(state.drains)
             if state.lame_duck_age_s is not None:
                 downstream.enter_lame_duck(state.lame_duck_age_s)
-        proxy.by_hand.append(self.on_manual_drain)
+        proxy.directory.manual_drain_listeners.append(self.on_manual_drain)
         downstream.lame_duck_observers.append(self.on_lame_duck)
 
     def restore_learned_state(self) -> None:
@@ -355,18 +355,20 @@
     def current_state(self) -> TransferredState:
         """What a successor needs to go on as this process would."""
         proxy, lame = self.proxy, self.downstream.lame_duck
-        platform = proxy.roster.sources.get(PLATFORM)
-        entries = [word.entry for word in platform.words.values()] if platform is not None else []
-        index = proxy.discovery.index if proxy.discovery is not None else 0
+        platform = proxy.directory.registry.sources.get(PLATFORM)
+        records = platform.records.values() if platform is not None else ()
+        entries = [record.entry for record in records]
+        discovery = proxy.directory.discovery
+        index = discovery.index if discovery is not None else 0
         proxies = self.proxies()
         return TransferredState(
             clock_offset_ns=proxy.clock.offset_ns,
             endpoint_list=export_endpoint_list(entries, proxy.config.names, index),
-            drains=tuple(proxy.roster.drains.values()),
+            drains=tuple(proxy.directory.registry.drains.values()),
             lame_duck_age_s=lame.age(self.loop.time()) if lame else None,
             learned_state=proxy.balancer.snapshot(),
             pools={name: pool.balancer.snapshot() for name, pool in proxies.items() if name != MAIN},
-            request_classes=proxy.filed.names.classes,
+            request_classes=proxy.latest_config.names.classes,
             endpoint_counts={name: len(pool.upstream.endpoints) for name, pool in proxies.items()},
         )
 
@@ -445,13 +447,13 @@
         proxy = proxy_of(self.proxies().values(), change.endpoint)
         try:
             if change.drained:
-                proxy.drain(change.endpoint, change.by)
+                proxy.directory.drain(change.endpoint, change.by)
             else:
-                proxy.undrain(change.endpoint, change.by)
-        except RosterError:
+                proxy.directory.undrain(change.endpoint, change.by)
+        except EndpointRegistryError:
             if change.drained:  # not listed here yet: it is drained as soon as it is
-                drain = HandDrain(change.endpoint, change.by, self.proxy.clock.now_us())
-                self.proxy.roster.restore([drain])
+                drain = ManualDrain(change.endpoint, change.by, self.proxy.clock.now_us())
+                self.proxy.directory.registry.restore([drain])
 
     def _notify(self, message: Message) -> None:
         """Tell the processes on both sides, but not the one that this came from."""
@@ -463,10 +465,10 @@
         """An operator has drained or reinstated an endpoint here, or in the other process."""
         self._notify(messages.ManualDrainChanged(name, by, drained))
         if self.drain_store is not None:
-            drains = list(self.proxy.roster.drains.values())
+            drains = list(self.proxy.directory.registry.drains.values())
             self.drain_writer.submit(self._save_drains, self.drain_store, drains)
 
-    def _save_drains(self, store: DrainStore, drains: list[HandDrain]) -> None:
+    def _save_drains(self, store: DrainStore, drains: list[ManualDrain]) -> None:
         try:
             store.save(drains)
         except OSError as error:
--- a/badgergap/hot_restart/learned_state_import.py
+++ b/badgergap/hot_restart/learned_state_import.py
@@ -39,7 +39,7 @@
 
     def _restore_pool(self, proxy: Proxy, snapshot: JsonObject) -> None:
         classes = self.state.request_classes
-        if classes and classes != proxy.filed.names.classes:
+        if classes and classes != proxy.latest_config.names.classes:
             log.warning("what was learnt is not taken over: the classes are others")
             return
         try:
--- a/badgergap/hot_restart/state_transfer.py
+++ b/badgergap/hot_restart/state_transfer.py
@@ -18,7 +18,7 @@
 from badgergap.balancing.interface import EndpointStatus
 from badgergap.hot_restart.errors import StateTransferError
 from badgergap.hot_restart.frames import JsonObject
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain
 from badgergap.proxy.endpoints.sources import Entry
 from badgergap.proxy.lifecycle.config import Address, Names
 
@@ -44,7 +44,7 @@
 
     clock_offset_ns: int  # of the gateway's clock from the monotonic one
     endpoint_list: JsonObject  # in discovery's form
-    drains: tuple[HandDrain, ...] = ()
+    drains: tuple[ManualDrain, ...] = ()
     lame_duck_age_s: float | None = None  # for how long clients have been sent away; None: they are not
     learned_state: JsonObject | None = None  # the main balancer's snapshot
     pools: dict[str, JsonObject] = field(default_factory=dict)  # snapshots of the further pools' balancers
@@ -113,7 +113,7 @@
             raise StateTransferError("it names no hosts")
         return listed
 
-    def drains(self) -> tuple[HandDrain, ...]:
+    def drains(self) -> tuple[ManualDrain, ...]:
         try:
             return tuple(read_drain(item) for item in self.raw["drains"])[:DRAIN_LIMIT]
         except (KeyError, TypeError, ValueError) as error:
@@ -160,14 +160,14 @@
         return {}
 
 
-def read_drain(raw: Any) -> HandDrain:
+def read_drain(raw: Any) -> ManualDrain:
     """Raises ValueError or TypeError."""
     name, by, at_us, action = raw
     if not (isinstance(name, str) and name and isinstance(by, str) and isinstance(action, str)):
         raise TypeError("no text")
     if isinstance(at_us, bool) or not isinstance(at_us, int):
         raise TypeError("no time")
-    return HandDrain(name, by, at_us, action)
+    return ManualDrain(name, by, at_us, action)
 
 
 def export_endpoint_list(entries: Iterable[Entry], names: Names, index: int) -> JsonObject:
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -14,10 +14,11 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
 
-from badgergap.proxy.proxy import TRANSIT_US, Proxy, plain, refused
+from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.proxy import Proxy, TRANSIT_US
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
 from badgergap.proxy.upstream.stream_attempt import Client
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.joining.group import Act, Do, Group, State
 from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
@@ -141,9 +142,9 @@
             self.time(each)
         seat = self.take(turn, client, asked)
         self.time(seat)
-        proxy.open += 1
+        proxy.open_requests += 1
         if self.turn.request is not None:
-            proxy.join(self.turn.request, self.way.answer_us)
+            proxy.coalesce(self.turn.request, self.way.answer_us)
         self.run(self.group.join(seat.number))
 
     def drop(self, seat: Seat) -> None:
@@ -153,7 +154,7 @@
         if seat.timer is not None:
             seat.timer.cancel()
         if not seat.first:
-            self.way.proxy.open -= 1
+            self.way.proxy.open_requests -= 1
         seat.turn.joined = None
         if not self.seats:
             self.joins.forget(self)
@@ -307,7 +308,7 @@
             if len(shared.seats) >= MEMBERS:
                 self.counts[FULL] += 1
                 return False
-            if not way.proxy.has_room():
+            if not way.proxy.has_capacity():
                 client.answer(refused("too many requests"))
                 return True
             self.counts[JOINED] += 1
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -16,10 +16,13 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from badgergap.proxy.proxy import RequestSpec, AttemptListener, Launch, Proxy, Request, plain
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
 from badgergap.proxy.body_streams import DownloadSource, Upload
 from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt, ExchangeSpec, is_early
-from badgergap.proxy.upstream.connection_pool import Exchange, Upstream
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Exchange
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 
 log = logging.getLogger(__name__)
@@ -201,7 +204,7 @@
         elif self.joined is not None:
             self.joined.leave()
         elif self.request is not None and self.way is not None:
-            self.way.proxy.leave(self.request)
+            self.way.proxy.client_left(self.request)
 
     def is_out_of_time(self, now: float, quiet_s: float | None = None) -> bool:
         """Look at the box's times, and whether the route's time for the whole is over.
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -18,7 +18,7 @@
 from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import RosterError
+from badgergap.proxy.endpoints.registry import EndpointRegistryError
 
 log = logging.getLogger(__name__)
 
@@ -165,13 +165,13 @@
     def set_drained(self, name: str, drained: bool) -> str:
         """Drain an endpoint by hand, or end that. Raises CommandError."""
         proxy = proxy_of(self.proxies(), name)
-        was = name in proxy.roster.drains
+        was = name in proxy.directory.registry.drains
         try:
             if drained:
-                proxy.drain(name, DRAIN_OWNER)
+                proxy.directory.drain(name, DRAIN_OWNER)
             else:
-                proxy.undrain(name, DRAIN_OWNER)
-        except RosterError as error:
+                proxy.directory.undrain(name, DRAIN_OWNER)
+        except EndpointRegistryError as error:
             raise CommandError(str(error)) from None
         if was is drained:
             return f"{name} was {'out' if drained else 'in'} already"
@@ -187,13 +187,14 @@
         if self.downstream.draining:
             raise CommandError("this process ends and takes no clients")
         main, *_ = proxies = self.proxies()
-        drains, lame_duck = main.roster.drains, self.downstream.lame_duck
+        drains, lame_duck = main.directory.registry.drains, self.downstream.lame_duck
         age = f" {lame_duck.age(self.downstream.loop.time()):.0f} s ago" if lame_duck else ""
+        endpoint_count = sum(proxy.directory.registry.endpoint_count for proxy in proxies)
         parts = [
             f"{main.config.name} (process {os.getpid()})",
             f"was told to send clients away{age}" if lame_duck else "takes clients",
-            f"{sum(proxy.roster.hosts for proxy in proxies)} hosts, {len(drains)} out by hand",
-            f"{sum(proxy.open for proxy in proxies)} requests open",
+            f"{endpoint_count} hosts, {len(drains)} out by hand",
+            f"{sum(proxy.open_requests for proxy in proxies)} requests open",
             f"{len(self.downstream.connections)} connections",
         ]
         return ", ".join(parts)
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -37,8 +37,15 @@
 from badgergap.proxy.downstream.response_writer import RespondedRequest
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.proxy import RETRY_AFTER, AttemptListener, Proxy, Request, plain, refused
-from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.gateway_responses import RETRY_AFTER
+from badgergap.proxy.requests import Request
+from badgergap.proxy.gateway_responses import refused
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.requests import AttemptListener
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Answer
+from badgergap.proxy.upstream.exchange import Exchange
 from badgergap.proxy.upstream.stream_attempt import is_early
 from badgergap.proxy.upstream.stream_exchange import carry
 
@@ -103,7 +110,7 @@
             source, current.source = current.source, None
             source.client_left()
         elif request is not None:
-            self.server.proxy.leave(request)
+            self.server.proxy.client_left(request)
 
     def reject_and_close(self, refusal: BadRequest) -> None:
         """Answer the newest request with `refusal` in its turn, then close.
@@ -132,7 +139,7 @@
 
     def on_body_complete(self, incoming: IncomingRequest) -> None:
         if incoming is self.current and self.request is not None:
-            self.server.proxy.body_came(self.request)
+            self.server.proxy.on_body_complete(self.request)
 
     def send_continue(self) -> None:
         """Send 100 Continue in its turn: before that, the response to another would come behind it."""
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -17,7 +17,8 @@
 from badgergap.proxy.lifecycle.lame_duck import POLL_INTERVAL_S, LameDuck
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import LARGEST, LEAST
-from badgergap.proxy.proxy import Proxy, refused
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.gateway_responses import refused
 
 BACKLOG = 1024
 CLEANUP_INTERVAL_S = 0.25
--- a/badgergap/proxy/downstream/response.py
+++ b/badgergap/proxy/downstream/response.py
@@ -4,7 +4,7 @@
 
 from badgergap.proxy.body_streams import Headers
 from badgergap.proxy.downstream.response_writer import REASONS
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 
 # Of an endpoint's response: hop-by-hop, or written anew by the gateway.
 HOP_HEADERS = frozenset(
--- a/badgergap/proxy/endpoints/manual_drains.py
+++ b/badgergap/proxy/endpoints/manual_drains.py
@@ -1,4 +1,4 @@
-"""Drains by hand, kept in the state folder: written whole or not at all."""
+"""Drains by hand, kept in the state folder: written completely or not at all."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, HandDrain
+from badgergap.errors import BadgergapError
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain
 
 log = logging.getLogger(__name__)
 
@@ -19,6 +20,10 @@
 SIZE_LIMIT = 1024 * 1024
 
 
+class DrainStoreError(BadgergapError, OSError):
+    """The file is of a later version, and is left as it is."""
+
+
 class DrainStore:
     """One file. `load` never fails; `save` raises OSError and leaves the file before it as it was."""
 
@@ -27,7 +32,7 @@
         self.path = folder / FILE
         self.untouchable = False  # the file is of a later version: not overwritten
 
-    def load(self) -> list[HandDrain]:
+    def load(self) -> list[ManualDrain]:
         try:
             with self.path.open("rb") as file:
                 data = file.read(SIZE_LIMIT + 1)
@@ -59,10 +64,10 @@
         except OSError as failed:
             log.warning("%s cannot be set aside: %s", self.path, failed.strerror)
 
-    def save(self, drains: Iterable[HandDrain]) -> None:
+    def save(self, drains: Iterable[ManualDrain]) -> None:
         """Blocks for as long as the disk takes: not for the event loop. Raises OSError."""
         if self.untouchable:
-            raise OSError(None, "the file there is of a later version")
+            raise DrainStoreError(None, "the file there is of a later version")
         items = [{"box": d.name, "by": d.by, "at_us": d.at_us, "action": d.action} for d in drains]
         raw = {"format": FORMAT, "version": VERSION, "drains": items, "sum": _sum(items)}
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -83,7 +88,7 @@
     return zlib.crc32(json.dumps(items, sort_keys=True).encode())
 
 
-def _drain(item: dict[str, Any]) -> HandDrain:
+def _drain(item: dict[str, Any]) -> ManualDrain:
     if not isinstance(item["box"], str) or not isinstance(item["by"], str):
         raise TypeError("no text")
-    return HandDrain(item["box"], item["by"], int(item["at_us"]), str(item["action"]))
+    return ManualDrain(item["box"], item["by"], int(item["at_us"]), str(item["action"]))
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -26,7 +26,8 @@
 )
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Observer
 
 log = logging.getLogger(__name__)
 
@@ -65,8 +66,8 @@
                 component.steers(reloader.reload)
         if self.config.listen is not None:
             inherited = self.succession.listener if self.succession is not None else None
-            self.proxy.listens = await self.downstream.start(inherited)
-            log.info("%s listens on %s:%d", self.config.name, *self.proxy.listens)
+            self.proxy.client_address = await self.downstream.start(inherited)
+            log.info("%s listens on %s:%d", self.config.name, *self.proxy.client_address)
         for component in self.components:
             await component.start()
         if self.succession is not None:
@@ -182,8 +183,8 @@
     async def reload(self, read: ReadConfig) -> None:
         """Read a configuration and apply it. Raises ConfigError, and then nothing has changed."""
         async with self.lock:
-            config = await asyncio.to_thread(read, self.proxy.filed)
-            self.proxy.take_over(config)
+            config = await asyncio.to_thread(read, self.proxy.latest_config)
+            self.proxy.reload(config)
             if config.grows:
                 self.downstream.reconfigure(config)
             for component in self.components:
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -1,7 +1,8 @@
-"""The pools of a gateway: one proxy each, with a balancer, hosts and connections of its own.
+"""The pools of a gateway: one proxy each, with a balancer, endpoints and connections of its own.
 
 The first is the main pool, the one that a gateway without pools consists of. The others come and go with the
-operator file. One that goes takes nothing new; it is closed once the last of its requests has ended.
+operator file. One that goes drains: it admits nothing new, and is closed once the last of its requests has
+ended.
 """
 
 from __future__ import annotations
@@ -14,20 +15,21 @@
 from typing import Any, Protocol
 
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Observer
 from badgergap.proxy.limits.quotas import Quota
 
 log = logging.getLogger(__name__)
 
 MAIN = "main"
-LEAVE_POLL_S = 0.25
+DRAIN_POLL_S = 0.25
 
 
-class Feeder(Protocol):
-    """Lets hosts into one pool: a room of the pool's own."""
+class PoolComponent(Protocol):
+    """A component of one pool, such as a source of its endpoints."""
 
     def join(self, proxy: Proxy) -> None:
-        """Before the pool starts: add sources, restore what was kept."""
+        """Called before the pool starts: adds sources, restores what was kept."""
 
     async def start(self) -> None: ...
 
@@ -40,13 +42,13 @@
 class PoolPlan:
     """A pool as the operator file names it.
 
-    `feed` makes its feeders; a plan whose `same` is another one needs other feeders, and so another pool.
+    A plan whose `identity` differs from the one before needs other components, and so another pool.
     """
 
     name: str
     config: Config
-    feed: Callable[[], Sequence[Feeder]]
-    same: object
+    make_components: Callable[[], Sequence[PoolComponent]]
+    identity: object
     weight: float = 1.0
 
 
@@ -54,14 +56,14 @@
 class Pool:
     plan: PoolPlan
     proxy: Proxy
-    feeders: list[Feeder] = field(default_factory=list)
+    components: list[PoolComponent] = field(default_factory=list)
 
 
 class Pools:
     def __init__(self, main: Proxy, observer: Observer | None, main_weight: float = 1.0) -> None:
         self.main, self.observer, self.main_weight = main, observer, main_weight
         self.pools: dict[str, Pool] = {}
-        self.leaving: set[Proxy] = set()
+        self.draining: set[Proxy] = set()
         self.connections = Quota(main.upstream.limit)
         self.open_requests = Quota(main.settings.max_open_requests)
         self.tasks: set[asyncio.Task[None]] = set()
@@ -76,69 +78,71 @@
         return {MAIN: self.main, **{name: pool.proxy for name, pool in self.pools.items()}}
 
     async def apply(self, plans: Sequence[PoolPlan], config: Config) -> None:
-        """The pools as they shall be from now on. Those that stay keep all that they have learnt."""
-        wanted = {plan.name: plan for plan in plans}
-        for name in [name for name, pool in self.pools.items() if not _stays(pool.plan, wanted.get(name))]:
-            self._spawn(self._leave(name, self.pools.pop(name)))
-        for name, plan in wanted.items():
+        """Have these pools from now on. Those that stay keep all that they have learned."""
+        planned = {plan.name: plan for plan in plans}
+        ending = [name for name, pool in self.pools.items() if not _stays(pool.plan, planned.get(name))]
+        for name in ending:
+            self._spawn(self._drain(name, self.pools.pop(name)))
+        for name, plan in planned.items():
             if name in self.pools:
                 self.pools[name].plan = plan
-                self.pools[name].proxy.grow(plan.config)
-                for feeder in self.pools[name].feeders:
-                    feeder.reload(config)
+                self.pools[name].proxy.add_classes(plan.config)
+                for component in self.pools[name].components:
+                    component.reload(config)
             else:
-                await self._begin(plan)
+                await self._start(plan)
         self.open_requests.total = config.settings.max_open_requests
         self._divide()
 
-    async def _begin(self, plan: PoolPlan) -> None:
-        proxy = Proxy(plan.config, self.main.loop, self.observer)
-        proxy.clock = self.main.clock
-        proxy.roster.drains = self.main.roster.drains  # by hand: of boxes, in whatever pool
-        proxy.by_hand = self.main.by_hand
-        proxy.put_back = self.main.put_back
-        proxy.act_by(self.main.acting)
-        pool = Pool(plan, proxy, list(plan.feed()))
+    async def _start(self, plan: PoolPlan) -> None:
+        proxy = Proxy(plan.config, self.main.loop, self.observer, self.main.clock)
+        # Drains by hand are of endpoints in whatever pool.
+        main = self.main.directory
+        proxy.directory.registry.drains = main.registry.drains
+        proxy.directory.manual_drain_listeners = main.manual_drain_listeners
+        proxy.directory.may_undrain = main.may_undrain
+        proxy.set_epoch_source(self.main.current_epoch)
+        pool = Pool(plan, proxy, list(plan.make_components()))
         self.pools[plan.name] = pool
-        for feeder in pool.feeders:
-            feeder.join(proxy)
+        for component in pool.components:
+            component.join(proxy)
         self._divide()
         await proxy.start()
-        for feeder in pool.feeders:
-            await feeder.start()
+        for component in pool.components:
+            await component.start()
 
     def _divide(self) -> None:
         weights = {MAIN: self.main_weight, **{name: pool.plan.weight for name, pool in self.pools.items()}}
         self.connections.divide(weights)
         self.open_requests.divide(weights)
         for name, proxy in self.proxies().items():
-            proxy.upstream.has_capacity = partial(self._has_room, name)  # type: ignore[method-assign]
-            proxy.may_open = partial(self._may_open, name) if self.open_requests.total else None
+            proxy.upstream.has_capacity = partial(self._has_capacity, name)
+            proxy.may_admit = partial(self._may_admit, name) if self.open_requests.total else None
 
-    def _has_room(self, name: str) -> bool:
+    def _has_capacity(self, name: str) -> bool:
         return self.connections.may_take(name, self._used(lambda proxy: len(proxy.upstream.connections)))
 
-    def _may_open(self, name: str) -> bool:
-        return self.open_requests.may_take(name, self._used(lambda proxy: proxy.open))
+    def _may_admit(self, name: str) -> bool:
+        return self.open_requests.may_take(name, self._used(lambda proxy: proxy.open_requests))
 
     def _used(self, count: Callable[[Proxy], int]) -> Mapping[str, int]:
         used = {name: count(proxy) for name, proxy in self.proxies().items()}
-        used[""] = sum(map(count, self.leaving))
+        used[""] = sum(map(count, self.draining))
         return used
 
-    async def _leave(self, name: str, pool: Pool) -> None:
+    async def _drain(self, name: str, pool: Pool) -> None:
         log.info("pool %s takes nothing new", name)
         proxy = pool.proxy
-        self.leaving.add(proxy)
+        self.draining.add(proxy)
         while proxy.requests:
-            await asyncio.sleep(LEAVE_POLL_S)
-        self.leaving.discard(proxy)
+            await asyncio.sleep(DRAIN_POLL_S)
+        self.draining.discard(proxy)
         await self._close(pool)
         log.info("pool %s has ended", name)
 
     async def _close(self, pool: Pool) -> None:
-        for feeder in reversed(pool.feeders):
-            await feeder.close()
+        for component in reversed(pool.components):
+            await component.close()
         pool.proxy.close()
 
     async def close(self) -> None:
@@ -146,7 +150,7 @@
             task.cancel()
         for pool in self.pools.values():
             await self._close(pool)
-        for proxy in self.leaving:
+        for proxy in self.draining:
             proxy.close()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -155,15 +159,18 @@
         task.add_done_callback(self.tasks.discard)
 
 
-def proxy_of(proxies: Iterable[Proxy], box: str) -> Proxy:
-    """Of these, the main one first, the one whose hosts this box is among; the main one if none's."""
-    main, *further = proxies
-    return next((proxy for proxy in (main, *further) if proxy.roster.entry(box) is not None), main)
+def proxy_of(proxies: Iterable[Proxy], endpoint: str) -> Proxy:
+    """The first of these proxies, the main one ahead, that knows an endpoint; the main one if none does."""
+    main, *others = proxies
+    for proxy in (main, *others):
+        if proxy.directory.registry.entry(endpoint) is not None:
+            return proxy
+    return main
 
 
 def _stays(old: PoolPlan, new: PoolPlan | None) -> bool:
-    """A pool stays while its hosts come the same way and the decisions' settings are as they were."""
-    if new is None or new.same != old.same:
+    """A pool stays while its components and the balancer's settings are as they were."""
+    if new is None or new.identity != old.identity:
         return False
-    settings = new.config.settings  # classes only grow, and are taken over
+    settings = new.config.settings  # classes are only added, and taken over
     return replace(old.config.settings, classes=settings.classes) == settings
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -1,162 +1,77 @@
-"""Drives one Balancer: what the sockets tell it goes in as events, its actions are carried out in order.
+"""Drives one Balancer: what the sockets report goes in as events, its actions are carried out in order.
 
-Nothing is decided here. What this file adds is bookkeeping: exactly one final answer for every request taken,
-and exactly one outcome for every attempt.
+Nothing is decided here. What this module adds is accounting: exactly one final answer for every request that
+was admitted (`requests.py` has the table of all that may end it), and exactly one outcome for every attempt.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-from functools import partial
-from typing import Protocol
+from dataclasses import replace
 
 from badgergap.balancing.balancer import Balancer
-from badgergap.proxy.limits import eviction
-from badgergap.proxy.limits.memory import Budget, total_of
-from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
-from badgergap.proxy.endpoints.discovery import Discovery
-from badgergap.proxy.endpoints.registry import Roster
-from badgergap.proxy.endpoints.sources import PLATFORM, HostSource, News
-from badgergap.proxy.upstream.connection_pool import REST_S, Answer, Exchange, Upstream
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
     CloseIdleConnections,
     Event,
     ExtendTimeout,
     Fail,
     FetchEndpoints,
-    EndpointListKind,
+    HealthCheck,
     Log,
     Outcome,
-    PeerMessage,
-    HealthCheck,
-    HealthCheckEnded,
     Reject,
     ReportMode,
     RequestArrived,
-    ClientDisconnected,
     RequestCoalesced,
     Send,
+    SendPeerMessage,
     SetTimer,
     StreamStarted,
-    SendPeerMessage,
     TimerFired,
     WatchEndpoints,
 )
-from badgergap.simulator.codec import parse_load
+from badgergap.proxy.clock import Clock
+from badgergap.proxy.endpoints.directory import EndpointDirectory
+from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
+from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.limits.memory import Budget, total_of
+from badgergap.proxy.load_reports import parse_report
+from badgergap.proxy.peer_messages import PeerMessenger
+from badgergap.proxy.requests import Observer, Reply, Request, RequestSpec
+from badgergap.proxy.upstream.connection_pool import REST_S, Upstream
+from badgergap.proxy.upstream.exchange import Answer
+from badgergap.proxy.upstream.health_check import HealthChecker
 
 log = logging.getLogger(__name__)
 
 # Taken off the client's time: its request was on the way before it came here, and so will the answer be.
 TRANSIT_US = 4_000
-# After the balancer's own limits, before the client's: the answer of last resort.
+# The answer of last resort comes after the balancer's own limits, and before the client's.
 LAST_RESORT_US = 2_000
-OUT_OF_TOUCH = "this gateway is out of touch with its group"
-RETRY_AFTER = b"1"  # seconds, where the decisions name no time; the least that every client understands
-PROBE_TIMEOUT_S = 1.0
-PEER_LIMIT = 256
 FOR_EVER_US = 2**62
-SWEEP_S = 1.0
-
-Reply = Callable[[Answer], None]
-
-
-class AttemptListener(Protocol):
-    """What a streamed attempt tells of itself; each at most once, but for `ended` in this order."""
-
-    def on_committed(self) -> None:
-        """Part of the request has gone on that is held no more: it cannot be sent again."""
-
-    def on_response_started(self, status: int, waited_s: float) -> None:
-        """A host's answer is passed on from here: it is the final one. `waited_s`: for its head."""
-
-    def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        """Always comes. An answer goes with it if it is whole and has not been passed on."""
-
-
-# Offered a request that is refused here and of which no host's answer is left: True if another pool takes it
-# over. It is told whether a host was tried, and whether one may have run it.
-OfferElsewhere = Callable[[bool, bool], bool]
-
-# Sends one attempt of a request that is no whole payload: to this host, which has so many seconds to begin.
-Launch = Callable[[Upstream, int, float, AttemptListener], Exchange]
-
-
-class Observer(Protocol):
-    """Hears what became of requests and attempts; called in the midst of serving, so it only counts."""
-
-    def on_answered(self, now_us: int, klass: int, status: int, took_us: int, tenant: int) -> None:
-        """A request had its final answer, `took_us` after its last byte came."""
-
-    def on_client_left(self, now_us: int, klass: int, tenant: int) -> None:
-        """A client left before its answer."""
-
-    def on_attempt_ended(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
-        """An attempt at a host has ended."""
-
-
-class Clock:
-    """Microseconds since the Unix epoch that never step back, whatever is done to the wall clock."""
-
-    def __init__(self) -> None:
-        self.offset_ns = time.time_ns() - time.monotonic_ns()  # of another process, to go on by its clock
-
-    def now_us(self) -> int:
-        return (self.offset_ns + time.monotonic_ns()) // 1000
-
-
-@dataclass(slots=True, frozen=True)
-class RequestSpec:
-    """What a client asks, as the balancer and the hosts need it."""
-
-    request_class: int
-    client_timeout_us: int
-    waited_us: int  # since its last byte came
-    method: bytes
-    target: bytes
-    headers: bytes  # those that go on to a host, as lines
-    launch: Launch
-    key: int | None = None
-    expected_work_us: int | None = None
-    is_retry: bool = False
-    tenant: int = 0
-    is_write: bool = False
-    allowed_endpoints: tuple[int, ...] = ()  # the hosts that may have it; empty: all
-    offer_elsewhere: OfferElsewhere | None = None
-    on_answered: Callable[[], None] | None = None  # told just before the final answer is given
-    passes_failures: bool = True  # a host's own failure is the answer where nothing better came of it
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    id: str
-    spec: RequestSpec
-    arrived_us: int
-    deadline_us: int
-    reply: Reply | None  # None once it has had its final answer, or its client has gone
-    last_resort: asyncio.TimerHandle | None = None
-    attempts: list[Exchange | None] = field(default_factory=list)
-    attempts_in_flight: int = 0
-    endpoint_failure: Answer | None = (
-        None  # a host's own answer to a streamed request, which counts as its failure
-    )
-    epoch: int = 0  # of the rules that it was taken under
+CLEAN_UP_S = 1.0
 
 
 class AttemptRecorder:
-    """One streamed attempt as the proxy accounts for it."""
+    """An `AttemptListener`: accounts for one attempt, and feeds its progress to the balancer."""
 
     __slots__ = ("attempt_number", "endpoint_id", "proxy", "request", "sent_us")
 
-    def __init__(self, proxy: Proxy, request: Request, number: int, server: int, sent_us: int) -> None:
-        self.proxy, self.request, self.attempt_number, self.endpoint_id = proxy, request, number, server
+    def __init__(
+        self, proxy: Proxy, request: Request, attempt_number: int, endpoint_id: int, sent_us: int
+    ) -> None:
+        self.proxy = proxy
+        self.request = request
+        self.attempt_number = attempt_number
+        self.endpoint_id = endpoint_id
         self.sent_us = sent_us
 
     def on_committed(self) -> None:
@@ -171,171 +86,116 @@
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
         if outcome is Outcome.ERROR and self.request.spec.passes_failures:
             self.request.endpoint_failure = answer
-        self.proxy.attempt_ended(
-            self.request, self.attempt_number, self.endpoint_id, self.sent_us, outcome, answer
-        )
-
-
-def plain(status: int, text: str, *headers: tuple[bytes, bytes]) -> Answer:
-    return Answer(status, [(b"content-type", b"text/plain"), *headers], text.encode() + b"\n")
-
-
-def refused(why: str, after_us: int = 0) -> Answer:
-    """A refusal, given at once, says when to come back: the decisions' time, or else in a moment."""
-    after = b"%.3f" % (after_us / 1e6) if after_us > 0 else RETRY_AFTER
-    return plain(503, why, (b"retry-after", after))
-
-
-class Peers(asyncio.DatagramProtocol):
-    def __init__(self, heard: Callable[[bytes, Address], None]) -> None:
-        self.heard = heard
-
-    def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.heard(data, addr)
+        self.proxy.attempt_ended(self, outcome, answer)
 
 
 class Proxy:
+    """One pool: its balancer, its endpoints, the connections to them, and the requests that are open."""
+
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, observer: Observer | None = None
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        observer: Observer | None = None,
+        clock: Clock | None = None,
     ) -> None:
         settings = config.settings
         self.observer = observer
-        self.config, self.settings, self.loop = config, settings, loop
-        self.filed = config  # as read last: the start of the next reload
-        self.clock = Clock()
+        self.config = config
+        self.settings = settings
+        self.loop = loop
+        self.latest_config = config  # as read last: the start of the next reload
+        self.clock = clock if clock is not None else Clock()
         self.balancer = Balancer(settings, config.seed)
-        self.upstream = Upstream(
-            loop,
-            # Of an operator file's site further listeners have the other half.
-            connections=eviction.limit(config.sockets, 0)
-            if not config.grows
-            else eviction.per_side(config.sockets),
-            connect_timeout_us=settings.connect_timeout_us,
-            idle_us=settings.idle_connection_us,
-            drain_grace_us=settings.drain_grace_us,
-            budget=Budget(total_of(config.memory_mb)),
-            rest_s=REST_S if not config.grows else 0.0,
+        self.upstream = _upstream(config, loop)
+        self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
+        self.peers = PeerMessenger(config, settings.may_message, loop, self.feed)
+        self.health_checker = HealthChecker(
+            self.upstream, settings.reports.mode, self.clock.now_us, self.feed
         )
-        self.roster = Roster()
-        self.sources: dict[str, HostSource] = {}
-        self.discovery: Discovery | None = None
-        if config.discovery is not None:
-            self.discovery = Discovery(
-                loop,
-                config.discovery,
-                config.names,
-                settings.endpoint_list_is_pushed,
-                config.known,
-                partial(self.hear, Discovery.name),
-            )
-            self.add_source(self.discovery)
-        self.peers: asyncio.DatagramTransport | None = None
         self.requests: dict[str, Request] = {}
-        self.open = 0  # requests that are owed an answer
-        # Told of each change by hand: the host's name, whose wish, and whether it is out now.
-        self.by_hand: list[Callable[[str, str, bool], None]] = []
-        self.listens: Address | None = None  # where clients come in, once it is known
-        self.ends_us = FOR_EVER_US  # by when all has to be answered: the process is killed soon after
-        self.taken = 0
-        self.may_open: Callable[[], bool] | None = (
-            None  # of a gateway of several pools; None: the setting holds
-        )
+        self.open_requests = 0  # requests that are owed an answer
+        self.client_address: Address | None = None  # where clients come in, once it is known
+        self.shutdown_us = FOR_EVER_US  # by when all has to be answered: the process is killed soon after
+        self.accepted_count = 0  # the last request's id
+        # Set where several pools share one limit on open requests. None: the setting holds.
+        self.may_admit: Callable[[], bool] | None = None
         # Whether this gateway may act: the epoch of its rules, or -1. None: nobody else has a say in it.
-        self.acting: Callable[[], int] | None = None
-        # Offered what a source says; True: it is heard elsewhere, and told by `heard`.
-        self.instead: Callable[[str, News], bool] | None = None
-        self.follows: Callable[[str], bool] = lambda source: True  # whether a source is to be asked at all
-        # Asked before a host is put back by hand; False: somebody else will do it.
-        self.put_back: Callable[[str, str], bool] | None = None
+        self.current_epoch: Callable[[], int] | None = None
         self.events: deque[Event] = deque()
-        self.busy = False
-
-    def act_by(self, acting: Callable[[], int] | None) -> None:
-        """Ask before each request is taken, and again before it is sent to a host."""
-        self.acting = acting
-        self.upstream.current_epoch = acting
+        self.is_dispatching = False
 
-    def add_source(self, source: HostSource) -> None:
-        """A further source of hosts, before the start. What it says it hands to `hear`, under its name."""
-        self.sources[source.name] = source
-        self.roster.add_source(source.name, source.rank, source.dynamic, source.fallback)
+    def set_epoch_source(self, current_epoch: Callable[[], int] | None) -> None:
+        """Call this before each request is admitted, and again before it is sent to an endpoint."""
+        self.current_epoch = current_epoch
+        self.upstream.current_epoch = current_epoch
 
     async def start(self) -> None:
-        if self.settings.may_message and self.config.peer_listen is not None:
-            self.peers, _ = await self.loop.create_datagram_endpoint(
-                lambda: Peers(self.on_datagram),
-                local_addr=self.config.peer_listen,
-                reuse_port=self.config.console is not None or None,  # with a process that takes over
-            )
-        for source in self.sources.values():
-            source.start()
-        self.loop.call_later(SWEEP_S, self.sweep)
+        await self.peers.start()
+        self.directory.start()
+        self.loop.call_later(CLEAN_UP_S, self.clean_up)
 
-    def sweep(self) -> None:
+    def clean_up(self) -> None:
         self.upstream.clean_up()
-        self.loop.call_later(SWEEP_S, self.sweep)
-
-    def take_over(self, config: Config) -> None:
-        """A new configuration: hosts, connections and the balancer stay; what can be followed is."""
-        if (
-            self.discovery is not None
-            and config.discovery is not None
-            and config.discovery != self.discovery.address
-        ):
-            log.info("discovery has moved to %s:%d", *config.discovery)
-            self.discovery.move(config.discovery)
+        self.loop.call_later(CLEAN_UP_S, self.clean_up)
+
+    def reload(self, config: Config) -> None:
+        """Follow what can be followed of a new configuration; endpoints, connections and balancer stay."""
+        self.directory.reload(config)
         for name in needs_restart(self.config, config):
             log.warning("the new configuration changes %s: that needs a restart", name)
         if config.grows:
-            self.grow(config)
-        self.filed = config
-
-    def grow(self, config: Config) -> None:
-        """Take over the classes that a configuration holds behind those there are."""
-        known = len(self.settings.classes)
-        classes, names = config.settings.classes[known:], config.names.classes
-        # A class that was changed stands under its own name anew, the old entry under the name and a mark.
-        old = {name.partition("~")[0]: number for number, name in enumerate(names[:known])}
-        self.balancer.add_classes(classes, tuple(old.get(name) for name in names[known:]))
-        most = config.settings.max_open_requests
+            self.add_classes(config)
+        self.latest_config = config
+
+    def add_classes(self, config: Config) -> None:
+        """Add the classes that a configuration holds behind those there are."""
+        first_new = len(self.settings.classes)
+        classes, names = config.settings.classes[first_new:], config.names.classes
+        # A class that was changed has a new entry under its name; its old one is named with a mark.
+        old_index = {name.partition("~")[0]: index for index, name in enumerate(names[:first_new])}
+        self.balancer.add_classes(classes, tuple(old_index.get(name) for name in names[first_new:]))
         self.settings = replace(
-            self.settings, classes=self.settings.classes + classes, max_open_requests=most
+            self.settings,
+            classes=self.settings.classes + classes,
+            max_open_requests=config.settings.max_open_requests,
         )
 
     def close(self) -> None:
-        for source in self.sources.values():
-            source.close()
+        self.directory.close()
         self.upstream.close()
-        if self.peers is not None:
-            self.peers.close()
+        self.peers.close()
 
-    def waiting(self) -> int:
-        """Requests that are owed an answer and are with no host at the moment."""
+    def waiting_count(self) -> int:
+        """How many requests are owed an answer and are with no endpoint at the moment."""
         return sum(
             request.reply is not None and not request.attempts_in_flight for request in self.requests.values()
         )
 
     @property
     def ready(self) -> bool:
-        known = bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
-        return known and (self.acting is None or self.acting() >= 0)
+        """Whether clients may be sent here."""
+        return self.directory.is_current and (self.current_epoch is None or self.current_epoch() >= 0)
 
     # Events in, actions out
 
     def feed(self, event: Event) -> None:
-        """Events that come of carrying out actions wait until those are carried out."""
+        """Hand an event to the balancer. Events that come of its actions wait until those are carried out."""
         self.events.append(event)
-        if self.busy:
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
             while self.events:
                 self.decide(self.events.popleft())
         finally:
-            self.busy = False
+            self.is_dispatching = False
 
     def decide(self, event: Event) -> None:
-        """An exception must not end the process, nor leave the request that it concerns unanswered."""
+        """Have the balancer decide, and carry its actions out.
+
+        An exception must not end the process, nor leave the request that it concerns unanswered.
+        """
         try:
             actions = self.balancer.handle(self.clock.now_us(), event)
         except Exception:
@@ -349,8 +209,9 @@
                 log.exception("failed to carry out %.300r", action)
                 self.answer_broken(getattr(action, "request_id", None))
 
-    def answer_broken(self, number: str | None) -> None:
-        request = self.requests.get(number) if number is not None else None
+    def answer_broken(self, request_id: str | None) -> None:
+        """Answer 500 to a request that a fault of this gateway concerns, if it is owed an answer."""
+        request = self.requests.get(request_id) if request_id is not None else None
         if request is not None and request.reply is not None:
             self.settle(request, plain(500, "internal error"))
             self.events.append(ClientDisconnected(request.id))
@@ -376,43 +237,43 @@
             case ExtendTimeout():
                 self.extend(action)
             case WatchEndpoints():
-                for source in self.sources.values():
-                    source.watch(action.on and self.follows(source.name))
+                self.directory.watch(action.on)
             case FetchEndpoints():
-                for source in self.sources.values():
-                    if self.follows(source.name):
-                        source.fetch()
+                self.directory.fetch()
             case HealthCheck():
-                self.probe(action.endpoint_id)
+                if self.settings.may_probe:
+                    self.health_checker.check(action.endpoint_id)
             case CloseIdleConnections():
                 self.upstream.close_idle(action.endpoint_id)
             case SendPeerMessage():
-                self.tell_peers(action)
+                self.peers.send(action)
             case Log():
                 log.info("%s", action.line)
 
     # Requests
 
     def arrive(self, spec: RequestSpec, reply: Reply) -> Request | None:
-        """Take a request: `reply` is called exactly once, unless `leave` comes first."""
-        epoch = self.acting() if self.acting is not None else 0
-        if epoch < 0 or not self.has_room():
+        """Admit a request or reject it: `reply` is called exactly once, unless `client_left` comes first."""
+        epoch = self.current_epoch() if self.current_epoch is not None else 0
+        if epoch < 0 or not self.has_capacity():
             reply(refused("too many requests" if epoch >= 0 else OUT_OF_TOUCH))
             if self.observer is not None:
                 self.observer.on_answered(self.clock.now_us(), spec.request_class, 503, 0, spec.tenant)
             return None
-        self.taken += 1
+        self.accepted_count += 1
         now_us = self.clock.now_us()
-        patience_us = max(0, min(spec.client_timeout_us - spec.waited_us - TRANSIT_US, self.ends_us - now_us))
-        request = Request(str(self.taken), spec, now_us, now_us + patience_us, reply, epoch=epoch)
+        remaining_us = max(
+            0, min(spec.client_timeout_us - spec.waited_us - TRANSIT_US, self.shutdown_us - now_us)
+        )
+        request = Request(str(self.accepted_count), spec, now_us, now_us + remaining_us, reply, epoch=epoch)
         self.requests[request.id] = request
-        self.open += 1
-        self.give_until(request, now_us, request.deadline_us)
+        self.open_requests += 1
+        self.set_deadline(request, now_us, request.deadline_us)
         self.feed(
             RequestArrived(
                 request.id,
                 spec.request_class,
-                patience_us,
+                remaining_us,
                 spec.key,
                 spec.expected_work_us,
                 spec.is_retry,
@@ -423,16 +284,17 @@
         )
         return request
 
-    def has_room(self) -> bool:
-        if self.may_open is not None:
-            return self.may_open()
-        return not 0 < self.settings.max_open_requests <= self.open
+    def has_capacity(self) -> bool:
+        """Whether one more request may be open."""
+        if self.may_admit is not None:
+            return self.may_admit()
+        return not 0 < self.settings.max_open_requests <= self.open_requests
 
-    def is_able(self, klass: int) -> bool:
-        """Whether any host may be given a request of this class now."""
-        return self.balancer.is_able(self.clock.now_us(), klass)
+    def is_able(self, request_class: int) -> bool:
+        """Whether any endpoint may be given a request of this class now."""
+        return self.balancer.is_able(self.clock.now_us(), request_class)
 
-    def leave(self, request: Request) -> None:
+    def client_left(self, request: Request) -> None:
         """The client has closed its connection."""
         if request.reply is not None:
             self.close_account(request)
@@ -443,53 +305,54 @@
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
-    def join(self, request: Request, timeout_us: int) -> None:
+    def coalesce(self, request: Request, timeout_us: int) -> None:
         """A further client waits for the same answer: the request has its time too, and weighs more."""
         if request.reply is None:
             return
         now_us = self.clock.now_us()
-        patience_us = max(0, min(timeout_us - TRANSIT_US, self.ends_us - now_us))
-        self.give_until(request, now_us, max(request.deadline_us, now_us + patience_us))
-        self.feed(RequestCoalesced(request.id, patience_us))
+        remaining_us = max(0, min(timeout_us - TRANSIT_US, self.shutdown_us - now_us))
+        self.set_deadline(request, now_us, max(request.deadline_us, now_us + remaining_us))
+        self.feed(RequestCoalesced(request.id, remaining_us))
 
     def extend(self, action: ExtendTimeout) -> None:
+        """Give an attempt that is still out more time."""
         request = self.requests.get(action.request_id)
         exchange = request.attempts[action.attempt_number] if request is not None else None
         if exchange is not None and not exchange.done and exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = self.loop.call_later(action.timeout_us / 1e6, exchange.give_up, Outcome.TIMEOUT)
 
-    def body_came(self, request: Request) -> None:
-        """The rest of a body that was passed on as it came: its client's time counts from here."""
+    def on_body_complete(self, request: Request) -> None:
+        """A body that was passed on as it came is complete: its client's time counts from here."""
         if request.reply is None:
             return
         request.arrived_us = self.clock.now_us()
-        patience_us = max(
-            0, min(request.spec.client_timeout_us - TRANSIT_US, self.ends_us - request.arrived_us)
+        remaining_us = max(
+            0, min(request.spec.client_timeout_us - TRANSIT_US, self.shutdown_us - request.arrived_us)
         )
-        self.give_until(request, request.arrived_us, request.arrived_us + patience_us)
+        self.set_deadline(request, request.arrived_us, request.arrived_us + remaining_us)
 
     def end_within(self, seconds: float) -> None:
-        """The process is killed soon after: what is open has its answer by then, and so has what comes yet.
+        """Answer what is open, and what comes yet, within so long: the process is killed soon after.
 
-        But for what is not whole yet, whose time has not begun.
+        But for requests that are not complete yet, whose time has not begun.
         """
         now_us = self.clock.now_us()
-        self.ends_us = now_us + int(seconds * 1e6)
+        self.shutdown_us = now_us + int(seconds * 1e6)
         for request in self.requests.values():
             timer = request.last_resort
             if request.reply is not None and timer is not None and not timer.cancelled():
-                self.give_until(request, now_us, min(request.deadline_us, self.ends_us))
+                self.set_deadline(request, now_us, min(request.deadline_us, self.shutdown_us))
 
-    def give_until(self, request: Request, now_us: int, deadline_us: int) -> None:
-        """It is answered by then, at the last by `answer_at_last`."""
+    def set_deadline(self, request: Request, now_us: int, deadline_us: int) -> None:
+        """Have a request answered by then, at the last by `answer_at_deadline`."""
         if request.last_resort is not None:
             request.last_resort.cancel()
         request.deadline_us = deadline_us
         delay_s = (deadline_us - now_us + LAST_RESORT_US) / 1e6
-        request.last_resort = self.loop.call_later(delay_s, self.answer_at_last, request)
+        request.last_resort = self.loop.call_later(delay_s, self.answer_at_deadline, request)
 
-    def answer_at_last(self, request: Request) -> None:
+    def answer_at_deadline(self, request: Request) -> None:
         """Guards against a request that nobody has answered when its client is about to give up."""
         if request.reply is not None:
             log.warning("request %s had no answer at its deadline", request.id)
@@ -497,24 +360,25 @@
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
-    def finish(self, number: str, answer: Answer) -> None:
-        request = self.requests.get(number)
+    def finish(self, request_id: str, answer: Answer) -> None:
+        """Give the balancer's verdict on a request, if an answer is still owed."""
+        request = self.requests.get(request_id)
         if request is not None:
-            # What a host says of its own failure tells the client more than what this gateway could.
+            # An endpoint's own failure tells the client more than what this gateway could say.
             self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
-    def hand_over(self, number: str) -> bool:
-        """A refused request goes to another pool, if one takes it: its final answer is that pool's."""
-        request = self.requests.get(number)
+    def hand_over(self, request_id: str) -> bool:
+        """Offer a rejected request to another pool. True: that pool has it, and answers it."""
+        request = self.requests.get(request_id)
         if request is None or request.reply is None or request.endpoint_failure is not None:
             return False
         elsewhere = request.spec.offer_elsewhere
-        tried = [exchange for exchange in request.attempts if exchange is not None]
-        if elsewhere is None or not elsewhere(bool(tried), any(exchange.written for exchange in tried)):
+        launched = [exchange for exchange in request.attempts if exchange is not None]
+        if elsewhere is None or not elsewhere(bool(launched), any(exchange.written for exchange in launched)):
             return False
         self.close_account(request)
-        for exchange in tried:
+        for exchange in launched:
             exchange.give_up(Outcome.CANCELLED)  # its answer would come beside the other pool's
         self.forget_if_over(request)
         return True
@@ -527,7 +391,7 @@
             reply(answer)
 
     def close_with(self, request: Request, status: int) -> None:
-        """The final answer, with this status, is given now."""
+        """Account for the final answer, which is given now, with this status."""
         if request.reply is not None:
             self.close_account(request)
             if request.spec.on_answered is not None:
@@ -540,11 +404,12 @@
                 )
 
     def close_account(self, request: Request) -> None:
+        """No answer is owed any more: what has not been sent to an endpoint yet shall not be."""
         request.reply = None
-        self.open -= 1
+        self.open_requests -= 1
         for exchange in request.attempts:
             if exchange is not None:
-                exchange.unwant()  # also where the settings allow no cancelling: it was never sent
+                exchange.unwant()  # also where the settings allow no cancelling
         if request.last_resort is not None:
             request.last_resort.cancel()
 
@@ -555,13 +420,14 @@
     # Attempts
 
     def send(self, action: Send) -> None:
+        """Launch an attempt. One that comes too late, or is one too many, ends as never sent."""
         request = self.requests.get(action.request_id)
         if request is None:
             log.warning("an attempt for request %s, which is over", action.request_id)
             return
         number, sent_us = len(request.attempts), self.clock.now_us()
         left_us = min(action.timeout_us, request.deadline_us - sent_us)
-        if self.acting is not None and self.acting() != request.epoch:
+        if self.current_epoch is not None and self.current_epoch() != request.epoch:
             self.withdraw(request)
             left_us = 0
         if request.reply is None or left_us <= 0 or number >= self.settings.max_attempts:
@@ -579,106 +445,45 @@
         request.attempts.append(exchange)
 
     def withdraw(self, request: Request) -> None:
-        """The rules that it was taken under may have been taken back: it goes to no host any more."""
+        """End a request whose epoch is over: the rules that it was admitted under may have been revoked."""
         if request.reply is not None and not request.attempts_in_flight:
             ran = any(exchange is not None and exchange.written for exchange in request.attempts)
             answer = plain(502, "failed") if ran else refused(OUT_OF_TOUCH)
             self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
-    def attempt_ended(
-        self,
-        request: Request,
-        number: int,
-        server: int,
-        sent_us: int,
-        outcome: Outcome,
-        answer: Answer | None,
-    ) -> None:
+    def attempt_ended(self, attempt: AttemptRecorder, outcome: Outcome, answer: Answer | None) -> None:
+        """Answer with a success, and feed the outcome to the balancer."""
+        request = attempt.request
         request.attempts_in_flight -= 1
-        latency_us = self.clock.now_us() - sent_us
+        latency_us = self.clock.now_us() - attempt.sent_us
         if outcome is Outcome.SUCCESS and answer is not None:
             self.settle(request, answer)
+        endpoint_id = attempt.endpoint_id
         if self.observer is not None:
-            self.observer.on_attempt_ended(sent_us + latency_us, server, outcome, latency_us)
-        over, load = request.reply is None, self.report(answer)
-        self.feed(AttemptEnded(request.id, number, server, outcome, latency_us, over, load))
+            self.observer.on_attempt_ended(attempt.sent_us + latency_us, endpoint_id, outcome, latency_us)
+        finished, load = request.reply is None, self.load_report(answer)
+        self.feed(
+            AttemptEnded(request.id, attempt.attempt_number, endpoint_id, outcome, latency_us, finished, load)
+        )
         self.forget_if_over(request)
 
-    def report(self, answer: Answer | None) -> tuple[tuple[str, float], ...]:
+    def load_report(self, answer: Answer | None) -> tuple[tuple[str, float], ...]:
+        """The load report that came along with an answer, where the settings say that there is one."""
         if answer is None or self.settings.reports.mode is not ReportMode.ANSWERS:
             return ()
         return parse_report(answer.header(b"server-load"))
 
-    def probe(self, server: int) -> None:
-        if not self.settings.may_probe:
-            return
-        reports = self.settings.reports.mode is not ReportMode.NONE
-        sent_us = self.clock.now_us()
-
-        def ended(outcome: Outcome, answer: Answer | None) -> None:
-            load = parse_report(answer.body) if reports and answer is not None else ()
-            self.feed(HealthCheckEnded(server, outcome, self.clock.now_us() - sent_us, load))
-
-        path = b"/stats" if reports else b"/health/live"
-        payload = b"GET " + path + b" HTTP/1.1\r\nHost: service.internal\r\n\r\n"
-        self.upstream.send(server, payload, PROBE_TIMEOUT_S, ended)
-
-    # The list, peers
 
-    def hear(self, source: str, news: News) -> None:
-        """A source of hosts says something.
-
-        That another source than the platform fails, or has nothing new, is between it and the roster: the
-        balancer's answer to a failure is to ask the platform again.
-        """
-        if self.instead is None or not self.instead(source, news):
-            self.heard(source, news)
-
-    def heard(self, source: str, news: News) -> None:
-        """What is believed of a source, whoever tells it."""
-        news = self.roster.hear(self.clock.now_us(), source, news)
-        if source == PLATFORM or news.entries or news.kind is EndpointListKind.FULL:
-            self.on_news(news)
-
-    def drain(self, name: str, by: str, action: str = "") -> None:
-        """Drain a host by hand: in effect when this returns. Raises RosterError for one that is unknown."""
-        was = name in self.roster.drains
-        self.on_news(self.roster.drain(self.clock.now_us(), name, by, action))
-        self._tell_by_hand(name, by, was)
-
-    def undrain(self, name: str, by: str) -> None:
-        """Undo a drain by hand. Raises RosterError for a host that is unknown."""
-        if self.put_back is not None and not self.put_back(name, by):
-            return
-        was = name in self.roster.drains
-        self.on_news(self.roster.undrain(name))
-        self._tell_by_hand(name, by, was)
-
-    def _tell_by_hand(self, name: str, by: str, was: bool) -> None:
-        out = name in self.roster.drains
-        for tell in self.by_hand if out is not was else ():
-            tell(name, by, out)
-
-    def on_news(self, news: News) -> None:
-        if news.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
-            self.upstream.drain_unlisted(entry.listed.endpoint_id for entry in news.entries)
-        for entry in news.entries:
-            server = entry.listed
-            self.upstream.update_endpoint(server.endpoint_id, entry.address, server.status, entry.protocol)
-        self.feed(news.event())
-
-    def tell_peers(self, action: SendPeerMessage) -> None:
-        to = self.config.peers_all if action.proxy is None else self.config.peers[action.proxy]
-        if len(action.data) > PEER_LIMIT:
-            raise ValueError(f"a message of {len(action.data)} bytes is too long")
-        if self.settings.may_message and self.peers is not None and to is not None:
-            self.peers.sendto(action.data, to)
-
-    def on_datagram(self, data: bytes, sender: Address) -> None:
-        if len(data) <= PEER_LIMIT and sender in self.config.peers:
-            self.feed(PeerMessage(self.config.peers.index(sender), data))
-
-
-def parse_report(text: bytes) -> tuple[tuple[str, float], ...]:
-    return parse_load(text.decode("latin-1").replace("=", ":"))
+def _upstream(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
+    settings = config.settings
+    return Upstream(
+        loop,
+        # With an operator file the other half is for the listeners of its site.
+        connections=eviction.per_side(config.sockets) if config.grows else eviction.limit(config.sockets, 0),
+        connect_timeout_us=settings.connect_timeout_us,
+        idle_us=settings.idle_connection_us,
+        drain_grace_us=settings.drain_grace_us,
+        budget=Budget(total_of(config.memory_mb)),
+        rest_s=0.0 if config.grows else REST_S,
+    )
--- /dev/null
+++ b/badgergap/proxy/upstream/exchange.py
@@ -0,0 +1,92 @@
+"""One request to one endpoint: what it was answered, and how it ended.
+
+| what happens first | before all of it is written | after |
+| --- | --- | --- |
+| a complete response | SUCCESS, ERROR or REJECTED, by its status | the same |
+| the connection is lost, or its input is invalid | CONNECT_FAILED: never ran | RESET: may have run |
+| its time is over | CONNECT_FAILED | TIMEOUT |
+| it is cancelled | CANCELLED | CANCELLED |
+| its endpoint drains, its request is over, no capacity | NEVER_SENT | |
+
+For a stream "written" means its first bytes: see `stream_attempt.py`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from badgergap.balancing.interface import Outcome
+
+HEAD_LIMIT = 16 * 1024  # bytes of a response's head
+INTERIM_LIMIT = 8  # responses of the kind 1xx ahead of the final one
+
+
+@dataclass(slots=True)
+class Answer:
+    """A complete response, as an endpoint or this gateway gave it."""
+
+    status: int = 0
+    headers: list[tuple[bytes, bytes]] = field(default_factory=list)
+    body: bytes = b""
+
+    def header(self, name: bytes) -> bytes:
+        """The first value of a header whose name is given in lower case; empty if there is none."""
+        return next((value for key, value in self.headers if key == name), b"")
+
+
+# Called once, with the outcome, and the answer if there is one that has not been passed on.
+Ended = Callable[[Outcome, Answer | None], None]
+
+
+class Carrier(Protocol):
+    """What an exchange is sent on."""
+
+    def abort(self) -> None:
+        """The exchange is over: end it in a way that the endpoint notices."""
+
+
+class Exchange:
+    """One request to one endpoint. It ends once, with one outcome."""
+
+    __slots__ = ("_ended", "connection", "done", "payload", "timer", "unwanted", "written")
+
+    def __init__(self, payload: bytes, ended: Ended) -> None:
+        self.payload = payload
+        self._ended = ended
+        self.connection: Carrier | None = None
+        self.timer: asyncio.TimerHandle | None = None
+        self.written = False  # the last byte has left the process: from here on it may have run
+        self.done = False
+        self.unwanted = False
+
+    def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+        if self.done:
+            return
+        self.done = True
+        if self.timer is not None:
+            self.timer.cancel()
+        self._ended(outcome, answer)
+
+    def unwant(self) -> None:
+        """Its request is over: what has not been sent yet shall not be."""
+        self.unwanted = True
+
+    def lost(self) -> None:
+        """The connection is lost, or what came on it was no response."""
+        self.end(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
+
+    def never_sent(self) -> None:
+        """Nothing was sent, for a reason that lies with this gateway: the endpoint is not to blame."""
+        self.end(Outcome.NEVER_SENT)
+
+    def give_up(self, outcome: Outcome) -> None:
+        """Stop waiting: the endpoint learns of it by the close of its connection."""
+        if self.done:
+            return
+        connection = self.connection
+        self.end(outcome if self.written or outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
+        if connection is not None:
+            connection.abort()
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -126,7 +126,7 @@
 
     def _endpoint_name(self, number: int) -> str:
         for proxy in self.service.group.proxies().values():
-            for view in proxy.roster.view():
+            for view in proxy.directory.registry.view():
                 if view.entry.listed.endpoint_id == number:
                     return view.entry.name
         return f"a box that is gone ({number:x})"
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -6,7 +6,9 @@
 from __future__ import annotations
 
 from badgergap.ordinary.turn import Guide, Turn
-from badgergap.proxy.proxy import OUT_OF_TOUCH, plain, refused
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.gateway_responses import refused
+from badgergap.proxy.gateway_responses import OUT_OF_TOUCH
 from badgergap.proxy.upstream.stream_attempt import Client
 from badgergap.replication.keyed_request import KeyedRequest, KeyQueue
 from badgergap.replication.service import ReplicationService
@@ -31,7 +33,7 @@
         key, way = turn.by_name.get(KEY_HEADER, b""), turn.way
         if not key or turn.method in SAFE_METHODS or way is None:
             return False
-        acting = way.proxy.acting
+        acting = way.proxy.current_epoch
         if acting is not None and acting() < 0:
             client.answer(refused(OUT_OF_TOUCH))
         elif len(key) > KEY_LIMIT:
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -8,8 +8,10 @@
 from badgergap.balancing.interface import Outcome
 from badgergap.ordinary.turn import Turn
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
-from badgergap.proxy.proxy import AttemptListener
-from badgergap.proxy.upstream.connection_pool import Answer, Exchange, Upstream
+from badgergap.proxy.requests import AttemptListener
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.proxy.upstream.exchange import Answer
+from badgergap.proxy.upstream.exchange import Exchange
 from badgergap.proxy.upstream.stream_attempt import StreamAttempt
 
 if TYPE_CHECKING:
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -136,7 +136,7 @@
             main = next(iter(proxies.values()))
             pools = {name: proxy.balancer.snapshot() for name, proxy in proxies.items()}
             health_snapshot = learned_state.pack(
-                HealthSnapshot(main.clock.now_us(), main.filed.names.classes, pools)
+                HealthSnapshot(main.clock.now_us(), main.latest_config.names.classes, pools)
             )
         if health_snapshot is None:
             if not self.too_long:
@@ -175,7 +175,7 @@
         try:
             health_snapshot = learned_state.unpack(answer.health_snapshot)
             main = next(iter(proxies.values()))
-            if health_snapshot.classes != main.filed.names.classes:
+            if health_snapshot.classes != main.latest_config.names.classes:
                 raise BadHealthSnapshotError("its classes are not those of now")
             if answer.age_us > learned_state.OLDEST_US:
                 raise BadHealthSnapshotError("it is too old")
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -25,9 +25,9 @@
 )
 from badgergap.proxy.downstream.response_writer import REASONS, ResponseWriter, RespondedRequest
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.proxy import plain, refused
+from badgergap.proxy.gateway_responses import plain, refused
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
-from badgergap.proxy.upstream.connection_pool import Answer
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.proxy.header_fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, own_answer
 from badgergap.ordinary.plan import Limits
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -11,7 +11,8 @@
 from badgergap.proxy import unread_input
 from badgergap.proxy.lifecycle.config import Address, Config
 from badgergap.proxy.pools import PoolPlan, Pools
-from badgergap.proxy.proxy import Observer, Proxy
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Observer
 from badgergap.ordinary.turn import Carry, Guard, Join
 from badgergap.ordinary.ways import Ways
 from badgergap.proxy.upstream.stream_exchange import carry
@@ -73,8 +74,8 @@
         if self.ready is not None:
             await self.ready()
         self.listens = await self.door.start(self.inherited.pop(HTTP, None))
-        if proxy.listens is None:
-            proxy.listens = self.listens
+        if proxy.client_address is None:
+            proxy.client_address = self.listens
         log.info("%s serves HTTP on %s:%d", proxy.config.name, *self.listens)
         if plan.listen_tls is not None and self.certificates is not None:
             context, inherited = self.certificates(), self.inherited.pop(HTTPS, None)
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -16,7 +16,7 @@
 from badgergap.proxy.lifecycle.config import Config, parse_config
 from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.upstream.connection_pool import Exchange
+from badgergap.proxy.upstream.exchange import Exchange
 from badgergap.balancing.interface import EndpointStatus
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
@@ -88,7 +88,7 @@
 
     def known(self) -> dict[str, str]:
         """What the gateway would send to, or drain: by name."""
-        views = (view.entry for view in self.proxy.roster.view())
+        views = (view.entry for view in self.proxy.directory.registry.view())
         return {e.name: e.listed.status.value for e in views if e.listed.status is not EndpointStatus.GONE}
 
     def truth(self) -> dict[str, str]:
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -450,7 +450,7 @@
             )
             assert it.downstream.limit <= limit - 100
             old.send_json({"hand": ["h0", "anna", True]})
-            while not it.proxy.roster.drains:
+            while not it.proxy.directory.registry.drains:
                 await asyncio.sleep(0.001)
             old.close()
             while it.proxy.upstream.connections_elsewhere:
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from badgergap.proxy.endpoints import discovery
+from badgergap.proxy.endpoints import discovery, discovery_call
 from badgergap.proxy.lifecycle.config import parse_address
-from badgergap.proxy.endpoints.sources import host_id
+from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.balancing.interface import (
     FetchEndpoints,
     EndpointListKind,
@@ -26,7 +26,7 @@
 async def told(it: Gateway) -> tuple[EndpointListKind, list[str]]:
     """The next list event: its kind and its hosts' states, by name."""
     event = await it.event(EndpointList)
-    names = {host_id(f"h{n}"): f"h{n}" for n in range(9)}
+    names = {endpoint_id_of(f"h{n}"): f"h{n}" for n in range(9)}
     return event.kind, [f"{names[s.endpoint_id]} {s.status.value}" for s in event.endpoints]
 
 
@@ -49,7 +49,9 @@
             assert await told(it) == (EndpointListKind.DELTA, ["h1 gone"])
             watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
             assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert it.proxy.upstream.endpoints[host_id("h0")].stop_at is not None  # the full list lacks it
+            assert (
+                it.proxy.upstream.endpoints[endpoint_id_of("h0")].stop_at is not None
+            )  # the full list lacks it
 
     run(test())
 
@@ -129,7 +131,7 @@
 
 
 def test_a_silent_watch_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
+    monkeypatch.setattr(discovery_call, "SILENCE_S", 0.05)
 
     async def test() -> None:
         async with gateway() as it:
@@ -187,7 +189,7 @@
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
             await told(it)
-            host = it.proxy.upstream.endpoints[host_id("h0")]
+            host = it.proxy.upstream.endpoints[endpoint_id_of("h0")]
             assert host.address == ("127.0.0.1", 9)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
             assert await told(it) == (EndpointListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
@@ -203,7 +205,7 @@
             _, old = await it.registry.watches.get()
             second = Registry()
             await second.start()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             first, new = await second.watches.get()
             assert "index=0" in first  # the numbers of the old service may mean nothing there
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
@@ -229,8 +231,11 @@
             await second.start()
             address, port = second.address.split(":")
             second.stop()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
-            while it.proxy.discovery is not None and it.proxy.discovery.current is not None:  # refused
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
+            while (
+                it.proxy.directory.discovery is not None
+                and it.proxy.directory.discovery.current_watch is not None
+            ):  # refused
                 await asyncio.sleep(0.001)
             third = Registry()
             third.listener = await asyncio.start_server(third.accept, address, int(port))
@@ -254,7 +259,7 @@
             await told(it)
             it.proxy.carry_out(WatchEndpoints())
             _, watch = await it.registry.watches.get()
-            monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
+            monkeypatch.setattr(discovery_call, "SILENCE_S", 0.05)
             watch.write(chunk(news(entry("h1", it.host.address), index=12)))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             first, watch = await it.registry.watches.get()
@@ -301,13 +306,13 @@
         async with gateway() as it:
             await told(it)
             asked = []
-            for _ in range(discovery.SPOILT_MOST + 1):
+            for _ in range(discovery.UNREADABLE_MOST + 1):
                 first, watch = await it.registry.watches.get()
                 asked.append(int(first.partition("index=")[2].split()[0]))
                 watch.write(chunk(news(entry("h1", "nowhere"), entry("h2", it.host.address), index=9)))
                 assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert asked == [7, 7, 0, 0] and it.registry.watches.empty()
-            assert it.proxy.discovery is not None and it.proxy.discovery.index == 9
+            assert it.proxy.directory.discovery is not None and it.proxy.directory.discovery.index == 9
             watch.write(chunk(news(entry("h3", it.host.address), index=10)))
             assert await told(it) == (EndpointListKind.DELTA, ["h3 ready"])
 
@@ -346,7 +351,7 @@
             later = loop.call_later
 
             def noted(delay_s: float, call: Callable[..., object], *args: Any, **more: Any) -> Any:
-                if getattr(call, "__self__", None) is it.proxy.discovery:
+                if getattr(call, "__self__", None) is it.proxy.directory.discovery:
                     waits.append(delay_s)
                 return later(delay_s, call, *args, **more)
 
@@ -374,14 +379,17 @@
             second, third = Registry(), Registry()
             for registry in (second, third):
                 await registry.start()
-                it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(registry.address)))
+                it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(registry.address)))
             first, new = await third.watches.get()
             assert "index=0" in first
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
             assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert it.proxy.discovery is not None and it.proxy.discovery.fading is None
+            assert (
+                it.proxy.directory.discovery is not None
+                and it.proxy.directory.discovery.previous_watch is None
+            )
             for registry in (second, third):
                 registry.stop()
 
@@ -392,9 +400,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it has counts as told 4 s after the move."""
-    assert discovery.MOVE_ANSWER_S * 2 + discovery.MOVE_RETRY_S < 4.0
-    monkeypatch.setattr(discovery, "MOVE_ANSWER_S", 0.05)
-    monkeypatch.setattr(discovery, "SILENCE_S", 3600.0)
+    assert discovery_call.MOVE_ANSWER_S * 2 + discovery.MOVE_RETRY_S < 4.0
+    monkeypatch.setattr(discovery_call, "MOVE_ANSWER_S", 0.05)
+    monkeypatch.setattr(discovery_call, "SILENCE_S", 3600.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -402,13 +410,17 @@
             await it.registry.watches.get()
             second = Registry()
             await second.start()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             await second.watches.get()
             _, new = await second.watches.get()
             new.write(chunk(news(entry("h1", it.host.address))))
             assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             await asyncio.sleep(0)
-            call = it.proxy.discovery.current if it.proxy.discovery is not None else None
+            call = (
+                it.proxy.directory.discovery.current_watch
+                if it.proxy.directory.discovery is not None
+                else None
+            )
             assert call is not None and call.silence is not None
             assert call.silence.when() - it.proxy.loop.time() > 60.0  # the first word's time is over
             second.stop()
@@ -439,8 +451,8 @@
 
 
 def test_a_new_service_whose_first_word_is_spoilt_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 3600.0)
-    monkeypatch.setattr(discovery, "MOVE_ANSWER_S", 3600.0)
+    monkeypatch.setattr(discovery_call, "SILENCE_S", 3600.0)
+    monkeypatch.setattr(discovery_call, "MOVE_ANSWER_S", 3600.0)
 
     async def test() -> None:
         async with gateway() as it:
@@ -448,7 +460,7 @@
             await it.registry.watches.get()
             second = Registry()
             await second.start()
-            it.proxy.take_over(replace(it.proxy.filed, discovery=parse_address(second.address)))
+            it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             _, new = await second.watches.get()
             new.write(chunk("no json\n"))
             first, new = await second.watches.get()
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -22,7 +22,7 @@
 from badgergap.proxy.endpoints import discovery
 from badgergap.proxy import unread_input
 from badgergap.proxy.downstream import client_connection, listener
-from badgergap.proxy.proxy import AttemptListener
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.balancing.retry_policy import RetryPolicy
@@ -56,7 +56,7 @@
 
 def nothing_left(it: Gateway) -> None:
     """No request, id, attempt or place is held for anything that is over."""
-    assert not it.proxy.requests and it.proxy.open == 0 and not it.downstream.validator.open_ids
+    assert not it.proxy.requests and it.proxy.open_requests == 0 and not it.downstream.validator.open_ids
     assert it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
     assert it.downstream.budget.used == 0
     assert not any(c.exchange is not None for c in it.proxy.upstream.connections)
@@ -103,7 +103,7 @@
                 client.writer.close()
                 await it.event(ClientDisconnected)
             else:
-                it.proxy.answer_at_last(request)
+                it.proxy.answer_at_deadline(request)
                 assert (await client.answer())[0] == 504
             free.set()
             ended = await it.event(AttemptEnded)
@@ -483,12 +483,17 @@
             client = await it.client()
             ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
             assert (await client.ask(ready))[0] == 503
-            assert it.proxy.discovery is not None
+            assert it.proxy.directory.discovery is not None
             if says:
                 watch.write(chunk(news(index=8)))
-                await until(lambda: it.proxy.discovery is not None and it.proxy.discovery.index == 8)
+                await until(
+                    lambda: it.proxy.directory.discovery is not None
+                    and it.proxy.directory.discovery.index == 8
+                )
             else:
-                it.proxy.discovery.current_at = it.proxy.loop.time()  # it was waited for long enough
+                it.proxy.directory.discovery.current_at = (
+                    it.proxy.loop.time()
+                )  # it was waited for long enough
             assert (await client.ask(ready))[0] == 200
 
     run(test())
@@ -753,9 +758,9 @@
             one.send(ask())
             first = await it.host.taken.get()
             two.send(ask())
-            await until(lambda: it.proxy.open == 2)
+            await until(lambda: it.proxy.open_requests == 2)
             three.send(ask(Request_Id="third"))
-            await until(lambda: it.proxy.open == 3)
+            await until(lambda: it.proxy.open_requests == 3)
             if leaves:
                 two.writer.close()
                 await it.event(ClientDisconnected)
@@ -1008,7 +1013,7 @@
                     while data := await loop.sock_recv(sock, 4096):
                         said += data
                     assert said.startswith(b"HTTP/1.1 503 ") and b"retry-after: " in said
-            assert it.host.taken.empty() and not it.proxy.taken
+            assert it.host.taken.empty() and not it.proxy.accepted_count
             await until(lambda: not it.downstream.connections)
 
     run(test())
--- a/tests/web/test_run.py
+++ b/tests/web/test_run.py
@@ -84,11 +84,11 @@
                 await asyncio.sleep(draw.uniform(0.05, 0.3))
                 await app.revive()
             case "drain":
-                it.proxy.drain(app.name, "test")
+                it.proxy.directory.drain(app.name, "test")
                 began = time.monotonic()
                 await asyncio.sleep(GRACE_S + draw.uniform(0.1, 0.3))
                 ledger.drained.append((app.name, began + GRACE_S, time.monotonic()))
-                it.proxy.undrain(app.name, "test")
+                it.proxy.directory.undrain(app.name, "test")
             case "reload":
                 await it.reload(
                     text.replace('given_up_after = "20s"', f'given_up_after = "{draw.randint(20, 22)}s"')
@@ -127,7 +127,9 @@
             async with asyncio.timeout(10):
                 while it.proxy.requests:  # every request in the books has ended
                     await asyncio.sleep(0.05)
-            assert it.proxy.open == 0 and it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
+            assert (
+                it.proxy.open_requests == 0 and it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
+            )
             assert not any(server.streams for server in it.proxy.balancer.servers.values())
 
     run(test(), 90)
