--- a/badgergap/proxy/downstream/http_connection.py
+++ b/badgergap/proxy/downstream/http_connection.py
@@ -42,34 +42,35 @@
     FRAMING_LOST = 3  # where the next request begins is unknown
 
 
-_IDLE, _RECEIVING, _DISCARDING, _CLOSED = ConnectionState
+# Module constants: the parser's callbacks compare with them several times a request.
+IDLE, RECEIVING, DISCARDING, CLOSED = ConnectionState
 
 # For each event, the state after it by the state before it. The parser goes on to the end of a read, so that
 # requests also begin and end once the connection is closed.
 TRANSITIONS: dict[ConnectionEvent, dict[ConnectionState, ConnectionState]] = {
     ConnectionEvent.REQUEST_BEGINS: {
-        _IDLE: _RECEIVING,
-        _RECEIVING: _RECEIVING,
-        _DISCARDING: _DISCARDING,
-        _CLOSED: _DISCARDING,
+        IDLE: RECEIVING,
+        RECEIVING: RECEIVING,
+        DISCARDING: DISCARDING,
+        CLOSED: DISCARDING,
     },
     ConnectionEvent.REQUEST_ENDS: {
-        _IDLE: _IDLE,
-        _RECEIVING: _IDLE,
-        _DISCARDING: _CLOSED,
-        _CLOSED: _CLOSED,
+        IDLE: IDLE,
+        RECEIVING: IDLE,
+        DISCARDING: CLOSED,
+        CLOSED: CLOSED,
     },
     ConnectionEvent.LAST_READ: {
-        _IDLE: _CLOSED,
-        _RECEIVING: _DISCARDING,
-        _DISCARDING: _DISCARDING,
-        _CLOSED: _CLOSED,
+        IDLE: CLOSED,
+        RECEIVING: DISCARDING,
+        DISCARDING: DISCARDING,
+        CLOSED: CLOSED,
     },
     ConnectionEvent.FRAMING_LOST: {
-        _IDLE: _CLOSED,
-        _RECEIVING: _CLOSED,
-        _DISCARDING: _CLOSED,
-        _CLOSED: _CLOSED,
+        IDLE: CLOSED,
+        RECEIVING: CLOSED,
+        DISCARDING: CLOSED,
+        CLOSED: CLOSED,
     },
 }
 AFTER_BEGIN = TRANSITIONS[ConnectionEvent.REQUEST_BEGINS]
@@ -96,7 +97,7 @@
         self.loop = loop
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.state = ConnectionState.IDLE
+        self.state: ConnectionState = IDLE
         self.incoming = incoming  # the newest
         self.pipeline: deque[RequestT] = deque()  # read, and not yet in their turn
         self.current: RequestT | None = None  # the one that is answered
@@ -113,12 +114,12 @@
     @property
     def is_closing(self) -> bool:
         """Whether nothing more is read from the client."""
-        return self.state >= _DISCARDING
+        return self.state >= DISCARDING
 
     @property
     def is_receiving(self) -> bool:
         """Whether a request has come in part."""
-        return self.state is _RECEIVING or self.state is _DISCARDING
+        return self.state is RECEIVING or self.state is DISCARDING
 
     @property
     def has_open_requests(self) -> bool:
@@ -140,7 +141,7 @@
         raise NotImplementedError
 
     def on_message_begin(self) -> None:
-        if not self.is_receiving:  # a further one in the same data
+        if self.state is IDLE or self.state is CLOSED:  # a further one in the same data
             self.begin()
 
     def on_url(self, url: bytes) -> None:
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -14,7 +14,7 @@
 import httptools
 
 from badgergap.proxy.body_streams import Upload
-from badgergap.proxy.downstream.http_connection import AFTER_BEGIN, AFTER_END, HttpConnection
+from badgergap.proxy.downstream.http_connection import AFTER_BEGIN, AFTER_END, IDLE, RECEIVING, HttpConnection
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest
 from badgergap.proxy.limits.memory import Budget, ReadBuffer
@@ -92,7 +92,7 @@
             return
         self.progress_at = self.loop.time()
         self.server.idle_connections.pop(self, None)
-        if not self.is_receiving:
+        if self.state is IDLE:
             self.begin()
         self.incoming.raw_bytes += len(data)
         try:
@@ -101,7 +101,7 @@
             self.make_newest_last()  # the request is valid; what follows it is no HTTP
         except httptools.HttpParserError:
             self.reject_and_close(BadRequest(400, "malformed request"))
-        if self.is_receiving and not self.is_closing:
+        if self.state is RECEIVING:
             incoming = self.incoming
             if not incoming.head_complete:
                 if incoming.raw_bytes > HEAD_LIMIT:
@@ -158,7 +158,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing or incoming.head_complete:  # trailers are dropped
+        if self.state is not RECEIVING or incoming.head_complete:  # trailers are dropped
             return
         incoming.size += len(name) + len(value) + 4
         try:
@@ -169,7 +169,7 @@
     def on_headers_complete(self) -> None:
         incoming = self.incoming
         incoming.method = self.parser.get_method()
-        if self.is_closing:
+        if self.state is not RECEIVING:
             return
         try:
             if incoming.size + len(incoming.target) > HEAD_LIMIT:
@@ -193,7 +193,7 @@
         incoming.size += len(body)
         if incoming.size > BODY_LIMIT:
             self.reject_and_close(BadRequest(413, f"body over {BODY_LIMIT} bytes"))
-        elif not self.is_closing and incoming.rejection is None:
+        elif self.state is RECEIVING and incoming.rejection is None:
             now = self.loop.time()
             self.due_at = max(
                 self.due_at, min(self.due_at + len(body) / SLOWEST_UPLOAD, now + UPLOAD_STALL_S)
@@ -205,7 +205,7 @@
 
     def on_message_complete(self) -> None:
         self.state = AFTER_END[self.state]
-        if self.is_closing:
+        if self.state is not IDLE:
             return
         incoming = self.incoming
         incoming.received_at = self.loop.time()
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -21,6 +21,8 @@
     AFTER_BEGIN,
     AFTER_END,
     AFTER_FRAMING_LOST,
+    IDLE,
+    RECEIVING,
     HttpConnection,
 )
 from badgergap.proxy.downstream.response_writer import REASONS, ResponseWriter, RespondedRequest
@@ -141,12 +143,7 @@
     def go_direct(self) -> None:
         """The rest of a body of known length needs no parser, which would read every byte of it."""
         incoming = self.incoming
-        if (
-            self.is_receiving
-            and incoming.head_complete
-            and incoming.length is not None
-            and not self.is_closing
-        ):
+        if self.state is RECEIVING and incoming.head_complete and incoming.length is not None:
             self.left = incoming.length - incoming.upload.size
             self.parser = httptools.HttpRequestParser(self)
 
@@ -221,7 +218,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing:
+        if self.state is not RECEIVING:
             return
         incoming.size += len(name) + len(value) + 4
         if incoming.size > HEAD_LIMIT:
@@ -237,7 +234,7 @@
 
     def on_headers_complete(self) -> None:
         incoming = self.incoming
-        if self.is_closing:
+        if self.state is not RECEIVING:
             return
         incoming.method = self.parser.get_method()
         incoming.version = self.parser.get_http_version()
@@ -260,7 +257,7 @@
 
     def on_body(self, body: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing or incoming.rejection is not None:
+        if self.state is not RECEIVING or incoming.rejection is not None:
             return
         limit = incoming.upload.limit
         if limit is not None and incoming.upload.size + len(body) > limit:
@@ -270,7 +267,7 @@
 
     def on_message_complete(self) -> None:
         self.state = AFTER_END[self.state]
-        if not self.is_closing:
+        if self.state is IDLE:
             if not self.incoming.keep_alive:
                 self.stop_reading()  # its answer is the connection's last
             if not self.incoming.upload.complete:
