--- a/badgergap/web/door.py
+++ b/badgergap/web/door.py
@@ -1,4 +1,4 @@
-"""The listener for ordinary HTTP: its connections, and the way that each request takes."""
+"""The listener for ordinary HTTP: which connections it accepts, evicts, hands over and closes."""
 
 from __future__ import annotations
 
@@ -21,30 +21,32 @@
 
 BACKLOG = 1024
 ACCEPTED = 64  # connections for TLS in one turn of the loop
-SWEEP_S = 0.2  # a client that is not read and has left is noticed so soon
-RESTING_SHARE = 0.5  # of the connections: so many of them between requests
-STALLED_S = 5.0  # a client that has taken or sent nothing for so long gives way when connections are short
-LOOKED_AT = 8  # of those that rest, for one that makes room
-TURNED_AWAY = 32  # connections over the limit that are told 503
-POLL_S = 0.02
+CLEANUP_INTERVAL_S = 0.2  # a client that has left while it is not read is noticed within this time
+IDLE_SHARE = 0.5  # of the connections, those that may be between requests
+STALLED_S = 5.0  # a client without progress for so long is evicted when connections are short
+EVICTION_CANDIDATES = 8  # idle connections tried for one eviction
+REJECTED_MAX = 32  # connections over the limit whose requests get 503
+DRAIN_POLL_S = 0.02
 ACCEPT_AGAIN_S = 0.1
-SHUTDOWN_S = 5.0  # for a client's part in the end of TLS
+SHUTDOWN_S = 5.0  # for the client's part in the end of TLS
 LAST_ACCEPT_S = 0.5  # new connections go on coming for a moment after an end has begun
 
 
 class Door:
+    """The listener for ordinary clients, with and without TLS, and its connections."""
+
     def __init__(self, ways: Ways, loop: asyncio.AbstractEventLoop) -> None:
         self.ways, self.loop = ways, loop
         self.connections: set[Front] = set()
-        self.resting: dict[Front, None] = {}  # between requests, the one used last comes last
+        self.idle_connections: dict[Front, None] = {}  # between requests, the one used last comes last
         self.draining = False
         self.listener: asyncio.Server | None = None
-        # What it listens on, and another process may too. The loop's server has a copy of its own.
+        # Another process may listen on these too. The loop's server has a copy of its own.
         self.socket: socket.socket | None = None
         self.tls_socket: socket.socket | None = None
         self.context: ssl.SSLContext | None = None
-        self.give: Callable[[int], bool] | None = None  # clients, to the process that takes over
-        self.sweeping: asyncio.TimerHandle | None = None
+        self.migrate: Callable[[int], bool] | None = None  # sends a descriptor to the process that takes over
+        self.cleanup_timer: asyncio.TimerHandle | None = None
         self.handshakes: dict[Handshake, None] = {}  # oldest first
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -57,17 +59,17 @@
         return self.plan.limits
 
     async def start(self, inherited: socket.socket | None = None) -> Address:
-        """`inherited`: the socket that a process before this one listens on, and that goes on."""
-        self.socket = inherited or listening(self.plan.listen)
+        """Listen; return where. `inherited`: the socket of the process before this one. Raises OSError."""
+        self.socket = inherited or bind_socket(self.plan.listen)
         await self.accept_plain()
-        self.sweeping = self.loop.call_later(SWEEP_S, self.sweep)
+        self.cleanup_timer = self.loop.call_later(CLEANUP_INTERVAL_S, self.cleanup)
         bound: Address = self.socket.getsockname()[:2]
         return bound
 
     async def start_tls(self, context: ssl.SSLContext, inherited: socket.socket | None = None) -> Address:
         assert self.plan.listen_tls is not None
         self.context = context
-        self.tls_socket = inherited or listening(self.plan.listen_tls)
+        self.tls_socket = inherited or bind_socket(self.plan.listen_tls)
         self.accept_tls()
         bound: Address = self.tls_socket.getsockname()[:2]
         return bound
@@ -82,9 +84,9 @@
             self.loop.add_reader(self.tls_socket.fileno(), self.accept, self.tls_socket)
 
     def accept(self, listener: socket.socket) -> None:
-        """Take connections for TLS, and make room for each before its handshake.
+        """Accept connections for TLS, and evict another for each before its handshake if there are too many.
 
-        At once, with no task between the system and this: what a task that ends has accepted would be lost.
+        Without a task between the system and this: what a task that ends has accepted would be lost.
         """
         for _ in range(ACCEPTED):
             try:
@@ -97,13 +99,13 @@
                 self.loop.call_later(ACCEPT_AGAIN_S, self.accept_again)
                 return
             sock.setblocking(False)
-            if self.held >= self.plan.limits.connections and not self.make_room():
+            if self.held_descriptors >= self.plan.limits.connections and not self.evict_one():
                 sock.close()
                 continue
             self.handshakes[Handshake(self, sock)] = None
 
     def accept_again(self) -> None:
-        if self.give is None:
+        if self.migrate is None:
             self.accept_tls()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -124,25 +126,30 @@
     # Connections
 
     @property
-    def held(self) -> int:
-        """Descriptors of clients."""
+    def held_descriptors(self) -> int:
+        """How many descriptors clients have."""
         return len(self.connections) + len(self.handshakes)
 
     def add(self, front: Front) -> None:
-        """Guards against running out of descriptors: who is missed least goes, else new ones hear 503."""
+        """Take a new connection.
+
+        Guards against running out of descriptors: another is evicted for it, else its requests get 503.
+        """
         limit = self.plan.limits.connections
-        if self.held >= limit and not self.make_room():
+        if self.held_descriptors >= limit and not self.evict_one():
             front.over_limit = True
         self.connections.add(front)
-        if self.held > limit + TURNED_AWAY:
+        if self.held_descriptors > limit + REJECTED_MAX:
             front.abort()
 
-    def make_room(self) -> bool:
-        """One that rests, else one that never asked, else the one that has stalled longest.
+    def evict_one(self) -> bool:
+        """Evict an idle connection, else a handshake, else the connection that has stalled longest.
 
-        Of those that rest none is reset under a request that has come, or an answer that is on its way.
+        No idle one is reset under a request that has come, or a response that is on its way.
         """
-        oldest = next((front for front in islice(self.resting, LOOKED_AT) if front.gives_way), None)
+        oldest = next(
+            (front for front in islice(self.idle_connections, EVICTION_CANDIDATES) if front.may_evict), None
+        )
         if oldest is None and self.handshakes:
             next(iter(self.handshakes)).abort()
             return True
@@ -152,40 +159,40 @@
             if not stalled:
                 return False
             oldest = min(stalled, key=lambda front: front.progress_at)
-        self.drop(oldest)
+        self.discard(oldest)
         oldest.reset()
         return True
 
-    def drop(self, front: Front) -> None:
+    def discard(self, front: Front) -> None:
         self.connections.discard(front)
-        self.resting.pop(front, None)
+        self.idle_connections.pop(front, None)
 
-    def rest(self, front: Front) -> None:
-        self.resting[front] = None
-        if len(self.resting) > self.plan.limits.connections * RESTING_SHARE:
-            oldest = next(iter(self.resting))
-            del self.resting[oldest]
+    def on_idle(self, front: Front) -> None:
+        self.idle_connections[front] = None
+        if len(self.idle_connections) > self.plan.limits.connections * IDLE_SHARE:
+            oldest = next(iter(self.idle_connections))
+            del self.idle_connections[oldest]
             if oldest.may_close:
                 oldest.close()
-        if self.give is not None:
+        if self.migrate is not None:
             # Not from within the parser, which may have more of this client's.
-            self.loop.call_soon(self.try_to_give, front)
+            self.loop.call_soon(self.try_to_migrate, front)
 
     # To another process
 
-    def give_way(self, give: Callable[[int], bool]) -> None:
-        """Nothing is accepted any more. Who rests is given over; over TLS the next answer is the last."""
-        self.give = give
+    def hand_over(self, migrate: Callable[[int], bool]) -> None:
+        """Accept nothing any more, and hand idle connections over. Over TLS the next response is the last."""
+        self.migrate = migrate
         self.stop_accepting()
         for front in list(self.connections):
-            self.try_to_give(front)
+            self.try_to_migrate(front)
 
-    def try_to_give(self, front: Front) -> None:
-        if self.give is None or front not in self.connections or not front.may_be_given:
+    def try_to_migrate(self, front: Front) -> None:
+        if self.migrate is None or front not in self.connections or not front.may_migrate:
             return
         assert front.transport is not None
-        if self.give(front.transport.get_extra_info("socket").fileno()):
-            self.drop(front)
+        if self.migrate(front.transport.get_extra_info("socket").fileno()):
+            self.discard(front)
             front.abort()
 
     def adopt(self, sock: socket.socket) -> None:
@@ -194,48 +201,48 @@
     async def _adopt(self, sock: socket.socket) -> None:
         def made() -> Front:
             front = Front(self)
-            front.asked = True
+            front.has_requested = True
             return front
 
         with contextlib.suppress(OSError):  # it has gone meanwhile
             await self.loop.connect_accepted_socket(made, sock)
 
-    def take_back(self) -> None:
-        self.give = None
+    def resume_accepting(self) -> None:
+        self.migrate = None
         if self.draining:
             return
         self.spawn(self.accept_plain())
         self.accept_tls()
 
-    def sweep(self) -> None:
+    def cleanup(self) -> None:
         now = self.loop.time()
         for connection in list(self.connections):
             connection.check_time(now)
-        self.sweeping = self.loop.call_later(SWEEP_S, self.sweep)
+        self.cleanup_timer = self.loop.call_later(CLEANUP_INTERVAL_S, self.cleanup)
 
     # The end
 
     async def drain(self) -> None:
-        """Planned end: take what still comes, answer everything; streams and tunnels get their time."""
+        """Shut down gracefully: accept what still comes and answer it; streams and tunnels get their time."""
         self.draining = True
-        if self.give is None:
+        if self.migrate is None:
             await asyncio.sleep(LAST_ACCEPT_S)
         self.stop_listening()
         until = self.loop.time() + self.plan.limits.end_s
         while self.connections:
             late = self.loop.time() > until
             for connection in list(self.connections):
-                # After a hand-over nobody waits for this process: who rests over TLS may ask once more.
-                rests = connection.may_close and self.give is None
+                # After a hand-over nobody waits for this process: idle clients over TLS may ask once more.
+                rests = connection.may_close and self.migrate is None
                 if connection.is_idle and (rests or late):
                     connection.close()
                 elif late:
                     connection.reset()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self) -> None:
-        if self.sweeping is not None:
-            self.sweeping.cancel()
+        if self.cleanup_timer is not None:
+            self.cleanup_timer.cancel()
         self.stop_listening()
         for handshake in list(self.handshakes):
             handshake.abort()
@@ -257,8 +264,8 @@
         self.socket = self.tls_socket = None
 
 
-def listening(address: Address) -> socket.socket:
-    """A bound socket. Raises OSError."""
+def bind_socket(address: Address) -> socket.socket:
+    """Return a bound socket. Raises OSError."""
     host, port = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.create_server((host, port), family=family, backlog=BACKLOG)
@@ -267,10 +274,10 @@
 
 
 class Handshake:
-    """A connection that is to speak TLS and does not yet.
+    """A connection whose TLS handshake is not complete.
 
-    It is accepted by itself and counted before its handshake. Guards against hundreds that stop half way: the
-    loop's own listener would hold a descriptor for each, and nobody would know of them.
+    Accepted by `Door.accept`, which counts it before its handshake. Guards against hundreds that stop half
+    way: the loop's own listener would hold a descriptor for each without counting it.
     """
 
     def __init__(self, door: Door, sock: socket.socket) -> None:
@@ -285,7 +292,7 @@
         door = self.door
         assert door.context is not None
         try:
-            # The front is told of the connection once the handshake is done, and of nothing before.
+            # The protocol is told of the connection once the handshake is done, and of nothing before.
             await door.loop.connect_accepted_socket(
                 lambda: Front(door),
                 self.sock,
@@ -293,7 +300,7 @@
                 ssl_handshake_timeout=door.plan.limits.handshake_s,
                 ssl_shutdown_timeout=SHUTDOWN_S,
             )
-        except OSError:  # refused, cut or too slow: that is between it and its client
+        except OSError:  # rejected, closed or too slow: the client's own affair
             pass
         finally:
             door.handshakes.pop(self, None)
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 from ordinary clients: heads read strictly, bodies as streams, one answer for each request.
+"""HTTP/1.1 from ordinary clients: heads read strictly, bodies as streams, one response for each request.
 
-Bounds, each with what happens at it: a head HEAD_LIMIT bytes (431), its time HEAD_S (408), a connection
-between requests IDLE_S (closed), a request's body the route's limit (413), its silence and its time (408),
-a client that takes nothing of an answer (cut), requests read ahead of their turn: what one read brings.
+Bounds, each with what happens at it: a head HEAD_LIMIT bytes (431), its time `head_s` (408), an idle
+connection `idle_s` (closed), a request's body the route's limit (413), its pauses and its time (408), a
+client that takes nothing of a response (reset), requests read ahead of their turn PIPELINE_LIMIT (400).
+The times stand in `Limits`.
 """
 
 from __future__ import annotations
@@ -39,21 +40,21 @@
 log = logging.getLogger(__name__)
 
 TARGET_LIMIT = 8 * 1024
-PIPELINED = 64  # requests of one read that are answered in turn
-BUFFER = 64 * 1024  # bytes written to a client and not yet sent, beyond which the box is not read
+PIPELINE_LIMIT = 64  # requests of one read that are answered in turn
+UNSENT_LIMIT = 64 * 1024  # bytes written to a client and not taken, beyond which the endpoint is not read
 
 
 @dataclass(slots=True, eq=False)
 class Incoming(Turn):
-    """A request of this connection, and its answer as it is written."""
+    """A request of this connection, and its response while it is written."""
 
-    raw_bytes: int = 0  # bytes read while its head is not whole
+    raw_bytes: int = 0  # bytes read while its head is incomplete
     size: int = 0  # of its header fields, or of its trailers
     head_complete: bool = False
-    rejection: Answer | None = None  # what it is answered in its turn, without a look at the rest
+    rejection: Answer | None = None  # its response, whatever the rest of it
     fields: Headers = field(default_factory=list)  # trailers
-    chunked: bool = False  # how that is framed
-    is_last: bool = False  # the client was told that the connection ends with this answer
+    chunked: bool = False  # how the response is framed
+    is_last: bool = False  # the client was told that the connection ends with this response
 
 
 class WebListener(Protocol):
@@ -61,9 +62,9 @@
 
     loop: asyncio.AbstractEventLoop
     ways: Ways
-    resting: dict[Front, None]  # between requests, the one used last comes last
+    idle_connections: dict[Front, None]  # between requests, the one used last comes last
     draining: bool
-    give: Callable[[int], bool] | None  # hands a descriptor over to the process that takes over
+    migrate: Callable[[int], bool] | None  # hands a descriptor over to the process that takes over
 
     @property
     def limits(self) -> Limits:
@@ -71,9 +72,9 @@
 
     def peer_of(self, transport: asyncio.Transport) -> Peer: ...
     def add(self, front: Front) -> None: ...
-    def drop(self, front: Front) -> None: ...
-    def rest(self, front: Front) -> None:
-        """It has no request in hand."""
+    def discard(self, front: Front) -> None: ...
+    def on_idle(self, front: Front) -> None:
+        """Note that no request is open on it."""
 
 
 class Front(HttpConnection[Incoming], asyncio.Protocol):
@@ -83,40 +84,40 @@
         super().__init__(door.loop, Incoming())
         self.door = door
         self.peer = Peer("")
-        self.asked = False
-        self.rest = b""  # what came behind a request that may end in a tunnel
-        self.left = 0  # of a body of known length, which is read without the parser
-        self.tunnel = False
+        self.has_requested = False
+        self.unparsed = b""  # input behind a request that may switch to a tunnel
+        self.body_left = 0  # bytes of a body of known length, which is read without the parser
+        self.in_tunnel = False
 
     # Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        self.transport.set_write_buffer_limits(high=BUFFER)
+        self.transport.set_write_buffer_limits(high=UNSENT_LIMIT)
         self.peer = self.door.peer_of(self.transport)
         self.door.add(self)
 
     def data_received(self, data: bytes) -> None:
         self.progress_at = self.loop.time()
-        if self.tunnel and self.current is not None and self.current.source is not None:
+        if self.in_tunnel and self.current is not None and self.current.source is not None:
             self.current.source.more(data)
         elif self.is_closing:
             return
-        elif self.rest or self.may_switch:
-            self.rest += data
+        elif self.unparsed or self.may_switch:
+            self.unparsed += data
             self.check_flow()
         else:
             self.read(data)
 
     @property
     def may_switch(self) -> bool:
-        """A request that would end in a tunnel waits for its answer: what follows is not read as HTTP yet."""
+        """Whether a request that may switch to a tunnel is open: what follows is not read as HTTP yet."""
         return self.current is not None and self.current.upgrade and self.current is self.incoming
 
     def read(self, data: bytes) -> None:
         while data and not self.is_closing:
-            if self.left:
-                data = self.pass_on(data)
+            if self.body_left:
+                data = self.feed_body(data)
                 continue
             if not self.is_receiving:
                 self.begin()
@@ -127,7 +128,7 @@
                 rest = data[switch.args[0] :]
                 self.parser = httptools.HttpRequestParser(self)
                 if self.incoming.upgrade:
-                    self.rest, rest = rest, b""
+                    self.unparsed, rest = rest, b""
             except httptools.HttpParserError:
                 self.reject_and_close(plain(400, "malformed request"))
             incoming = self.incoming
@@ -135,36 +136,36 @@
                 incoming.raw_bytes += len(data)
                 if incoming.raw_bytes > HEAD_LIMIT:
                     self.reject_and_close(plain(431, "head too long"))
-            self.go_direct()
+            self.bypass_parser()
             data = rest
         self.start_next()
         self.check_flow()
 
-    def go_direct(self) -> None:
-        """The rest of a body of known length needs no parser, which would read every byte of it."""
+    def bypass_parser(self) -> None:
+        """Read the rest of a body of known length without the parser, which would look at every byte."""
         incoming = self.incoming
         if self.state is RECEIVING and incoming.head_complete and incoming.length is not None:
-            self.left = incoming.length - incoming.upload.size
+            self.body_left = incoming.length - incoming.upload.size
             self.parser = httptools.HttpRequestParser(self)
 
-    def pass_on(self, data: bytes) -> bytes:
-        """What of a read belongs to the body goes on; what lies behind it is returned."""
-        body, rest = data[: self.left], data[self.left :]
-        self.left -= len(body)
+    def feed_body(self, data: bytes) -> bytes:
+        """Feed what of a read belongs to the body; return what comes after it."""
+        body, rest = data[: self.body_left], data[self.body_left :]
+        self.body_left -= len(body)
         self.on_body(body)
-        if not self.left:
+        if not self.body_left:
             self.on_message_complete()
         return rest
 
     def begin(self) -> None:
         self.incoming = Incoming(peer=self.peer)
-        self.incoming.upload.flow = partial(self.upload_flow, self.incoming)
+        self.incoming.upload.flow = partial(self.on_upload_flow, self.incoming)
         self.state = AFTER_BEGIN[self.state]
-        self.door.resting.pop(self, None)
-        if self.asked:
+        self.door.idle_connections.pop(self, None)
+        if self.has_requested:
             self.phase_began_at = self.loop.time()
 
-    def upload_flow(self, incoming: Incoming, on: bool) -> None:
+    def on_upload_flow(self, incoming: Incoming, on: bool) -> None:
         if incoming is self.incoming:
             self.upload_paused = not on
             self.progress_at = self.loop.time()
@@ -177,32 +178,35 @@
         send all of a body before it reads.
         """
         receives_current = self.is_receiving and self.incoming is self.current
-        unread = self.write_paused and not self.tunnel and not receives_current
+        unread = self.write_paused and not self.in_tunnel and not receives_current
         return not self.is_closing and (
-            self.upload_paused or bool(self.pipeline) or len(self.rest) > HEAD_LIMIT or unread
+            self.upload_paused or bool(self.pipeline) or len(self.unparsed) > HEAD_LIMIT or unread
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.door.drop(self)
+        self.door.discard(self)
         self.abandon_all()
 
     def abandon_current(self) -> None:
-        """Nothing of the current request is wanted any more."""
+        """Drop the current request: its attempts are cancelled, and it gets no response."""
         current, self.current = self.current, None
         if current is None:
             return
         current.abandon()
 
     def reject_and_close(self, answer: Answer) -> None:
-        """Where the next request begins is unknown: answer this one in its turn, then close."""
+        """Answer the newest request with `answer` in its turn, then close.
+
+        For errors after which nobody knows where the next request begins.
+        """
         if self.is_closing:
             return
         self.state = AFTER_FRAMING_LOST[self.state]
         if self.incoming.upload.complete:
-            self.incoming = Incoming()  # it stands, and what is wrong came behind it
+            self.incoming = Incoming()  # that one is valid, and what is wrong came after it
         incoming = self.incoming
         if incoming is self.current:
-            # Its head was good and its body is not: it ends here, whatever has become of it.
+            # Its head was valid and its body is not: the attempts that have begun are cancelled.
             if incoming.source is not None:
                 self.reset()
                 return
@@ -248,7 +252,7 @@
             return
         incoming.head_complete, incoming.size = True, 0
         incoming.began_at = self.loop.time()
-        if len(self.pipeline) >= PIPELINED:
+        if len(self.pipeline) >= PIPELINE_LIMIT:
             self.reject_and_close(plain(400, "too many requests ahead of their turn"))
         else:
             incoming.upload.complete = incoming.length == 0
@@ -269,21 +273,21 @@
         self.state = AFTER_END[self.state]
         if self.state is IDLE:
             if not self.incoming.keep_alive:
-                self.stop_reading()  # its answer is the connection's last
+                self.stop_reading()  # its response is the connection's last
             if not self.incoming.upload.complete:
                 self.incoming.upload.end(trailers(self.incoming.fields))
-            self.settled()
+            self.report_idle()
 
     # Requests, one at a time
 
     def start_next(self) -> None:
-        """Take up the next request unless one is in hand."""
+        """Start the next request unless one is being answered."""
         while self.current is None and self.pipeline:
             incoming = self.current = self.pipeline.popleft()
             if incoming.rejection is not None:
                 self.send_response(incoming, incoming.rejection)
                 continue
-            self.asked = True
+            self.has_requested = True
             try:
                 refusal = (
                     refused("too many connections") if self.over_limit else self.door.ways.take(incoming)
@@ -303,21 +307,21 @@
         self.reset()
 
     def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
-        """A whole answer: this gateway's own, or one of a box that was held."""
+        """Write a complete response: this gateway's own, or one of an endpoint that was held."""
         if incoming is not self.current or not isinstance(incoming, Incoming):
-            return  # its client has gone, or it had its answer
+            return  # its client has left, or it has its response
         incoming.upload.on_ready = None
         lines = self.head_lines(incoming, own_answer(answer))
         self.write(lines + (b"" if incoming.method == b"HEAD" else answer.body))
         self.response_finished(incoming)
 
     def is_last(self, incoming: Incoming) -> bool:
-        """Whether the connection ends with this answer. Never on a request that was read and has none."""
+        """Whether the connection ends with this response. Never with a request read and not answered."""
         if incoming.is_last or not incoming.keep_alive or incoming.rejection is not None:
             return True
         if not incoming.upload.complete:
             return True
-        leaves = self.door.draining or (self.door.give is not None and self.peer.scheme == b"https")
+        leaves = self.door.draining or (self.door.migrate is not None and self.peer.scheme == b"https")
         return (self.is_closing or self.over_limit or leaves) and not self.pipeline
 
     def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
@@ -336,9 +340,9 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def response_finished(self, incoming: RespondedRequest) -> None:
-        """The answer is written whole."""
+        """Go on once the response is written: close, start the next request, or become idle."""
         assert isinstance(incoming, Incoming)
-        last = self.tunnel or self.is_last(incoming)
+        last = self.in_tunnel or self.is_last(incoming)
         self.current = None
         incoming.source = None
         self.phase_began_at = self.progress_at = self.loop.time()
@@ -350,21 +354,21 @@
             else:
                 self.linger()
             return
-        if self.rest:
-            # It might have ended in a tunnel and has not: what follows is HTTP after all.
-            rest, self.rest = self.rest, b""
+        if self.unparsed:
+            # It has not switched to a tunnel: what follows is HTTP after all.
+            rest, self.unparsed = self.unparsed, b""
             self.loop.call_soon(self.read, rest)
         elif self.pipeline:
-            self.loop.call_soon(self.next_and_flow)
+            self.loop.call_soon(self.start_next_and_check_flow)
         else:
-            self.settled()
+            self.report_idle()
         self.check_flow()
 
-    def settled(self) -> None:
+    def report_idle(self) -> None:
         if self.is_idle and not self.is_closing:
-            self.door.rest(self)
+            self.door.on_idle(self)
 
-    def next_and_flow(self) -> None:
+    def start_next_and_check_flow(self) -> None:
         self.start_next()
         self.check_flow()
 
@@ -374,37 +378,40 @@
             super().linger(for_s)
 
     @property
-    def may_be_given(self) -> bool:
-        """Whether nothing of it is in this process: no part of a request, no answer unsent, no keys."""
+    def may_migrate(self) -> bool:
+        """Whether another process can take it: no part of a request, unsent response or key is here."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.peer.scheme == b"https":
             return False
-        here = self.is_closing or self.over_limit or self.tunnel or self.left or self.rest
+        here = self.is_closing or self.over_limit or self.in_tunnel or self.body_left or self.unparsed
         return self.is_idle and not here and not transport.get_write_buffer_size()
 
     @property
-    def gives_way(self) -> bool:
-        """Between requests: whether nothing that it has asked, or has been answered, goes with it."""
+    def may_evict(self) -> bool:
+        """Whether an idle connection can be closed without loss of a request or a response."""
         transport = self.transport
         return transport is None or (not transport.get_write_buffer_size() and self.may_close)
 
     def has_stalled(self, now: float, for_s: float) -> bool:
-        """Whether its client has kept it from going on for so long. One that a box keeps waiting has not."""
+        """Whether its client has made no progress for `for_s` seconds; not where an endpoint has it wait."""
         if now - self.progress_at <= for_s:
             return False
         brings = self.is_receiving and not self.upload_paused and self.current in (None, self.incoming)
-        return self.write_paused or brings or not (self.asked or self.has_open_requests)
+        return self.write_paused or brings or not (self.has_requested or self.has_open_requests)
 
-    def notice_end(self) -> bool:
-        """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on."""
-        if not self.read_paused or self.tunnel or not unread_input.has_left(self.transport):
+    def client_has_left(self) -> bool:
+        """Whether the client has closed, as its socket tells where it is not read."""
+        if not self.read_paused or self.in_tunnel or not unread_input.has_left(self.transport):
             return False
         self.abandon_all()
         self.abort()
         return True
 
-    def out_of_time(self, current: Incoming) -> None:
-        """The route's whole time is over: an answer on its way ends in a reset, and no box is to blame."""
+    def time_out(self, current: Incoming) -> None:
+        """End a request whose route's time is over. A response on its way ends in a reset.
+
+        No endpoint is blamed for it.
+        """
         if current.source is not None:
             self.abandon_current()
             self.reset()
@@ -415,17 +422,18 @@
             self.send_response(current, plain(504, "out of time"))
 
     def check_time(self, now: float) -> None:
-        if self.notice_end():
+        """Enforce the time limits at `now` (loop time, seconds)."""
+        if self.client_has_left():
             return
         limits, current = self.door.limits, self.current
         self.update_write_progress(now)
         quiet_s = now - self.progress_at
-        if current is not None and current.is_out_of_time(now, limits.tunnel_s if self.tunnel else None):
-            self.out_of_time(current)
+        if current is not None and current.is_out_of_time(now, limits.tunnel_s if self.in_tunnel else None):
+            self.time_out(current)
             return
         if self.unsent_bytes and quiet_s > limits.unread_s:
-            self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
-        elif self.tunnel or self.is_closing:
+            self.reset()  # what it does not take cannot be kept in memory for ever
+        elif self.in_tunnel or self.is_closing:
             return
         elif self.is_receiving and not self.incoming.head_complete:
             if now - self.phase_began_at > limits.head_s:
@@ -437,14 +445,14 @@
                 self.start_next()
         elif (
             self.is_idle
-            and now - self.phase_began_at > (limits.idle_s if self.asked else limits.head_s)
+            and now - self.phase_began_at > (limits.idle_s if self.has_requested else limits.head_s)
             and self.may_close
         ):
             self.close()
 
 
 class TunnelResponseWriter(ResponseWriter):
-    """The same where the answer may switch to a tunnel (RFC 9110 section 7.8)."""
+    """Writes a response that may switch to a tunnel (RFC 9110 section 7.8)."""
 
     __slots__ = ()
 
@@ -455,9 +463,9 @@
         front = self.writer
         assert isinstance(front, Front)
         if head.upgraded and self.open and self.incoming.source is None:
-            front.tunnel = True
+            front.in_tunnel = True
         super().begin(head, source)
-        if head.upgraded and front.rest and self.incoming.source is source:
-            rest, front.rest = front.rest, b""
+        if head.upgraded and front.unparsed and self.incoming.source is source:
+            rest, front.unparsed = front.unparsed, b""
             source.more(rest)
         front.check_flow()
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -97,11 +97,11 @@
 
     def give_way(self, give: Callable[[int], bool]) -> None:
         if self.door is not None:
-            self.door.give_way(give)
+            self.door.hand_over(give)
 
     def take_back(self) -> None:
         if self.door is not None:
-            self.door.take_back()
+            self.door.resume_accepting()
 
     def adopt(self, sock: socket.socket) -> None:
         if self.door is not None:
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -88,8 +88,8 @@
                 front.check_time(front.phase_began_at + 1e6)
             elif close == "rest":
                 for _ in range(door.plan.limits.connections):
-                    door.resting[Front(door)] = None
-                door.rest(front)
+                    door.idle_connections[Front(door)] = None
+                door.on_idle(front)
             else:
                 door.draining = True
                 ending = asyncio.create_task(door.drain())
@@ -122,8 +122,8 @@
                 take_little(front, client)
                 client.send(request("GET", "/file?n=60000"))
                 await until(lambda: unsent(front) > 0)
-                await until(lambda: front in door.resting)
-            assert door.make_room() is (what == "nothing")
+                await until(lambda: front in door.idle_connections)
+            assert door.evict_one() is (what == "nothing")
             front.progress_at -= 100.0
             if what == "nothing":
                 assert await client.ended()
@@ -160,10 +160,10 @@
             front, door = front_of(it), it.web.door
             await until(lambda: front.is_receiving)
             front.progress_at -= 100.0
-            assert door is not None and not door.make_room()
+            assert door is not None and not door.evict_one()
             assert (await client.answer())[0] == 200
             front.progress_at -= 100.0
-            assert door.make_room() and await client.ended()
+            assert door.evict_one() and await client.ended()
 
     run(test())
 
--- a/tests/web/test_tls.py
+++ b/tests/web/test_tls.py
@@ -110,7 +110,7 @@
                 _, writer = await asyncio.open_connection("127.0.0.1", it.web.listens_tls[1])
                 writer.write(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"[: number % 12])
                 halves.append(writer)
-                assert door.held <= door.plan.limits.connections
+                assert door.held_descriptors <= door.plan.limits.connections
             good = await secure(it, authority, "one.example")  # the oldest half has made room
             assert (await good.ask(request("GET", "/")))[0] == 200
             assert (await it.get("/"))[0] == 200
