--- a/badgergap/web/door.py
+++ b/badgergap/web/door.py
@@ -1,4 +1,4 @@
-"""The listener for ordinary HTTP: its connections, and the way that each request takes."""
+"""The listener for ordinary HTTP: which connections it accepts, evicts, hands over and closes."""
 
 from __future__ import annotations
 
@@ -21,29 +21,31 @@
 
 BACKLOG = 1024
 ACCEPTED = 64  # connections for TLS in one turn of the loop
-CLEANUP_INTERVAL_S = 0.2  # a client that is not read and has left is noticed so soon
-IDLE_SHARE = 0.5  # of the connections: so many of them between requests
-STALLED_S = 5.0  # a client that has taken or sent nothing for so long gives way when connections are short
-EVICTION_CANDIDATES = 8  # of those that rest, for one that makes room
-REJECTED_MAX = 32  # connections over the limit that are told 503
+CLEANUP_INTERVAL_S = 0.2  # a client that has left while it is not read is noticed within this time
+IDLE_SHARE = 0.5  # of the connections, those that may be between requests
+STALLED_S = 5.0  # a client without progress for so long is evicted when connections are short
+EVICTION_CANDIDATES = 8  # idle connections tried for one eviction
+REJECTED_MAX = 32  # connections over the limit whose requests get 503
 DRAIN_POLL_S = 0.02
 ACCEPT_AGAIN_S = 0.1
-SHUTDOWN_S = 5.0  # for a client's part in the end of TLS
+SHUTDOWN_S = 5.0  # for the client's part in the end of TLS
 LAST_ACCEPT_S = 0.5  # new connections go on coming for a moment after an end has begun
 
 
 class Door:
+    """The listener for ordinary clients, with and without TLS, and its connections."""
+
     def __init__(self, ways: Ways, loop: asyncio.AbstractEventLoop) -> None:
         self.ways, self.loop = ways, loop
         self.connections: set[Front] = set()
         self.idle_connections: dict[Front, None] = {}  # between requests, the one used last comes last
         self.draining = False
         self.listener: asyncio.Server | None = None
-        # What it listens on, and another process may too. The loop's server has a copy of its own.
+        # Another process may listen on these too. The loop's server has a copy of its own.
         self.socket: socket.socket | None = None
         self.tls_socket: socket.socket | None = None
         self.context: ssl.SSLContext | None = None
-        self.migrate: Callable[[int], bool] | None = None  # clients, to the process that takes over
+        self.migrate: Callable[[int], bool] | None = None  # sends a descriptor to the process that takes over
         self.cleanup_timer: asyncio.TimerHandle | None = None
         self.handshakes: dict[Handshake, None] = {}  # oldest first
         self.tasks: set[asyncio.Task[None]] = set()
@@ -57,7 +59,7 @@
         return self.plan.limits
 
     async def start(self, inherited: socket.socket | None = None) -> Address:
-        """`inherited`: the socket that a process before this one listens on, and that goes on."""
+        """Listen; return where. `inherited`: the socket of the process before this one. Raises OSError."""
         self.socket = inherited or bind_socket(self.plan.listen)
         await self.accept_plain()
         self.cleanup_timer = self.loop.call_later(CLEANUP_INTERVAL_S, self.cleanup)
@@ -82,9 +84,9 @@
             self.loop.add_reader(self.tls_socket.fileno(), self.accept, self.tls_socket)
 
     def accept(self, listener: socket.socket) -> None:
-        """Take connections for TLS, and make room for each before its handshake.
+        """Accept connections for TLS, and evict another for each before its handshake if there are too many.
 
-        At once, with no task between the system and this: what a task that ends has accepted would be lost.
+        Without a task between the system and this: what a task that ends has accepted would be lost.
         """
         for _ in range(ACCEPTED):
             try:
@@ -125,11 +127,14 @@
 
     @property
     def held_descriptors(self) -> int:
-        """Descriptors of clients."""
+        """How many descriptors clients have."""
         return len(self.connections) + len(self.handshakes)
 
     def add(self, front: Front) -> None:
-        """Guards against running out of descriptors: who is missed least goes, else new ones hear 503."""
+        """Take a new connection.
+
+        Guards against running out of descriptors: another is evicted for it, else its requests get 503.
+        """
         limit = self.plan.limits.connections
         if self.held_descriptors >= limit and not self.evict_one():
             front.over_limit = True
@@ -138,9 +143,9 @@
             front.abort()
 
     def evict_one(self) -> bool:
-        """One that rests, else one that never asked, else the one that has stalled longest.
+        """Evict an idle connection, else a handshake, else the connection that has stalled longest.
 
-        Of those that rest none is reset under a request that has come, or an answer that is on its way.
+        No idle one is reset under a request that has come, or a response that is on its way.
         """
         oldest = next(
             (front for front in islice(self.idle_connections, EVICTION_CANDIDATES) if front.may_evict), None
@@ -176,7 +181,7 @@
     # To another process
 
     def hand_over(self, migrate: Callable[[int], bool]) -> None:
-        """Nothing is accepted any more. Who rests is given over; over TLS the next answer is the last."""
+        """Accept nothing any more, and hand idle connections over. Over TLS the next response is the last."""
         self.migrate = migrate
         self.stop_accepting()
         for front in list(self.connections):
@@ -218,7 +223,7 @@
     # The end
 
     async def drain(self) -> None:
-        """Planned end: take what still comes, answer everything; streams and tunnels get their time."""
+        """Shut down gracefully: accept what still comes and answer it; streams and tunnels get their time."""
         self.draining = True
         if self.migrate is None:
             await asyncio.sleep(LAST_ACCEPT_S)
@@ -227,7 +232,7 @@
         while self.connections:
             late = self.loop.time() > until
             for connection in list(self.connections):
-                # After a hand-over nobody waits for this process: who rests over TLS may ask once more.
+                # After a hand-over nobody waits for this process: idle clients over TLS may ask once more.
                 rests = connection.may_close and self.migrate is None
                 if connection.is_idle and (rests or late):
                     connection.close()
@@ -260,7 +265,7 @@
 
 
 def bind_socket(address: Address) -> socket.socket:
-    """A bound socket. Raises OSError."""
+    """Return a bound socket. Raises OSError."""
     host, port = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.create_server((host, port), family=family, backlog=BACKLOG)
@@ -269,10 +274,10 @@
 
 
 class Handshake:
-    """A connection that is to speak TLS and does not yet.
+    """A connection whose TLS handshake is not complete.
 
-    It is accepted by itself and counted before its handshake. Guards against hundreds that stop half way: the
-    loop's own listener would hold a descriptor for each, and nobody would know of them.
+    Accepted by `Door.accept`, which counts it before its handshake. Guards against hundreds that stop half
+    way: the loop's own listener would hold a descriptor for each without counting it.
     """
 
     def __init__(self, door: Door, sock: socket.socket) -> None:
@@ -287,7 +292,7 @@
         door = self.door
         assert door.context is not None
         try:
-            # The front is told of the connection once the handshake is done, and of nothing before.
+            # The protocol is told of the connection once the handshake is done, and of nothing before.
             await door.loop.connect_accepted_socket(
                 lambda: Front(door),
                 self.sock,
@@ -295,7 +300,7 @@
                 ssl_handshake_timeout=door.plan.limits.handshake_s,
                 ssl_shutdown_timeout=SHUTDOWN_S,
             )
-        except OSError:  # refused, cut or too slow: that is between it and its client
+        except OSError:  # rejected, closed or too slow: the client's own affair
             pass
         finally:
             door.handshakes.pop(self, None)
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 from ordinary clients: heads read strictly, bodies as streams, one answer for each request.
+"""HTTP/1.1 from ordinary clients: heads read strictly, bodies as streams, one response for each request.
 
-Bounds, each with what happens at it: a head HEAD_LIMIT bytes (431), its time HEAD_S (408), a connection
-between requests IDLE_S (closed), a request's body the route's limit (413), its silence and its time (408),
-a client that takes nothing of an answer (cut), requests read ahead of their turn: what one read brings.
+Bounds, each with what happens at it: a head HEAD_LIMIT bytes (431), its time `head_s` (408), an idle
+connection `idle_s` (closed), a request's body the route's limit (413), its pauses and its time (408), a
+client that takes nothing of a response (reset), requests read ahead of their turn PIPELINE_LIMIT (400).
+The times stand in `Limits`.
 """
 
 from __future__ import annotations
@@ -21,11 +22,14 @@
     AFTER_BEGIN,
     AFTER_END,
     AFTER_FRAMING_LOST,
+    IDLE,
+    RECEIVING,
     HttpConnection,
 )
 from badgergap.proxy.downstream.response_writer import REASONS, ResponseWriter, RespondedRequest
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.gateway_responses import refused
+from badgergap.proxy.gateway_responses import plain
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
 from badgergap.proxy.upstream.exchange import Answer
 from badgergap.proxy.header_fields import BadHead, trailers
@@ -38,20 +42,20 @@
 
 TARGET_LIMIT = 8 * 1024
 PIPELINE_LIMIT = 64  # requests of one read that are answered in turn
-UNSENT_LIMIT = 64 * 1024  # bytes written to a client and not yet sent, beyond which the box is not read
+UNSENT_LIMIT = 64 * 1024  # bytes written to a client and not taken, beyond which the endpoint is not read
 
 
 @dataclass(slots=True, eq=False)
 class Incoming(Turn):
-    """A request of this connection, and its answer as it is written."""
+    """A request of this connection, and its response while it is written."""
 
-    raw_bytes: int = 0  # bytes read while its head is not whole
+    raw_bytes: int = 0  # bytes read while its head is incomplete
     size: int = 0  # of its header fields, or of its trailers
     head_complete: bool = False
-    rejection: Answer | None = None  # what it is answered in its turn, without a look at the rest
+    rejection: Answer | None = None  # its response, whatever the rest of it
     fields: Headers = field(default_factory=list)  # trailers
-    chunked: bool = False  # how that is framed
-    is_last: bool = False  # the client was told that the connection ends with this answer
+    chunked: bool = False  # how the response is framed
+    is_last: bool = False  # the client was told that the connection ends with this response
 
 
 class WebListener(Protocol):
@@ -71,7 +75,7 @@
     def add(self, front: Front) -> None: ...
     def discard(self, front: Front) -> None: ...
     def on_idle(self, front: Front) -> None:
-        """It has no request in hand."""
+        """Note that no request is open on it."""
 
 
 class Front(HttpConnection[Incoming], asyncio.Protocol):
@@ -82,8 +86,8 @@
         self.door = door
         self.peer = Peer("")
         self.has_requested = False
-        self.unparsed = b""  # what came behind a request that may end in a tunnel
-        self.body_left = 0  # of a body of known length, which is read without the parser
+        self.unparsed = b""  # input behind a request that may switch to a tunnel
+        self.body_left = 0  # bytes of a body of known length, which is read without the parser
         self.in_tunnel = False
 
     # Transport
@@ -108,7 +112,7 @@
 
     @property
     def may_switch(self) -> bool:
-        """A request that would end in a tunnel waits for its answer: what follows is not read as HTTP yet."""
+        """Whether a request that may switch to a tunnel is open: what follows is not read as HTTP yet."""
         return self.current is not None and self.current.upgrade and self.current is self.incoming
 
     def read(self, data: bytes) -> None:
@@ -139,19 +143,14 @@
         self.check_flow()
 
     def bypass_parser(self) -> None:
-        """The rest of a body of known length needs no parser, which would read every byte of it."""
+        """Read the rest of a body of known length without the parser, which would look at every byte."""
         incoming = self.incoming
-        if (
-            self.is_receiving
-            and incoming.head_complete
-            and incoming.length is not None
-            and not self.is_closing
-        ):
+        if self.state is RECEIVING and incoming.head_complete and incoming.length is not None:
             self.body_left = incoming.length - incoming.upload.size
             self.parser = httptools.HttpRequestParser(self)
 
     def feed_body(self, data: bytes) -> bytes:
-        """What of a read belongs to the body goes on; what lies behind it is returned."""
+        """Feed what of a read belongs to the body; return what comes after it."""
         body, rest = data[: self.body_left], data[self.body_left :]
         self.body_left -= len(body)
         self.on_body(body)
@@ -190,22 +189,25 @@
         self.abandon_all()
 
     def abandon_current(self) -> None:
-        """Nothing of the current request is wanted any more."""
+        """Drop the current request: its attempts are cancelled, and it gets no response."""
         current, self.current = self.current, None
         if current is None:
             return
         current.abandon()
 
     def reject_and_close(self, answer: Answer) -> None:
-        """Where the next request begins is unknown: answer this one in its turn, then close."""
+        """Answer the newest request with `answer` in its turn, then close.
+
+        For errors after which nobody knows where the next request begins.
+        """
         if self.is_closing:
             return
         self.state = AFTER_FRAMING_LOST[self.state]
         if self.incoming.upload.complete:
-            self.incoming = Incoming()  # it stands, and what is wrong came behind it
+            self.incoming = Incoming()  # that one is valid, and what is wrong came after it
         incoming = self.incoming
         if incoming is self.current:
-            # Its head was good and its body is not: it ends here, whatever has become of it.
+            # Its head was valid and its body is not: the attempts that have begun are cancelled.
             if incoming.source is not None:
                 self.reset()
                 return
@@ -221,7 +223,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing:
+        if self.state is not RECEIVING:
             return
         incoming.size += len(name) + len(value) + 4
         if incoming.size > HEAD_LIMIT:
@@ -237,7 +239,7 @@
 
     def on_headers_complete(self) -> None:
         incoming = self.incoming
-        if self.is_closing:
+        if self.state is not RECEIVING:
             return
         incoming.method = self.parser.get_method()
         incoming.version = self.parser.get_http_version()
@@ -260,7 +262,7 @@
 
     def on_body(self, body: bytes) -> None:
         incoming = self.incoming
-        if self.is_closing or incoming.rejection is not None:
+        if self.state is not RECEIVING or incoming.rejection is not None:
             return
         limit = incoming.upload.limit
         if limit is not None and incoming.upload.size + len(body) > limit:
@@ -270,9 +272,9 @@
 
     def on_message_complete(self) -> None:
         self.state = AFTER_END[self.state]
-        if not self.is_closing:
+        if self.state is IDLE:
             if not self.incoming.keep_alive:
-                self.stop_reading()  # its answer is the connection's last
+                self.stop_reading()  # its response is the connection's last
             if not self.incoming.upload.complete:
                 self.incoming.upload.end(trailers(self.incoming.fields))
             self.report_idle()
@@ -280,7 +282,7 @@
     # Requests, one at a time
 
     def start_next(self) -> None:
-        """Take up the next request unless one is in hand."""
+        """Start the next request unless one is being answered."""
         while self.current is None and self.pipeline:
             incoming = self.current = self.pipeline.popleft()
             if incoming.rejection is not None:
@@ -306,16 +308,16 @@
         self.reset()
 
     def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
-        """A whole answer: this gateway's own, or one of a box that was held."""
+        """Write a complete response: this gateway's own, or one of an endpoint that was held."""
         if incoming is not self.current or not isinstance(incoming, Incoming):
-            return  # its client has gone, or it had its answer
+            return  # its client has left, or it has its response
         incoming.upload.on_ready = None
         lines = self.head_lines(incoming, own_answer(answer))
         self.write(lines + (b"" if incoming.method == b"HEAD" else answer.body))
         self.response_finished(incoming)
 
     def is_last(self, incoming: Incoming) -> bool:
-        """Whether the connection ends with this answer. Never on a request that was read and has none."""
+        """Whether the connection ends with this response. Never with a request read and not answered."""
         if incoming.is_last or not incoming.keep_alive or incoming.rejection is not None:
             return True
         if not incoming.upload.complete:
@@ -339,7 +341,7 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def response_finished(self, incoming: RespondedRequest) -> None:
-        """The answer is written whole."""
+        """Go on once the response is written: close, start the next request, or become idle."""
         assert isinstance(incoming, Incoming)
         last = self.in_tunnel or self.is_last(incoming)
         self.current = None
@@ -354,7 +356,7 @@
                 self.linger()
             return
         if self.unparsed:
-            # It might have ended in a tunnel and has not: what follows is HTTP after all.
+            # It has not switched to a tunnel: what follows is HTTP after all.
             rest, self.unparsed = self.unparsed, b""
             self.loop.call_soon(self.read, rest)
         elif self.pipeline:
@@ -378,7 +380,7 @@
 
     @property
     def may_migrate(self) -> bool:
-        """Whether nothing of it is in this process: no part of a request, no answer unsent, no keys."""
+        """Whether another process can take it: no part of a request, unsent response or key is here."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.peer.scheme == b"https":
             return False
@@ -387,19 +389,19 @@
 
     @property
     def may_evict(self) -> bool:
-        """Between requests: whether nothing that it has asked, or has been answered, goes with it."""
+        """Whether an idle connection can be closed without loss of a request or a response."""
         transport = self.transport
         return transport is None or (not transport.get_write_buffer_size() and self.may_close)
 
     def has_stalled(self, now: float, for_s: float) -> bool:
-        """Whether its client has kept it from going on for so long. One that a box keeps waiting has not."""
+        """Whether its client has made no progress for `for_s` seconds; not where an endpoint has it wait."""
         if now - self.progress_at <= for_s:
             return False
         brings = self.is_receiving and not self.upload_paused and self.current in (None, self.incoming)
         return self.write_paused or brings or not (self.has_requested or self.has_open_requests)
 
     def client_has_left(self) -> bool:
-        """Whether the client has gone, as its socket tells where it is not read: nothing more is sent on."""
+        """Whether the client has closed, as its socket tells where it is not read."""
         if not self.read_paused or self.in_tunnel or not unread_input.has_left(self.transport):
             return False
         self.abandon_all()
@@ -407,7 +409,10 @@
         return True
 
     def time_out(self, current: Incoming) -> None:
-        """The route's whole time is over: an answer on its way ends in a reset, and no box is to blame."""
+        """End a request whose route's time is over. A response on its way ends in a reset.
+
+        No endpoint is blamed for it.
+        """
         if current.source is not None:
             self.abandon_current()
             self.reset()
@@ -418,6 +423,7 @@
             self.send_response(current, plain(504, "out of time"))
 
     def check_time(self, now: float) -> None:
+        """Enforce the time limits at `now` (loop time, seconds)."""
         if self.client_has_left():
             return
         limits, current = self.door.limits, self.current
@@ -427,7 +433,7 @@
             self.time_out(current)
             return
         if self.unsent_bytes and quiet_s > limits.unread_s:
-            self.reset()  # it takes nothing: what it was promised cannot be kept in memory for ever
+            self.reset()  # what it does not take cannot be kept in memory for ever
         elif self.in_tunnel or self.is_closing:
             return
         elif self.is_receiving and not self.incoming.head_complete:
@@ -447,7 +453,7 @@
 
 
 class TunnelResponseWriter(ResponseWriter):
-    """The same where the answer may switch to a tunnel (RFC 9110 section 7.8)."""
+    """Writes a response that may switch to a tunnel (RFC 9110 section 7.8)."""
 
     __slots__ = ()
 
