--- a/badgergap/consensus/commands.py
+++ b/badgergap/consensus/commands.py
@@ -247,7 +247,7 @@
 
     async def _check_removal(self, name: str) -> None:
         statuses = [status for status in await self.service.statuses() if status.name == name]
-        if not any(0 <= status.heard_ms < ALIVE_MS for status in statuses):
+        if not any(0 <= status.last_contact_ms < ALIVE_MS for status in statuses):
             return
         components = self.service.components.values()
         objections = [component.removal_objection(name) for component in components]
@@ -345,7 +345,7 @@
         "has": status.newest_version,
         "acts": status.acting_version,
         "lease_ms": status.lease_ms,
-        "heard_ms": status.heard_ms,
+        "heard_ms": status.last_contact_ms,
         "log_bytes": status.log_bytes,
     }
 
--- a/badgergap/consensus/election.py
+++ b/badgergap/consensus/election.py
@@ -27,10 +27,10 @@
     def _clear_votes(self) -> None:
         self.votes = {}
 
-    def _hears_leader(self, now_us: int) -> bool:
+    def _has_leader_contact(self, now_us: int) -> bool:
         if self.is_leader:
             return True
-        return bool(self.leader) and now_us - self.leader_heard_us < ELECTION_TIMEOUT_US
+        return bool(self.leader) and now_us - self.leader_contact_us < ELECTION_TIMEOUT_US
 
     def _log_is_current(self, last_term: int, last_index: int) -> bool:
         """Whether a log that ends so holds at least what this one does (section 5.4.1 of the paper)."""
@@ -90,7 +90,7 @@
     def _on_pre_vote_request(self, now_us: int, sender: str, request: PreVoteRequest) -> None:
         granted = (
             request.term > self.term
-            and not self._hears_leader(now_us)
+            and not self._has_leader_contact(now_us)
             and self._log_is_current(request.last_log_term, request.last_log_index)
         )
         self._send(sender, PreVoteResponse(self.term, request.term, granted))
@@ -102,7 +102,7 @@
         and depose a leader that the others hear.
         """
         is_later_vote = isinstance(message, RequestVote) and message.term > self.term
-        return is_later_vote and self._hears_leader(now_us)
+        return is_later_vote and self._has_leader_contact(now_us)
 
     def _on_vote_request(self, now_us: int, sender: str, request: RequestVote) -> None:
         granted = (
--- a/badgergap/consensus/endpoint_lists.py
+++ b/badgergap/consensus/endpoint_lists.py
@@ -125,9 +125,9 @@
         if not shrinks_suddenly(agreed, self.endpoints):
             self._release()
             return ListProposal(encode(self.endpoints))
-        return self._hold_back(now_us, agreed)
+        return self._hold_shrunk_list(now_us, agreed)
 
-    def _hold_back(self, now_us: int, agreed: Endpoints) -> ListProposal:
+    def _hold_shrunk_list(self, now_us: int, agreed: Endpoints) -> ListProposal:
         if self.held_since_us < 0:
             self.held_since_us = now_us
         left, before = count_serving(self.endpoints), count_serving(agreed)
--- a/badgergap/consensus/follower_replication.py
+++ b/badgergap/consensus/follower_replication.py
@@ -40,7 +40,7 @@
         if self.role is not Role.FOLLOWER:
             self._become_follower(now_us, self.term, leader)
         self.leader = leader
-        self.leader_heard_us = now_us
+        self.leader_contact_us = now_us
         self._schedule_election(now_us)
 
     def _on_append_entries(self, now_us: int, sender: str, request: AppendEntries) -> None:
--- a/badgergap/consensus/joining.py
+++ b/badgergap/consensus/joining.py
@@ -31,7 +31,7 @@
 
     id: str
     hello: Hello
-    heard_us: int
+    last_contact_us: int
 
 
 class Joining:
@@ -86,7 +86,7 @@
 
     def _voters_of_file(self) -> list[str]:
         own = self.member.settings
-        voters = [known.name for known in own.members.values() if known.votes]
+        voters = [other.name for other in own.members.values() if other.votes]
         if own.votes:
             voters.append(own.name)
         return sorted(voters)
@@ -97,7 +97,7 @@
         peers = [Peer(self.member.id, own.name, own.zone, True)]
         for name in voters[1:]:
             stranger = self.strangers.get(name)
-            if stranger is None or stranger.hello.group or now_us - stranger.heard_us > HELLO_FRESH_US:
+            if stranger is None or stranger.hello.group or now_us - stranger.last_contact_us > HELLO_FRESH_US:
                 return None
             peers.append(Peer(stranger.id, name, stranger.hello.zone, True))
         return peers
@@ -154,4 +154,4 @@
         record = self.member.current_leadership(now_us).grantor.records.get(id)
         if id == self.member.id:
             return True
-        return record is not None and now_us - record.heard_us < ALIVE_US
+        return record is not None and now_us - record.last_contact_us < ALIVE_US
--- a/badgergap/consensus/leader_replication.py
+++ b/badgergap/consensus/leader_replication.py
@@ -215,7 +215,7 @@
         progress = self.progress.get(sender)
         if not self.is_leader or term != self.term or progress is None:
             return None
-        progress.heard_us = now_us
+        progress.last_contact_us = now_us
         progress.acknowledged_us = max(progress.acknowledged_us, min(sent_at_us, now_us))
         return progress
 
--- a/badgergap/consensus/lease.py
+++ b/badgergap/consensus/lease.py
@@ -86,7 +86,7 @@
     arrived_us: int = NO_REQUEST_US  # when it arrived; NO_REQUEST_US: none is to be answered
     incarnation: int = 0  # of its process: earlier ones have less, and their late requests count no more
     newest_sent_us: int = NEVER_US  # of the newest request
-    heard_us: int = NEVER_US
+    last_contact_us: int = NEVER_US
     lease_end_us: int = 0  # it may act until then, by the leader's clock
     newest_version: int = 0  # that it holds
     acting_version: int = 0
@@ -132,7 +132,7 @@
         record = self.record(id)
         if request.incarnation < record.incarnation:
             return
-        record.heard_us = now_us
+        record.last_contact_us = now_us
         if request.incarnation > record.incarnation:  # restarted, with another clock
             record.incarnation = request.incarnation
             record.newest_sent_us = request.sent_at_us
--- a/badgergap/consensus/member.py
+++ b/badgergap/consensus/member.py
@@ -150,9 +150,9 @@
 
     def propose(self, now_us: int, proposal: ProposeVersion) -> None:
         """Propose a version; `OutcomeKnown` tells what became of it. Repeated by its id, it is done once."""
-        known = self.state.outcomes.get(proposal.id)
-        if known is not None:
-            self.actions.append(OutcomeKnown(known))
+        outcome = self.state.outcomes.get(proposal.id)
+        if outcome is not None:
+            self.actions.append(OutcomeKnown(outcome))
         elif self.raft.is_leader:
             self._on_proposal(now_us, self.id, proposal)
             self.carry_out_raft(now_us)
--- a/badgergap/consensus/member_messages.py
+++ b/badgergap/consensus/member_messages.py
@@ -101,7 +101,7 @@
     newest_version: int  # that it holds
     acting_version: int
     lease_ms: int  # left
-    heard_ms: int  # ago; -1: not since the leader began
+    last_contact_ms: int  # ago; -1: not since the leader began
     log_bytes: int
 
 
--- a/badgergap/consensus/membership_changes.py
+++ b/badgergap/consensus/membership_changes.py
@@ -13,7 +13,7 @@
 from badgergap.consensus.member_core import MemberCore
 from badgergap.consensus.versions import BanMember
 
-HEARD_US = 300_000  # three heartbeats: who was heard within it is there now
+CONTACT_TIMEOUT_US = 300_000  # three heartbeats: who was heard within it is there now
 
 
 @dataclass(slots=True)
@@ -113,14 +113,14 @@
 
     def _could_commit(self, now_us: int, voters: list[str]) -> bool:
         """Whether a majority of these is heard at this moment."""
-        heard = [voter for voter in voters if self._is_heard(now_us, voter)]
+        heard = [voter for voter in voters if self._is_in_contact(now_us, voter)]
         return len(heard) >= majority(len(voters))
 
-    def _is_heard(self, now_us: int, voter: str) -> bool:
+    def _is_in_contact(self, now_us: int, voter: str) -> bool:
         if voter == self.member.id:
             return True
         progress = self.member.raft.progress.get(voter)
-        return progress is not None and now_us - progress.heard_us < HEARD_US
+        return progress is not None and now_us - progress.last_contact_us < CONTACT_TIMEOUT_US
 
     def configure(self, now_us: int, configuration: Iterable[Peer]) -> None:
         """Propose a configuration, where one may be changed now."""
--- a/badgergap/consensus/outgoing_link.py
+++ b/badgergap/consensus/outgoing_link.py
@@ -88,11 +88,11 @@
             async with asyncio.timeout(CONNECT_S):
                 await self.links.loop.create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError):
-            self._back_off()
+            self._delay_next_dial()
         finally:
             self.dialing = None
 
-    def _back_off(self) -> None:
+    def _delay_next_dial(self) -> None:
         self.dial_not_before = self.links.loop.time() + self.backoff_s
         self.backoff_s = min(2 * self.backoff_s, BACKOFF_MAX_S)
 
@@ -159,7 +159,7 @@
         self.stuck_since = None
         if self.links.loop.time() - self.connected_at > CONNECT_S:
             self.backoff_s = BACKOFF_MIN_S
-        self._back_off()
+        self._delay_next_dial()
 
     def reconnect(self) -> None:
         """End the connection; the next one opens with the identity that this member has then."""
--- a/badgergap/consensus/raft.py
+++ b/badgergap/consensus/raft.py
@@ -144,7 +144,7 @@
 
         False, and nothing is changed, while a leader is heard or if this is no member.
         """
-        if self.stopped or self._hears_leader(now_us):
+        if self.stopped or self._has_leader_contact(now_us):
             return False
         own = next((peer for peer in self.log.configuration if peer.id == self.id), None)
         if own is None:
--- a/badgergap/consensus/raft_core.py
+++ b/badgergap/consensus/raft_core.py
@@ -37,7 +37,7 @@
     next_index: int  # the next entry to send
     match_index: int = 0  # up to where its log on disk is the leader's
     acknowledged_us: int = -1  # when the newest message that it answered was sent; -1: none in this term
-    heard_us: int = 0
+    last_contact_us: int = 0
     sent_us: int = NEVER_US
     unacknowledged_since_us: int = (
         -1
@@ -70,7 +70,7 @@
         self.applied_index = self.log.snapshot.index
         self.role = Role.FOLLOWER
         self.leader = ""  # its identity; "": not known
-        self.leader_heard_us = NEVER_US
+        self.leader_contact_us = NEVER_US
         self.elected_us = 0
         self.election_due_us = 0
         self.progress: dict[str, FollowerProgress] = {}  # of a leader, by identity
--- a/badgergap/consensus/replicated_state.py
+++ b/badgergap/consensus/replicated_state.py
@@ -139,8 +139,8 @@
     def _store_component_state(self, command: StoreComponentState) -> None:
         number, _ = self.components.get(command.component, (0, b""))
         fits = len(command.data) <= COMPONENT_STATE_LIMIT
-        has_room = number > 0 or len(self.components) < COMPONENTS_LIMIT
-        if command.number == number + 1 and fits and has_room:
+        has_capacity = number > 0 or len(self.components) < COMPONENTS_LIMIT
+        if command.number == number + 1 and fits and has_capacity:
             self.components[command.component] = (command.number, command.data)
 
     # Versions
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -438,12 +438,12 @@
         member = self.member
         if member is None:
             return ()
-        asked_us = clock_us()
-        member.request_status(asked_us)
+        requested_us = clock_us()
+        member.request_status(requested_us)
         self.settle()
         deadline = time.monotonic() + within_s
         while time.monotonic() < deadline:
-            if member.latest_status is not None and member.latest_status[0] >= asked_us:
+            if member.latest_status is not None and member.latest_status[0] >= requested_us:
                 return member.latest_status[1].members
             await asyncio.sleep(STATUS_POLL_S)
         return ()
--- a/badgergap/consensus/status.py
+++ b/badgergap/consensus/status.py
@@ -7,7 +7,7 @@
 from badgergap.consensus.member_core import MemberCore
 from badgergap.consensus.member_messages import MemberStatus
 
-NOT_HEARD_MS = -1
+NO_CONTACT_MS = -1
 
 
 def member_statuses(member: MemberCore, now_us: int) -> tuple[MemberStatus, ...]:
@@ -22,9 +22,9 @@
     record = leadership.grantor.records.get(peer.id) if leadership is not None else None
     if record is None:
         return MemberStatus(
-            peer.name, peer.id, peer.zone, peer.votes, _role(member, peer), 0, 0, 0, NOT_HEARD_MS, 0
+            peer.name, peer.id, peer.zone, peer.votes, _role(member, peer), 0, 0, 0, NO_CONTACT_MS, 0
         )
-    lease_ms, heard_ms = _times_ms(now_us, record)
+    lease_ms, last_contact_ms = _times_ms(now_us, record)
     return MemberStatus(
         peer.name,
         peer.id,
@@ -34,16 +34,16 @@
         record.newest_version,
         record.acting_version,
         lease_ms,
-        heard_ms,
+        last_contact_ms,
         record.log_bytes,
     )
 
 
 def _times_ms(now_us: int, record: MemberRecord) -> tuple[int, int]:
     """How long its lease may still last, and how long ago it was heard."""
-    if record.heard_us <= 0:
-        return 0, NOT_HEARD_MS
-    return max(0, record.lease_end_us - now_us) // 1000, (now_us - record.heard_us) // 1000
+    if record.last_contact_us <= 0:
+        return 0, NO_CONTACT_MS
+    return max(0, record.lease_end_us - now_us) // 1000, (now_us - record.last_contact_us) // 1000
 
 
 def _own_status(member: MemberCore, now_us: int, peer: Peer) -> MemberStatus:
--- a/tests/compatibility/test_consensus_bytes.py
+++ b/tests/compatibility/test_consensus_bytes.py
@@ -100,7 +100,7 @@
                         newest_version=8,
                         acting_version=9,
                         lease_ms=10,
-                        heard_ms=11,
+                        last_contact_ms=11,
                         log_bytes=12,
                     ),
                 ),
