--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -85,6 +85,7 @@
         under = _under_copied(placement, away) if placement.epoch else {}
         if any(copies < placement.copies for copies in under) and not away:
             why.append(f"there are fewer than {placement.copies} members to hold copies")
+        record_log = self.room.session.log
         return {
             "ok": not why,
             "why": why,
@@ -103,8 +104,8 @@
             "here": {
                 "keys": len(self.guard.keys),
                 "by_end": dict(self.guard.counts),
-                "log_bytes": self.room.log.length if self.room.log is not None else 0,
-                "syncs": self.room.log.sync_count if self.room.log is not None else 0,
+                "log_bytes": record_log.length if record_log is not None else 0,
+                "syncs": record_log.sync_count if record_log is not None else 0,
             },
         }
 
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -10,7 +10,7 @@
 import logging
 import random
 import secrets
-from collections import defaultdict, deque
+from collections import defaultdict
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -27,9 +27,8 @@
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
 from badgergap.storage.errors import DamagedLogError, UnsupportedVersionError
-from badgergap.storage.record_log import RecordLog
 from badgergap.storage.files import SIZE_LIMIT
-from badgergap.storage.background_writer import BackgroundWriter
+from badgergap.storage.log_session import LogSession
 
 log = logging.getLogger(__name__)
 
@@ -55,15 +54,13 @@
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.keeper: Keeper | None = None
-        self.log: RecordLog | None = None
-        self.writer: BackgroundWriter | None = None
-        self.life = 0  # of the keeper: a word of the disk to an earlier one is none to this one
-        self.held: deque[keepers.Send] = deque()
+        self.session: LogSession[keepers.Send] = LogSession(
+            folder, self._send, self._on_durable, self._on_disk_failed
+        )
         self.outgoing: dict[str, list[Word]] = defaultdict(list)
         self.flushing = False
         self.rewriting = False
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.ended = False
         self.tell: Callable[[str], None] = lambda text: None
         self.listeners: list[Callable[[str, Word], None]] = []  # for snapshots
 
@@ -93,21 +90,16 @@
             self.keeper.shelf.bounds = options.bounds
 
     async def close(self) -> None:
-        self.ended = True
         for task in list(self.tasks):
             task.cancel()
-        if self.writer is not None:
-            await asyncio.to_thread(self.writer.close)
-        if self.log is not None:
-            self.log.close()
+        await self.session.close()
 
     # Disk
 
     def _open(self) -> list[bytes]:
         """Off the loop. Raises OSError."""
-        self.log = RecordLog(self.folder)
         try:
-            found = self.log.open()
+            found = self.session.open()
         except UnsupportedVersionError as error:
             raise OSError(None, f"the copies in {self.folder}: {error}") from None
         if found.lost_reason:
@@ -115,11 +107,8 @@
         return found.records
 
     def _begin(self, lines: list[bytes]) -> None:
-        assert self.loop is not None and self.log is not None
-        self.life += 1
-        life = self.life
-        self.held.clear()
-        holder = self.log.identity.hex()
+        assert self.loop is not None
+        holder = self.session.identity
         try:
             if self.keeper is None:
                 chance = random.Random(secrets.randbits(64))
@@ -128,54 +117,46 @@
                 self.keeper.reopen(holder, lines)
         except msgspec.MsgspecError as error:
             raise OSError(None, f"the copies in {self.folder} are of a later program: {error}") from None
-        self.writer = BackgroundWriter(
-            self.log,
-            self.loop,
-            lambda token: self._durable(life, token),
-            lambda why: self._failed(life, why),
-        )
+        self.session.start_writer(self.loop)
         self.on_group_changed()
 
-    def _durable(self, life: int, token: int) -> None:
-        if life != self.life or self.keeper is None:
-            return
-        self.keeper.saved(clock_us(), token)
-        while self.held and self.held[0].after <= token:
-            self._send(self.held.popleft())
-        self.settle()
+    def _on_durable(self, token: int) -> None:
+        if self.keeper is not None:
+            self.keeper.saved(clock_us(), token)
+            self.settle()
 
-    def _failed(self, life: int, why: str) -> None:
-        if life != self.life or self.keeper is None:
+    def _on_disk_failed(self, why: str) -> None:
+        if self.keeper is None:
             return
-        self.held.clear()
+        self.session.drop_held()
         self.keeper.failed(why)
         self.settle()
-        self._spawn(self._anew())
+        self._spawn(self._begin_anew())
 
-    async def _anew(self) -> None:
+    async def _begin_anew(self) -> None:
         """The folder is opened again, as at a start; until then nothing is kept here."""
-        assert self.writer is not None and self.log is not None
-        await asyncio.to_thread(self.writer.close)
-        self.log.close()
-        while not self.ended:
-            await asyncio.sleep(AGAIN_S)
-            try:
-                lines = await asyncio.to_thread(self._open)
-            except OSError as error:
-                log.warning("the folder of copies cannot be used: %s", error.strerror or error)
-                if self.log is not None:
-                    self.log.close()
-                continue
-            self._begin(lines)
-            return
+        lines = await self.session.reopen(
+            self._open,
+            delay_s=AGAIN_S,
+            retry_s=AGAIN_S,
+            set_aside=False,
+            on_error=lambda error: log.warning(
+                "the folder of copies cannot be used: %s", error.strerror or error
+            ),
+        )
+        self._begin(lines)
 
     def _write(self, save: keepers.Save) -> None:
-        assert self.writer is not None and self.log is not None and self.keeper is not None
-        self.writer.write(save.token, save.lines)
+        record_log, writer = self.session.log, self.session.writer
+        assert record_log is not None and writer is not None and self.keeper is not None
+        writer.write(save.token, save.lines)
         shelf = self.keeper.shelf
-        if self.log.length > min(GROWN_BYTES + GROWN_SHARE * shelf.stored, FULL_BYTES) and not self.rewriting:
+        if (
+            record_log.length > min(GROWN_BYTES + GROWN_SHARE * shelf.stored, FULL_BYTES)
+            and not self.rewriting
+        ):
             self.rewriting = True
-            self.writer.write(save.token, list(shelf.lines()), replace_all=True)
+            writer.write(save.token, list(shelf.lines()), replace_all=True)
             assert self.loop is not None
             self.loop.call_later(1.0, self._rewritten)
 
@@ -183,7 +164,7 @@
         """What the disk has spoilt is written anew from what is held here, before a restart would miss it."""
         while True:
             await asyncio.sleep(DISK_LOOK_S)
-            it, writer, held = self.keeper, self.writer, self.log
+            it, writer, held = self.keeper, self.session.writer, self.session.log
             if it is None or writer is None or held is None or it.broken:
                 continue
             try:
@@ -193,7 +174,7 @@
                 damage = str(error)
             except OSError as error:
                 damage = error.strerror or str(error)
-            if damage and held is self.log and not it.broken:
+            if damage and held is self.session.log and not it.broken:
                 self._say(f"copies: the log on disk is damaged ({damage}), and is written anew")
                 writer.write(it.token, list(it.shelf.lines()), replace_all=True)
 
@@ -269,10 +250,7 @@
                     if not it.broken:
                         self._write(todo)
                 case keepers.Send():
-                    if todo.after > it.durable:
-                        self.held.append(todo)
-                    else:
-                        self._send(todo)
+                    self.session.send_when_durable(todo.after, todo)
                 case Wish():
                     self.group.store_component_state(
                         TIME if todo.kind == "time" else ROOM, todo.number, todo.data
--- a/tests/replication/dying.py
+++ b/tests/replication/dying.py
@@ -16,7 +16,7 @@
 STEPS = [
     ("badgergap.replication.service", "CopiesRoom", "_send"),
     ("badgergap.replication.service", "CopiesRoom", "_write"),
-    ("badgergap.replication.service", "CopiesRoom", "_durable"),
+    ("badgergap.replication.service", "CopiesRoom", "_on_durable"),
     ("badgergap.replication.service", "CopiesRoom", "_hear"),
     ("badgergap.storage.record_log", "RecordLog", "append"),
     ("badgergap.replication.idempotency_filter", "Held", "go"),
--- /dev/null
+++ b/tests/storage/test_log_session.py
@@ -0,0 +1,141 @@
+"""A log in use: messages wait for the writes that they rely on, and nothing of an earlier log counts."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+from badgergap.storage.log_session import LogSession
+from badgergap.storage.record_log import RecordLog
+
+TIMEOUT_S = 30.0
+
+
+class Driver:
+    """What a driver sees of its log."""
+
+    def __init__(self, folder: Path) -> None:
+        self.sent: list[str] = []
+        self.durable: list[int] = []
+        self.failures: list[str] = []
+        self.changed = asyncio.Event()
+        self.session: LogSession[str] = LogSession(folder, self.sent.append, self.on_durable, self.on_failed)
+
+    def on_durable(self, token: int) -> None:
+        self.durable.append(token)
+        self.changed.set()
+
+    def on_failed(self, reason: str) -> None:
+        self.failures.append(reason)
+        self.changed.set()
+
+    def open(self) -> list[bytes]:
+        return self.session.open().records
+
+    def begin(self) -> None:
+        self.session.start_writer(asyncio.get_running_loop())
+
+    def write(self, token: int, record: bytes) -> None:
+        assert self.session.writer is not None
+        self.session.writer.write(token, [record])
+
+    async def wait(self) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
+            await self.changed.wait()
+        self.changed.clear()
+
+
+def test_a_message_waits_for_its_write_and_those_behind_it_keep_their_order(tmp_path: Path) -> None:
+    """A vote that goes out before it is on disk is forgotten in a crash, and given again to another one."""
+
+    async def play() -> None:
+        driver = Driver(tmp_path)
+        assert driver.open() == []
+        driver.begin()
+        driver.session.send_when_durable(1, "vote")
+        driver.session.send_when_durable(0, "heartbeat")
+        driver.session.send_when_durable(2, "entry")
+        assert driver.sent == ["heartbeat"]
+        driver.write(1, b"term 1")
+        await driver.wait()
+        assert (driver.sent, driver.durable) == (["heartbeat", "vote"], [1])
+        driver.write(2, b"entry")
+        await driver.wait()
+        assert driver.sent == ["heartbeat", "vote", "entry"]
+        driver.session.send_when_durable(2, "at once")
+        assert driver.sent[-1] == "at once"
+        await driver.session.close()
+
+    asyncio.run(play())
+
+
+def test_what_was_held_back_is_gone_once_the_log_was_reopened(tmp_path: Path) -> None:
+    """The disk fails under a write; the folder is opened again, and the member counts its writes from 1. A
+    message
+    that relied on the lost write must not go out with the first write of the new count."""
+
+    async def play() -> None:
+        driver = Driver(tmp_path)
+        driver.open()
+        driver.begin()
+        driver.session.send_when_durable(1, "relies on what is lost")
+        retries: list[OSError] = []
+        attempts = iter([False, True])
+
+        def open_again() -> list[bytes]:
+            records = driver.open()
+            if not next(attempts):
+                raise OSError(None, "not yet")
+            return records
+
+        records = await driver.session.reopen(
+            open_again, delay_s=0.0, retry_s=0.0, set_aside=False, on_error=retries.append
+        )
+        assert records == [] and [error.strerror for error in retries] == ["not yet"]
+        driver.begin()
+        driver.write(1, b"of the new count")
+        await driver.wait()
+        assert (driver.sent, driver.durable) == ([], [1])
+        await driver.session.close()
+
+    asyncio.run(play())
+
+
+def test_a_log_that_is_set_aside_begins_empty_as_another(tmp_path: Path) -> None:
+    """A member whose disk lacks what it acknowledged must not go on under its identity."""
+
+    async def play() -> None:
+        driver = Driver(tmp_path)
+        driver.open()
+        identity = driver.session.identity
+        driver.begin()
+        driver.write(1, b"kept")
+        await driver.wait()
+        records = await driver.session.reopen(
+            driver.open, delay_s=0.0, retry_s=0.0, set_aside=True, on_error=lambda error: None
+        )
+        assert records == [] and driver.session.identity not in ("", identity)
+        await driver.session.close()
+        log = RecordLog(tmp_path)
+        assert log.open().records == [] and log.identity.hex() == driver.session.identity
+        log.close()
+
+    asyncio.run(play())
+
+
+def test_a_failure_is_reported_once_and_nothing_is_sent_for_it(tmp_path: Path) -> None:
+    """The disk refuses a write: what relies on it must never go out."""
+
+    async def play() -> None:
+        driver = Driver(tmp_path)
+        driver.open()
+        driver.begin()
+        assert driver.session.log is not None
+        driver.session.log.close()  # every write fails from now on
+        driver.session.send_when_durable(1, "vote")
+        driver.write(1, b"term 1")
+        await driver.wait()
+        assert (len(driver.failures), driver.sent, driver.durable) == (1, [], [])
+        await driver.session.close()
+
+    asyncio.run(play())
