--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -53,7 +53,7 @@
         """How the group's replicas stand, and what this gateway has of its own."""
         summary = await self.service.query_reports()
         node = self.service.require_node()
-        log = self.service.log
+        log = self.service.session.log
         return {
             **describe_group(node, summary, self.service.problems()),
             "learnt": self.learned_state_line(),
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -10,7 +10,7 @@
 import logging
 import random
 import secrets
-from collections import defaultdict, deque
+from collections import defaultdict
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -28,10 +28,9 @@
 from badgergap.replication.messages import Message
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
-from badgergap.storage.background_writer import BackgroundWriter
 from badgergap.storage.errors import DamagedLogError, UnsupportedVersionError
 from badgergap.storage.files import SIZE_LIMIT
-from badgergap.storage.record_log import RecordLog
+from badgergap.storage.log_session import LogSession
 
 log = logging.getLogger(__name__)
 
@@ -60,15 +59,13 @@
         self.options = read()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.replica_node: ReplicaNode | None = None
-        self.log: RecordLog | None = None
-        self.writer: BackgroundWriter | None = None
-        self.generation = 0  # of the opened folder: what is reported of an earlier one is ignored
-        self.held: deque[Send] = deque()
+        self.session: LogSession[Send] = LogSession(
+            folder, self._send, self._on_durable, self._on_disk_failed
+        )
         self.outgoing: dict[str, list[Message]] = defaultdict(list)
         self.flushing = False
         self.rewriting = False
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.ended = False
         self.tell: Callable[[str], None] = lambda text: None
         self.listeners: list[Callable[[str, Message], None]] = []  # for snapshots
 
@@ -98,21 +95,16 @@
             self.replica_node.store.bounds = options.bounds
 
     async def close(self) -> None:
-        self.ended = True
         for task in list(self.tasks):
             task.cancel()
-        if self.writer is not None:
-            await asyncio.to_thread(self.writer.close)
-        if self.log is not None:
-            self.log.close()
+        await self.session.close()
 
     # Disk
 
     def _open(self) -> list[bytes]:
         """Off the loop. Raises OSError."""
-        self.log = RecordLog(self.folder)
         try:
-            found = self.log.open()
+            found = self.session.open()
         except UnsupportedVersionError as error:
             raise OSError(None, f"the copies in {self.folder}: {error}") from None
         if found.lost_reason:
@@ -120,11 +112,8 @@
         return found.records
 
     def _begin(self, lines: list[bytes]) -> None:
-        assert self.loop is not None and self.log is not None
-        self.generation += 1
-        generation = self.generation
-        self.held.clear()
-        disk_id = self.log.identity.hex()
+        assert self.loop is not None
+        disk_id = self.session.identity
         try:
             if self.replica_node is None:
                 chance = random.Random(secrets.randbits(64))
@@ -133,57 +122,44 @@
                 self.replica_node.reopen(disk_id, lines)
         except msgspec.MsgspecError as error:
             raise OSError(None, f"the copies in {self.folder} are of a later program: {error}") from None
-        self.writer = BackgroundWriter(
-            self.log,
-            self.loop,
-            lambda token: self._durable(generation, token),
-            lambda why: self._failed(generation, why),
-        )
+        self.session.start_writer(self.loop)
         self.on_group_changed()
 
-    def _durable(self, generation: int, token: int) -> None:
-        if generation != self.generation or self.replica_node is None:
-            return
-        self.replica_node.on_saved(clock_us(), token)
-        while self.held and self.held[0].after <= token:
-            self._send(self.held.popleft())
-        self.settle()
+    def _on_durable(self, token: int) -> None:
+        if self.replica_node is not None:
+            self.replica_node.on_saved(clock_us(), token)
+            self.settle()
 
-    def _failed(self, generation: int, why: str) -> None:
-        if generation != self.generation or self.replica_node is None:
+    def _on_disk_failed(self, why: str) -> None:
+        if self.replica_node is None:
             return
-        self.held.clear()
+        self.session.drop_held()
         self.replica_node.on_failed(why)
         self.settle()
-        self._spawn(self._anew())
-
-    async def _anew(self) -> None:
-        """The folder is opened again, as at a start; until then nothing is kept here."""
-        assert self.writer is not None and self.log is not None
-        await asyncio.to_thread(self.writer.close)
-        self.log.close()
-        while not self.ended:
-            await asyncio.sleep(AGAIN_S)
-            try:
-                lines = await asyncio.to_thread(self._open)
-            except OSError as error:
-                log.warning("the folder of copies cannot be used: %s", error.strerror or error)
-                if self.log is not None:
-                    self.log.close()
-                continue
-            self._begin(lines)
-            return
+        self._spawn(self._reopen())
+
+    async def _reopen(self) -> None:
+        """Open the folder again, as at a start; until then nothing is kept here."""
+        lines = await self.session.reopen(
+            self._open,
+            delay_s=AGAIN_S,
+            retry_s=AGAIN_S,
+            set_aside=False,
+            on_error=lambda error: log.warning(
+                "the folder of copies cannot be used: %s", error.strerror or error
+            ),
+        )
+        self._begin(lines)
 
     def _write(self, save: Save) -> None:
-        assert self.writer is not None and self.log is not None and self.replica_node is not None
-        self.writer.write(save.token, save.lines)
+        record_log, writer = self.session.log, self.session.writer
+        assert record_log is not None and writer is not None and self.replica_node is not None
+        writer.write(save.token, save.lines)
         store = self.replica_node.store
-        if (
-            self.log.length > min(GROWN_BYTES + GROWN_SHARE * store.stored_bytes, FULL_BYTES)
-            and not self.rewriting
-        ):
+        limit = min(GROWN_BYTES + GROWN_SHARE * store.stored_bytes, FULL_BYTES)
+        if record_log.length > limit and not self.rewriting:
             self.rewriting = True
-            self.writer.write(save.token, list(store.lines()), replace_all=True)
+            writer.write(save.token, list(store.lines()), replace_all=True)
             assert self.loop is not None
             self.loop.call_later(1.0, self._rewritten)
 
@@ -191,7 +167,7 @@
         """What the disk has spoilt is written anew from what is held here, before a restart would miss it."""
         while True:
             await asyncio.sleep(DISK_CHECK_S)
-            it, writer, held = self.replica_node, self.writer, self.log
+            it, writer, held = self.replica_node, self.session.writer, self.session.log
             if it is None or writer is None or held is None or it.broken:
                 continue
             try:
@@ -201,7 +177,7 @@
                 damage = str(error)
             except OSError as error:
                 damage = error.strerror or str(error)
-            if damage and held is self.log and not it.broken:
+            if damage and held is self.session.log and not it.broken:
                 self._say(f"copies: the log on disk is damaged ({damage}), and is written anew")
                 writer.write(it.token, list(it.store.lines()), replace_all=True)
 
@@ -277,10 +253,7 @@
                     if not it.broken:
                         self._write(action)
                 case Send():
-                    if action.after > it.durable:
-                        self.held.append(action)
-                    else:
-                        self._send(action)
+                    self.session.send_when_durable(action.after, action)
                 case Proposal():
                     name = TIME if action.kind == "time" else GUEST_NAME
                     self.group.store_component_state(name, action.number, action.data)
--- a/tests/replication/dying.py
+++ b/tests/replication/dying.py
@@ -16,7 +16,7 @@
 STEPS = [
     ("badgergap.replication.service", "ReplicationService", "_send"),
     ("badgergap.replication.service", "ReplicationService", "_write"),
-    ("badgergap.replication.service", "ReplicationService", "_durable"),
+    ("badgergap.replication.service", "ReplicationService", "_on_durable"),
     ("badgergap.replication.service", "ReplicationService", "_receive"),
     ("badgergap.storage.record_log", "RecordLog", "append"),
     ("badgergap.replication.keyed_attempt", "PendingAttempt", "go"),
