--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -293,6 +293,7 @@
             log.warning("no other process can take over from this one: %s", error)
 
     def stop_listening_for_successors(self) -> None:
+        """Close the rendezvous, if it is open."""
         if self.rendezvous_socket is not None:
             self.loop.remove_reader(self.rendezvous_socket.fileno())
             self.rendezvous_socket.close()
--- a/badgergap/hot_restart/state_transfer.py
+++ b/badgergap/hot_restart/state_transfer.py
@@ -114,6 +114,7 @@
         return listed
 
     def drains(self) -> tuple[HandDrain, ...]:
+        """The manual drains; none if one cannot be read."""
         try:
             return tuple(read_drain(item) for item in self.raw["drains"])[:DRAIN_LIMIT]
         except (KeyError, TypeError, ValueError) as error:
@@ -121,6 +122,7 @@
             return ()
 
     def lame_duck_age_s(self) -> float | None:
+        """None where clients are not sent away."""
         age_s = self.raw.get("lame_s")
         if age_s is None:
             return None
@@ -131,6 +133,7 @@
         return None
 
     def learned_state(self) -> JsonObject | None:
+        """The main balancer's snapshot; its content is the balancer's to check."""
         snapshot = self.raw.get("learnt")
         if snapshot is None or isinstance(snapshot, dict):
             return snapshot
@@ -138,6 +141,7 @@
         return None
 
     def pools(self) -> dict[str, JsonObject]:
+        """The snapshots of further pools."""
         pools = self.raw.get("pools", {})
         if isinstance(pools, dict) and all(isinstance(snapshot, dict) for snapshot in pools.values()):
             return pools
@@ -153,6 +157,7 @@
         return None
 
     def endpoint_counts(self) -> dict[str, int]:
+        """By pool."""
         counts = self.raw.get("hosts", {})
         if isinstance(counts, dict) and all(type(count) is int for count in counts.values()):
             return counts
--- a/badgergap/replication/acceptor.py
+++ b/badgergap/replication/acceptor.py
@@ -42,7 +42,7 @@
 
 
 class StoredLine(msgspec.Struct, frozen=True, array_like=True):
-    """On disk. `key` empty: only the other two are said."""
+    """A line of the log. Without a key it says only the epoch and the reserve."""
 
     epoch: int
     reserve: int
@@ -56,6 +56,8 @@
 
 @dataclass(slots=True)
 class Entry:
+    """A register's record in memory, with what is needed to drop it again."""
+
     ballot: Ballot
     data: bytes  # the line on disk, the value at its end
     length: int  # of the value
@@ -67,11 +69,14 @@
 
     @property
     def value(self) -> bytes:
+        """The record, encoded."""
         return self.data[len(self.data) - self.length :]
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """What one replica stores at the most."""
+
     records: int = 200_000
     bytes: int = 256 * 1024 * 1024
     tenant_share: float = 0.5  # of both that one tenant may have
@@ -79,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """`lines_to_save`: lines that have to be on disk before it is said."""
+    """The answer of a register. `lines_to_save` have to be on disk before it is sent."""
 
     ok: bool
     accepted: Ballot = NO_BALLOT
@@ -105,7 +110,9 @@
         self.promises: dict[bytes, Ballot] = {}
         self.tenant_usage: dict[str, list[int]] = {}  # of each tenant: records, bytes
         self.state_counts: dict[str, int] = {}  # how many records are in each
-        self.records = self.bytes = self.stored_bytes = 0  # the last: bytes of their lines
+        self.records = 0
+        self.bytes = 0
+        self.stored_bytes = 0  # of the records' lines on disk
         self.expiry_slots: dict[int, set[bytes]] = {}  # by when they are over
         for data in lines:
             line = _line_decoder.decode(data)
@@ -119,11 +126,13 @@
     # What is said of a register
 
     def promised(self, key: bytes) -> Ballot:
+        """The ballot below which nothing is accepted for this key."""
         entry = self.entries.get(key)
         held = entry.ballot if entry is not None else NO_BALLOT
         return max(self.floor, held, self.promises.get(key, NO_BALLOT))
 
     def prepare(self, key: bytes, ballot: Ballot) -> Reply:
+        """Promise a ballot, and say what is accepted; refused where as much is promised already."""
         if ballot <= self.promised(key):
             return Reply(False, promised=self.promised(key))
         lines_to_save = self._reserve(ballot)
@@ -137,6 +146,7 @@
         return Reply(True, entry.ballot, entry.value, lines_to_save=lines_to_save)
 
     def accept(self, key: bytes, ballot: Ballot, prior: Ballot, value: bytes) -> Reply:
+        """Accept a value at a ballot, unless more than `prior` was promised or there is no capacity."""
         entry, promised = self.entries.get(key), self.promised(key)
         if entry is not None and entry.ballot == ballot:
             return Reply(True)  # said before; on disk, or about to be
@@ -151,8 +161,10 @@
     def adopt_chosen(
         self, key: bytes, ballot: Ballot, value: bytes, agreed_us: int, mend: bool = False
     ) -> bytes:
-        """What a majority holds. The line to be saved; empty: nothing new. `mend`: in place of another value
-        of the same ballot, which one replica can only have by damage."""
+        """Take over what a majority holds. The line to be saved; empty: it is nothing new.
+
+        `mend`: also in place of another value of the same ballot, which a replica can only have by damage.
+        """
         entry = self.entries.get(key)
         if entry is not None and (entry.ballot > ballot or (entry.ballot == ballot and not mend)):
             return b""
@@ -196,8 +208,10 @@
         self.state_counts[entry.state] = self.state_counts.get(entry.state, 0) + 1
         self.expiry_slots.setdefault(entry.expires_us // SLOT_US, set()).add(key)
         tenant_usage = self.tenant_usage.setdefault(entry.tenant, [0, 0])
-        tenant_usage[0], tenant_usage[1] = tenant_usage[0] + 1, tenant_usage[1] + size
-        self.records, self.bytes = self.records + 1, self.bytes + size
+        tenant_usage[0] += 1
+        tenant_usage[1] += size
+        self.records += 1
+        self.bytes += size
         self.stored_bytes += len(data)
         return data
 
@@ -212,15 +226,18 @@
         if slot is not None:
             slot.discard(key)
         tenant_usage = self.tenant_usage[entry.tenant]
-        tenant_usage[0], tenant_usage[1] = tenant_usage[0] - 1, tenant_usage[1] - entry.size
+        tenant_usage[0] -= 1
+        tenant_usage[1] -= entry.size
         if not tenant_usage[0]:
             del self.tenant_usage[entry.tenant]
         self.state_counts[entry.state] -= 1
-        self.records, self.bytes = self.records - 1, self.bytes - entry.size
+        self.records -= 1
+        self.bytes -= entry.size
         self.stored_bytes -= len(entry.data)
         return entry
 
     def has_capacity(self, record: Record) -> bool:
+        """Whether a further record fits, also into its tenant's share."""
         bounds = self.bounds
         count, size = self.tenant_usage.get(record.tenant, (0, 0))
         tenant_share = bounds.tenant_share if record.tenant else 1.0
@@ -245,6 +262,7 @@
         return count
 
     def get(self, key: bytes) -> Record | None:
+        """The record of a key; None: there is none."""
         entry = self.entries.get(key)
         return records.decode(entry.value) if entry is not None else None
 
@@ -257,10 +275,12 @@
     # What is compared with other replicas
 
     def checksums_of(self, partition: int) -> tuple[int, ...]:
+        """Of each bucket of a partition."""
         first = partition * BUCKETS
         return tuple(self.checksums.get(first + n, 0) for n in range(BUCKETS))
 
     def digests_of(self, bucket: int) -> list[RecordDigest]:
+        """Of each record in a bucket."""
         found = []
         for key in self.buckets.get(bucket, ()):
             entry = self.entries[key]
@@ -284,6 +304,7 @@
 
 
 def bucket_of(key: bytes, partitions: int) -> int:
+    """The bucket of a key, counted over all partitions."""
     return partition_of(key, partitions) * BUCKETS + (key[1] >> 4)
 
 
--- a/badgergap/replication/anti_entropy.py
+++ b/badgergap/replication/anti_entropy.py
@@ -34,6 +34,8 @@
 
 @dataclass(slots=True)
 class Findings:
+    """What a comparison found that the replica lacks, or that nobody can say."""
+
     missing: list[MissingRecord] = field(default_factory=list)
     undecided: list[bytes] = field(default_factory=list)
     noted: dict[bytes, Ballot] = field(default_factory=dict)  # undecided too, and left for a second look
@@ -63,9 +65,11 @@
 
     @property
     def others(self) -> list[Replica]:
+        """The sources but for this replica."""
         return [replica for replica in self.sources if replica.disk_id != self.own]
 
     def receive(self, disk_id: str, same: tuple[int, ...], digests: dict[int, list[RecordDigest]]) -> None:
+        """An answer: buckets that are the same, and digests of those that differ."""
         if not self.judged and any(replica.disk_id == disk_id for replica in self.others):
             self.same.setdefault(disk_id, set()).update(same)
             self.digests.setdefault(disk_id, {}).update(digests)
@@ -75,6 +79,7 @@
         return self.same.get(disk_id, set()) | self.digests.get(disk_id, {}).keys()
 
     def is_whole(self, disk_id: str) -> bool:
+        """Whether this disk has told of all buckets."""
         return len(self.covered(disk_id)) == BUCKETS
 
     def whole(self) -> list[str]:
@@ -83,6 +88,7 @@
         return own + [replica.disk_id for replica in self.others if self.is_whole(replica.disk_id)]
 
     def is_ready(self, now_us: int) -> bool:
+        """Whether a majority has told of all, and nobody else is worth waiting for."""
         whole = self.whole()
         if len(whole) < majority(len(self.sources)):
             return False
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -42,6 +42,7 @@
         }
 
     async def call(self, op: str, arguments: Arguments) -> Any:
+        """Run the command of that name. Raises Refused."""
         try:
             return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError) as error:
@@ -66,6 +67,7 @@
         }
 
     async def find(self, arguments: Arguments) -> Any:
+        """The records of a client's key, of each route and tenant that has one."""
         found = []
         for route, tenant, key in self._named_keys(arguments):
             result = await self.service.change(key, lambda there: None, CHANGE_S)
--- a/badgergap/replication/group_clock.py
+++ b/badgergap/replication/group_clock.py
@@ -15,6 +15,8 @@
 
 
 class Tick(msgspec.Struct, frozen=True, array_like=True):
+    """An entry of the group's log."""
+
     now_us: int = 0
     sure_since_us: int = 0  # the clock has gone on without a break since then
 
@@ -23,6 +25,8 @@
 
 
 class GroupClock:
+    """The clock as one member knows it."""
+
     def __init__(self) -> None:
         self.tick = Tick()
         self.number = 0  # of the tick in the log
--- a/badgergap/replication/idempotency_record.py
+++ b/badgergap/replication/idempotency_record.py
@@ -36,6 +36,8 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
+    """What is stored of one key. Its fields are an array on the wire and on disk: their order stays."""
+
     state: Name
     claim: str  # drawn by who runs it, once for each run
     owner: str  # the member that runs it, or ran it
@@ -63,6 +65,7 @@
 
 
 def encode(record: Record) -> bytes:
+    """The bytes of a record."""
     return msgspec.msgpack.encode(record)
 
 
@@ -86,10 +89,13 @@
 
 
 def is_over(record: Record, now_us: int) -> bool:
+    """Whether it has expired, with the time for which clocks may differ."""
     return now_us >= record.expires_us + SLACK_US
 
 
 class Decision(Enum):
+    """What becomes of a request, by the record of its key."""
+
     RUN = "run"  # nobody has: claim it
     GIVE = "give"  # its answer
     TOO_LONG = "too long"  # it is done, and its answer was not kept
@@ -184,6 +190,7 @@
 
 
 def doubted(record: Record) -> Record:
+    """It may have run, and nobody can say."""
     return msgspec.structs.replace(record, state="doubt")
 
 
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -27,6 +27,7 @@
 
     @property
     def open(self) -> bool:
+        """Whether its request still waits for this turn's answer."""
         return self.keyed_request.inner is self.turn
 
     def answer(self, answer: Answer) -> None:
@@ -109,6 +110,7 @@
         self.inner = self.begin(left_s, AttemptObserver(self))
 
     def unwant(self) -> None:
+        """Its answer is not wanted any more."""
         super().unwant()
         if self.inner is not None:
             self.inner.unwant()
@@ -123,6 +125,7 @@
             )
 
     def give_up(self, outcome: Outcome) -> None:
+        """End it with this outcome; one that was not sent yet ends as never sent."""
         if self.done:
             return
         if self.inner is not None:
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -184,6 +184,7 @@
             self.idempotency_filter.service.settle()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
+        """Have the attempt at an endpoint check its deadlines."""
         if self.inner is not None and self.inner.exchange is not None:
             self.inner.exchange.check_time(now, between_s, answer_s)
 
@@ -235,6 +236,7 @@
     # As `Runner`
 
     def run(self, only: tuple[int, ...] | None) -> None:
+        """As `Runner`: begin a turn of its own for the request to an endpoint."""
         turn, body = self.turn, self.body
         way = replace(
             self.way, once=None, join=None, only=only or (), gate=self.gate, began_at=self.received_at
@@ -257,11 +259,13 @@
         self.inner.start_alone(self.ways, ForwardingClient(self, self.inner))
 
     def withdraw(self) -> None:
+        """As `Runner`."""
         inner, self.inner = self.inner, None
         if inner is not None:
             inner.abandon()
 
     def give(self, record: Record) -> None:
+        """As `Runner`. Whoever waits for this key gets the same answer."""
         if record.whole:
             queue = self.queue
             answer = Answer(record.status, list(record.headers), record.body)
@@ -275,11 +279,14 @@
             self.reply(gateway_answer(End.TOO_LONG, record), End.TOO_LONG.name)
 
     def end(self, how: End, record: Record | None) -> None:
+        """As `Runner`."""
         if self.source is not None and not self.ended:
             self.source.client_left()
         self.reply(gateway_answer(how, record), how.name)
 
     def after(self, delay_us: int, what: Callable[[], None]) -> None:
+        """As `Runner`."""
+
         def run() -> None:
             what()
             self.idempotency_filter.service.settle()
@@ -296,6 +303,7 @@
         books: Books,
         begin: Callable[[float, Books], Tried],
     ) -> Exchange:
+        """As `Gate`: an attempt waits until its record is stored."""
         assert self.idempotent is not None
         attempt = PendingAttempt(self, upstream, timeout_s, books, begin)
         # Once the decisions have been told of the attempt, not from within.
@@ -305,9 +313,11 @@
     # The endpoint's answer
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
+        """The head of the endpoint's answer."""
         self.head, self.source = head, source
 
     def data(self, data: bytes) -> None:
+        """A piece of its body: buffered, or passed on once it is longer than what is stored."""
         if self.passing:
             self.client.data(data)
             return
@@ -318,6 +328,7 @@
             self.answered(self.head.status, self.head.headers)
 
     def end_of(self, trailers: Headers) -> None:
+        """It is complete."""
         self.ended, self.trailers = True, trailers
         if self.passing:
             if not self.over:
@@ -327,6 +338,7 @@
             self.answered(self.head.status, self.head.headers)
 
     def broke(self) -> None:
+        """It broke off."""
         self.ended = True
         if self.passing:
             if not self.over:
@@ -336,6 +348,7 @@
             self.own(plain(502, "the answer broke off"))
 
     def answer(self, answer: Answer) -> None:
+        """An answer of an endpoint that is here completely, or one of the gateway's own."""
         if answer is self.endpoint_answer and self.is_running:
             self.buffered += answer.body
             self.answered(answer.status, answer.headers)
@@ -343,6 +356,7 @@
             self.own(answer)
 
     def answered(self, status: int, headers: Headers) -> None:
+        """Have the endpoint's answer stored."""
         assert self.idempotent is not None
         self.idempotent.answered(status, tuple(headers), bytes(self.buffered))
         self.idempotency_filter.service.settle()
@@ -370,6 +384,7 @@
     # As `DownloadSource` of an answer that is passed on
 
     def flow(self, on: bool) -> None:
+        """Read more of the endpoint's answer, or pause."""
         if self.source is not None and not self.ended:
             self.source.flow(on)
 
@@ -377,4 +392,5 @@
         """No tunnel has a key."""
 
     def client_left(self) -> None:
+        """The client has gone while the answer was passed on."""
         self.leave()
--- a/badgergap/replication/learned_state.py
+++ b/badgergap/replication/learned_state.py
@@ -34,6 +34,8 @@
 
 
 class HealthSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """What one gateway has learned about the endpoints of its pools."""
+
     taken_us: int  # by the clock of the gateway that learnt it
     classes: tuple[str, ...]  # what the figures by class stand for
     pools: dict[str, BalancerSnapshot]
@@ -50,6 +52,8 @@
 
 
 class StoredSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="h"):
+    """The answer to `QuerySnapshot`."""
+
     health_snapshot: bytes
     age_us: int  # for which it was kept
 
@@ -62,6 +66,7 @@
 
 
 def encode(message: Message) -> bytes:
+    """The bytes of a message."""
     return msgspec.msgpack.encode(message)
 
 
@@ -109,9 +114,11 @@
 
     @property
     def size(self) -> int:
+        """Bytes of all."""
         return sum(len(health_snapshot) for health_snapshot, _ in self.snapshots.values())
 
     def keep(self, now_us: int, name: str, health_snapshot: bytes) -> None:
+        """Store a snapshot in place of the member's last one; none at all if it is too long."""
         self.snapshots.pop(name, None)
         if len(health_snapshot) > SNAPSHOT_BYTES_LIMIT:
             return
@@ -121,11 +128,13 @@
             del self.snapshots[next(iter(self.snapshots))]
 
     def have(self, now_us: int, name: str) -> StoredSnapshot | None:
+        """The snapshot of a member; None: there is none."""
         self.forget(now_us)
         health_snapshot, since_us = self.snapshots.get(name, (b"", 0))
         return StoredSnapshot(health_snapshot, now_us - since_us) if health_snapshot else None
 
     def forget(self, now_us: int) -> None:
+        """Drop those that are too old."""
         for name, (_, since_us) in list(self.snapshots.items()):
             if now_us - since_us > OLDEST_US:
                 del self.snapshots[name]
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -56,19 +56,23 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
+        """Become a guest of the group's service."""
         self.group.guests[GUEST_NAME] = self
 
     async def start(self) -> None:
+        """Ask for this gateway's snapshot, then export one now and then."""
         self.task = asyncio.get_running_loop().create_task(self._work())
 
     def reload(self, config: Config) -> None:
         """Nothing of it is in the file."""
 
     async def close(self) -> None:
+        """Stop exporting."""
         if self.task is not None:
             self.task.cancel()
 
     def line(self) -> str:
+        """How it stands, for people."""
         at = " and ".join(self.sent_to) or "nobody"
         back = f", {self.restored_count} boxes known again at the start" if self.restored_count else ""
         return (
@@ -78,6 +82,7 @@
     # A guest of the group
 
     def heard(self, name: str, data: bytes) -> None:
+        """A message of another member."""
         try:
             message = learned_state.decode(data)
         except msgspec.MsgspecError as error:
@@ -99,6 +104,7 @@
         """Nothing of it is in the group's log."""
 
     def against(self, name: str) -> str:
+        """Nothing speaks against a member's leaving."""
         return ""
 
     def _say(self, name: str, message: learned_state.Message) -> None:
@@ -108,6 +114,7 @@
 
     @property
     def replicas(self) -> tuple[Replica, ...]:
+        """Those of the newest placement."""
         replica_node = self.copies.replica_node
         return replica_node.placement.replicas if replica_node is not None else ()
 
@@ -125,6 +132,7 @@
                 log.exception("what was learnt could not be sent")
 
     def export_snapshot(self) -> None:
+        """Send what this gateway has learned to the members that store it."""
         own = next((replica for replica in self.replicas if replica.name == self.copies.options.name), None)
         proxies = self.proxies()
         endpoints = sum(len(proxy.balancer.servers) for proxy in proxies.values())
--- a/badgergap/replication/messages.py
+++ b/badgergap/replication/messages.py
@@ -1,4 +1,9 @@
-"""What members say to each other about copies. Plain data and its bytes."""
+"""The messages between replica nodes, and their bytes.
+
+The tags and the order of the fields are the protocol's: members of different releases talk to each other, so
+neither ever changes. `disk_id` names the disk that a message is for, or is from: another disk behind the same
+member's name must not answer in its place.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag="p"):
-    """`disk_id`: the disk it is for; another one behind the same name must not answer."""
+    """Promise this ballot, and say what is accepted."""
 
     operation: int
     epoch: int
@@ -20,6 +25,8 @@
 
 
 class Promised(Struct, frozen=True, array_like=True, tag="q"):
+    """The answer to `Prepare`: what is accepted, or what ballot was promised instead."""
+
     operation: int
     epoch: int  # of who says it
     disk_id: str
@@ -31,6 +38,8 @@
 
 
 class Accept(Struct, frozen=True, array_like=True, tag="a"):
+    """Accept this value, unless more than `prior` was promised."""
+
     operation: int
     epoch: int
     disk_id: str
@@ -41,6 +50,8 @@
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag="b"):
+    """The answer to `Accept`. `full`: refused for want of capacity."""
+
     operation: int
     epoch: int
     disk_id: str
@@ -57,7 +68,7 @@
     disk_id: str
     partition: int
     checksums: tuple[int, ...]
-    # a bit for each bucket that this one was told of: one answer does not hold all of a large partition
+    # A bit for each bucket that was told of already: one answer does not hold all of a large partition.
     had: int = 0
 
 
@@ -72,6 +83,8 @@
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag="f"):
+    """Send me these records."""
+
     epoch: int
     disk_id: str
     partition: int
@@ -79,6 +92,8 @@
 
 
 class Fetched(Struct, frozen=True, array_like=True, tag="g"):
+    """The answer to `Fetch`, as far as it fits; the others are to be asked for again."""
+
     epoch: int
     disk_id: str
     partition: int
@@ -111,7 +126,7 @@
     behind: bytes  # a bit for each partition where it lacked something at the last look
     records: int
     size: int
-    doubt: int
+    doubt: int  # records whose outcome is uncertain
     broken: str  # why it keeps nothing at the moment
     scrubbed_us: int  # ago, by its own clock; -1: not yet
     mended: int  # records, since the process began
@@ -122,6 +137,8 @@
 
 
 class ReportSummary(Struct, frozen=True, array_like=True, tag="m"):
+    """The answer to `QueryReports`."""
+
     epoch: int
     lines: dict[str, Report]  # by name, of those heard lately
 
@@ -135,11 +152,15 @@
 
 
 class Frozen(Struct, frozen=True, array_like=True, tag="y"):
+    """The answer to `Freeze`."""
+
     id: int
     disk_id: str
 
 
 class Unfreeze(Struct, frozen=True, array_like=True, tag="t"):
+    """Accept again; the snapshot stays for a while."""
+
     id: int
     disk_id: str
 
@@ -154,6 +175,8 @@
 
 
 class Paged(Struct, frozen=True, array_like=True, tag="o"):
+    """The answer to `Page`."""
+
     id: int
     disk_id: str
     partition: int
@@ -186,6 +209,7 @@
 
 
 def encode(batch: list[Message]) -> bytes:
+    """The bytes of messages that go to one member together."""
     return msgspec.msgpack.encode(batch)
 
 
@@ -195,9 +219,11 @@
 
 
 def bits(partitions: set[int] | frozenset[int]) -> bytes:
+    """A set of partitions, a bit each."""
     return sum(1 << partition for partition in partitions).to_bytes(32, "little")
 
 
 def unbits(data: bytes) -> frozenset[int]:
+    """The set of partitions that `bits` was given."""
     number = int.from_bytes(data, "little")
     return frozenset(partition for partition in range(256) if number >> partition & 1)
--- a/badgergap/replication/placement.py
+++ b/badgergap/replication/placement.py
@@ -32,12 +32,16 @@
 
 
 class Replica(msgspec.Struct, frozen=True, array_like=True):
+    """A member's place for copies, and the identity of the disk behind it."""
+
     name: str
     zone: str
     disk_id: str
 
 
 class Placement(msgspec.Struct, frozen=True, array_like=True):
+    """Which replicas hold the copies, as the group has agreed on it for one epoch."""
+
     epoch: int = 0  # 0: nothing is placed yet
     copies: int = 3
     replicas: tuple[Replica, ...] = ()
@@ -69,20 +73,24 @@
         return self.sets(partition)[-1]
 
     def replica(self, disk_id: str) -> Replica | None:
+        """The replica on this disk, in the new set or the one before; None: there is none."""
         return next(
             (replica for replica in (*self.replicas, *(self.before or ())) if replica.disk_id == disk_id),
             None,
         )
 
     def is_hole(self, partition: int, now_us: int) -> bool:
+        """Whether records of this partition may have been lost for good."""
         return now_us < self.holes.get(partition, 0)
 
 
 def partition_of(key: bytes, partitions: int) -> int:
+    """The partition of a key, by its first byte."""
     return key[0] * partitions >> 8
 
 
 def majority(count: int) -> int:
+    """The least that are more than half."""
     return count // 2 + 1
 
 
@@ -107,6 +115,7 @@
 
 
 def encode(placement: Placement) -> bytes:
+    """The bytes of a placement."""
     return msgspec.msgpack.encode(placement)
 
 
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -72,9 +72,11 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
+        """Become a guest of the group's service."""
         self.group.guests[GUEST_NAME] = self
 
     async def start(self) -> None:
+        """Open the folder and begin. Raises OSError."""
         self.loop = asyncio.get_running_loop()
         lines = await asyncio.to_thread(self._open)
         self._begin(lines)
@@ -82,6 +84,7 @@
         self._spawn(self._check_disk())
 
     def reload(self, config: Config) -> None:
+        """Take over the settings that may change while it runs."""
         try:
             options = self.read()
         except ConfigError as error:
@@ -95,6 +98,7 @@
             self.replica_node.store.bounds = options.bounds
 
     async def close(self) -> None:
+        """Stop, and close the log."""
         self.ended = True
         for task in list(self.tasks):
             task.cancel()
@@ -205,6 +209,7 @@
     # The replica node
 
     def heard(self, name: str, data: bytes) -> None:
+        """Messages of another member."""
         if self.replica_node is None:
             return
         try:
@@ -226,6 +231,7 @@
             log.exception("failed on a word on copies from %s", name)
 
     def agreed(self) -> None:
+        """The group's log has gone on."""
         it = self.replica_node
         if it is None:
             return
@@ -237,6 +243,7 @@
             it.on_placement(clock_us(), number, data)
 
     def against(self, name: str) -> str:
+        """Why a member must not leave now; empty: nothing speaks against it."""
         it = self.replica_node
         if it is None or it.placement.before is None:
             return ""
@@ -355,6 +362,7 @@
         return None
 
     def line(self) -> str:
+        """How it stands, for people."""
         it = self.replica_node
         if it is None or not it.placement.epoch:
             return "copies: none is placed yet"
--- a/badgergap/replication/snapshot.py
+++ b/badgergap/replication/snapshot.py
@@ -33,6 +33,8 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True, tag="head"):
+    """The first frame."""
+
     format: int
     group: str
     epoch: int
@@ -42,10 +44,14 @@
 
 
 class Page(msgspec.Struct, frozen=True, array_like=True, tag="page"):
+    """A frame of records."""
+
     records: list[tuple[bytes, bytes]]  # key, record
 
 
 class Foot(msgspec.Struct, frozen=True, array_like=True, tag="foot"):
+    """The last frame."""
+
     count: int
     digest: bytes
 
@@ -85,6 +91,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
+    """A file that was verified."""
+
     head: Head
     count: int
     path: Path
--- a/badgergap/replication/snapshot_commands.py
+++ b/badgergap/replication/snapshot_commands.py
@@ -34,6 +34,7 @@
         self.service = service
 
     async def save(self, arguments: Arguments) -> Any:
+        """Write a snapshot of all replicas to a file on this machine."""
         path = Path(str(arguments["path"]))
         it, group = self.service.require_node(), self.service.group.member
         if group is None or not path.is_absolute():
@@ -57,6 +58,7 @@
         return {"path": str(path), "records": count, "bytes": path.stat().st_size, "epoch": placement.epoch}
 
     async def restore(self, arguments: Arguments) -> Any:
+        """Restore a snapshot into a group that has no records and no versions of its own."""
         path = Path(str(arguments["path"]))
         try:
             found = await asyncio.to_thread(snapshot.verify, path)
