--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -72,9 +72,11 @@
     # The room
 
     def join(self, proxy: Proxy) -> None:
+        """Become a guest of the group's service."""
         self.group.components[GUEST_NAME] = self
 
     async def start(self) -> None:
+        """Open the folder and begin. Raises OSError."""
         self.loop = asyncio.get_running_loop()
         lines = await asyncio.to_thread(self._open)
         self._begin(lines)
@@ -82,6 +84,7 @@
         self._spawn(self._check_disk())
 
     def reload(self, config: Config) -> None:
+        """Take over the settings that may change while it runs."""
         try:
             options = self.read()
         except ConfigError as error:
@@ -95,6 +98,7 @@
             self.replica_node.store.bounds = options.bounds
 
     async def close(self) -> None:
+        """Stop, and close the log."""
         for task in list(self.tasks):
             task.cancel()
         await self.session.close()
@@ -187,6 +191,7 @@
     # The replica node
 
     def on_message(self, name: str, data: bytes) -> None:
+        """Messages of another member."""
         if self.replica_node is None:
             return
         try:
@@ -208,6 +213,7 @@
             log.exception("failed on a word on copies from %s", name)
 
     def on_group_changed(self) -> None:
+        """The group's log has gone on."""
         it = self.replica_node
         if it is None:
             return
@@ -219,6 +225,7 @@
             it.on_placement(clock_us(), number, data)
 
     def removal_objection(self, name: str) -> str:
+        """Why a member must not leave now; empty: nothing speaks against it."""
         it = self.replica_node
         if it is None or it.placement.before is None:
             return ""
@@ -335,6 +342,7 @@
         return None
 
     def line(self) -> str:
+        """How it stands, for people."""
         it = self.replica_node
         if it is None or not it.placement.epoch:
             return "copies: none is placed yet"
