--- a/badgergap/consensus/membership_changes.py
+++ b/badgergap/consensus/membership_changes.py
@@ -13,7 +13,7 @@
 from badgergap.consensus.member_core import MemberCore
 from badgergap.consensus.versions import BanMember
 
-CONTACT_TIMEOUT_US = 300_000  # three heartbeats: who was heard within it is there now
+CONTACT_TIMEOUT_US = 300_000  # three heartbeats: who had contact within it is reachable
 
 
 @dataclass(slots=True)
@@ -112,9 +112,9 @@
         self.configure(now_us, tuple(voter if peer.id == learner.id else peer for peer in configuration))
 
     def _could_commit(self, now_us: int, voters: list[str]) -> bool:
-        """Whether a majority of these is heard at this moment."""
-        heard = [voter for voter in voters if self._is_in_contact(now_us, voter)]
-        return len(heard) >= majority(len(voters))
+        """Whether a majority of these is in contact at this moment."""
+        reachable = [voter for voter in voters if self._is_in_contact(now_us, voter)]
+        return len(reachable) >= majority(len(voters))
 
     def _is_in_contact(self, now_us: int, voter: str) -> bool:
         if voter == self.member.id:
--- a/badgergap/consensus/proposals.py
+++ b/badgergap/consensus/proposals.py
@@ -18,7 +18,7 @@
 from badgergap.consensus.versions import Outcome, ProposeVersion
 
 VALIDATION_TIMEOUT_US = 2_000_000  # for the members to say whether they can load a version
-RECENT_CONTACT_US = 1_000_000  # who was heard within it is asked
+RECENT_CONTACT_US = 1_000_000  # who had contact within it is asked
 OPEN_LIMIT = 64  # proposals that wait for the members' answers
 
 
@@ -79,14 +79,14 @@
             raise ProposalError(f"it cannot be read: {error}") from None
 
     def _validators(self, now_us: int) -> set[str]:
-        """Who says whether it can load the settings: this member, and all that were heard just now."""
-        heard = {
+        """Who says whether it can load the settings: this member, and all that had contact just now."""
+        reachable = {
             id
             for id, record in self.grantor.records.items()
             if now_us - record.last_contact_us < RECENT_CONTACT_US
         }
         members = {peer.id for peer in self.member.raft.log.configuration}
-        return (heard & members) | {self.member.id}
+        return (reachable & members) | {self.member.id}
 
     def on_validated(self, now_us: int, sender: str, result: ValidationResult) -> None:
         """A member's answer."""
