--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -187,28 +187,33 @@
             self.send_response(incoming, refused("this gateway sends its clients away"))
             return
         waited_s = now - incoming.received_at if incoming.upload.complete else 0.0
-        asked = server.validator.validate(incoming, partial(self.start_attempt, incoming), waited_s)
-        incoming.forwarded_head = b"%b %b HTTP/1.1\r\n%b" % (asked.method, asked.target, asked.headers)
+        spec = server.validator.validate(incoming, partial(self.start_attempt, incoming), waited_s)
+        incoming.forwarded_head = b"%b %b HTTP/1.1\r\n%b" % (spec.method, spec.target, spec.headers)
         self.requests_read += 1
         incoming.request_id = server.validator.reserve_id(incoming)
-        request = server.proxy.arrive(asked, partial(self.send_response, incoming))
+        request = server.proxy.arrive(spec, partial(self.send_response, incoming))
         if request is not None and request.reply is not None:
             self.request = request
 
     def start_attempt(
-        self, incoming: IncomingRequest, upstream: Upstream, server: int, timeout_s: float, books: Books
+        self,
+        incoming: IncomingRequest,
+        upstream: Upstream,
+        endpoint_id: int,
+        timeout_s: float,
+        listener: Books,
     ) -> Exchange:
         """Start one attempt at an endpoint, or return one that is never sent.
 
-        `timeout_s`: what the endpoint is told it has. `books`: hears how the attempt ends.
+        `timeout_s`: what the endpoint is told it has. `listener`: is told how the attempt ends.
         """
         upload = incoming.upload
         if is_early(incoming.exchange, upload) or self.client_has_left():
-            unsent = Exchange(b"", books.ended)
+            unsent = Exchange(b"", listener.ended)
             self.loop.call_soon(unsent.never_sent)
             return unsent
-        wanted = exchange_spec(self, incoming, timeout_s)
-        incoming.exchange = carry(upstream, server, timeout_s, wanted, books)
+        spec = exchange_spec(self, incoming, timeout_s)
+        incoming.exchange = carry(upstream, endpoint_id, timeout_s, spec, listener)
         return incoming.exchange
 
     # Responses
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -4,28 +4,19 @@
 
 import asyncio
 import contextlib
-import heapq
 import socket
 from collections.abc import Callable
 
 from badgergap.proxy.downstream.client_connection import ClientConnection
-from badgergap.proxy.downstream.http_connection import HttpConnection
-from badgergap.proxy.downstream.incoming_request import IncomingRequest
+from badgergap.proxy.downstream.connection_registry import ConnectionRegistry
 from badgergap.proxy.downstream.request_validation import RequestValidator
-from badgergap.proxy.downstream.response import complete_response
 from badgergap.proxy.lifecycle.config import Address, Config
 from badgergap.proxy.lifecycle.lame_duck import POLL_INTERVAL_S, LameDuck
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.limits.memory import LARGEST, LEAST
-from badgergap.proxy.proxy import Proxy, refused
+from badgergap.proxy.proxy import Proxy
 
 BACKLOG = 1024
 CLEANUP_INTERVAL_S = 0.25
-IDLE_SHARE = 1 / 3  # of the connections that clients may have, those that may be between requests
-EVICTION_CANDIDATES = 8  # tried for one eviction, as something unread may stand in a socket
-# Of the reserve: connections over the limit whose requests get 503; so many again get it unasked.
-REJECTED_SHARE = 1 / 4
-REJECTED_LINGER_S = 0.3
 # New connections go on coming for 0.4 s after a planned restart has begun.
 LAST_ACCEPT_S = 0.5
 LAST_REQUEST_S = 0.6
@@ -34,32 +25,24 @@
 MIGRATION_S = 0.5  # for a response to be sent, so that its connection can be handed to the next process
 
 
-class Downstream:
+class Downstream(ConnectionRegistry):
     """The listener for the platform's clients, and its connections."""
 
     def __init__(self, config: Config, proxy: Proxy, loop: asyncio.AbstractEventLoop) -> None:
-        self.config, self.proxy, self.loop = config, proxy, loop
+        super().__init__(config, proxy, loop)
         self.validator = RequestValidator(config)
-        self.budget, self.reads = proxy.upstream.budget, proxy.upstream.reads
-        self.connection_capacity = eviction.limit(config.sockets, 0)
-        self.rejected_capacity = int(eviction.reserve(config.sockets) * REJECTED_SHARE)
-        self.longest_deadline_s = max(klass.client_timeout_us for klass in config.settings.classes) / 1e6
+        self.reads = proxy.upstream.reads
+        self.longest_deadline_s = max(each.client_timeout_us for each in config.settings.classes) / 1e6
         self.partial_request_s = eviction.partial_request_s(self.longest_deadline_s)
-        proxy.upstream.on_open = self.enforce_limits
-        # Bytes written to a client and not taken, beyond which its endpoint is not read.
-        self.unsent_limit = min(LARGEST, max(LEAST, self.budget.total // (4 * self.connection_capacity)))
-        self.connections_elsewhere = 0  # of the limit, those that another process of this gateway holds
-        self.connections: set[ClientConnection] = set()
-        # Between requests; the one used last comes last.
-        self.idle_connections: dict[HttpConnection[IncomingRequest], None] = {}
-        self.idle_capacity = int(eviction.per_side(config.sockets) * IDLE_SHARE)
         self.draining = False
         self.socket: socket.socket | None = None  # that listens; another process may listen on it too
+        self.listener: asyncio.Server | None = None
         self.migrate: Callable[[ClientConnection], bool] | None = None  # to the process that takes over
-        self.lame_duck_observers: list[Callable[[bool], None]] = []
         self.lame_duck = LameDuck()
+        self.lame_duck_observers: list[Callable[[bool], None]] = []
         self.lame_duck_timer: asyncio.TimerHandle | None = None  # runs while the gateway is a lame duck
-        self.listener: asyncio.Server | None = None
+
+    # Listening
 
     async def start(self, listener: socket.socket | None = None) -> Address:
         """Listen for clients; returns where, as port 0 leaves the choice to the system.
@@ -81,6 +64,8 @@
             lambda: ClientConnection(self), sock=self.socket.dup(), backlog=BACKLOG
         )
 
+    # Another process of this gateway
+
     def hand_over(self, migrate: Callable[[ClientConnection], bool]) -> None:
         """Accept nothing any more, and hand idle connections to the process that takes over.
 
@@ -104,82 +89,18 @@
         connection.on_migrated()
         return True
 
-    @property
-    def limit(self) -> int:
-        """How many connections clients may have here."""
-        others = len(self.proxy.upstream.connections) + self.proxy.upstream.elsewhere
-        return max(
-            self.connection_capacity // 4,
-            eviction.limit(self.config.sockets, others) - self.connections_elsewhere,
-        )
-
     def reconfigure(self, config: Config) -> None:
         """Validate the requests to come by the classes of `config`."""
         open_ids, self.validator = self.validator.open_ids, RequestValidator(config)
         self.validator.open_ids = open_ids
 
-    def add(self, connection: ClientConnection) -> None:
-        """Take a new connection.
-
-        Guards against running out of descriptors: another is evicted for it, else its requests get 503.
-        """
-        if len(self.connections) >= self.limit and not self.evict_one():
-            connection.over_limit = True
-        self.connections.add(connection)
-        beyond = len(self.connections) - self.limit
-        if beyond > self.rejected_capacity:
-            connection.write(complete_response(refused("too many connections"), True, False))
-            if beyond > 2 * self.rejected_capacity:
-                connection.close()  # with its input unread: the reset may overtake the response
-            else:
-                connection.stop_reading()
-                connection.linger(REJECTED_LINGER_S)
-
-    def evict_one(
-        self, up_to: eviction.EvictionPriority = eviction.EvictionPriority.RECEIVING, for_memory: bool = False
-    ) -> bool:
-        """Close the connection with the lowest priority, if one has no higher than `up_to`."""
-        now = self.loop.time()
-        shown = (
-            (c.eviction_priority(now, for_memory), c.progress_at, n, c)
-            for n, c in enumerate(self.connections)
-        )
-        for standing, _, _, connection in heapq.nsmallest(EVICTION_CANDIDATES, shown):
-            if standing > up_to:
-                break
-            if connection.may_close:
-                self.discard(connection)
-                connection.evict()
-                return True
-        return False
-
-    def enforce_limits(self) -> None:
-        """Evict connections once endpoints need their descriptors, or bodies and heads exceed the memory."""
-        excess = len(self.connections) - self.limit
-        while excess > 0 and self.evict_one(eviction.EvictionPriority.NEW):
-            excess -= 1
-        if self.budget.used > self.budget.total:
-            self.evict_one(eviction.EvictionPriority.STALLED, for_memory=True)
-
-    def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended or is about to."""
-        self.connections.discard(connection)
-        self.idle_connections.pop(connection, None)
-
     def on_idle(self, connection: ClientConnection) -> None:
-        """Keep an idle connection; if too many are, close the one that has been idle for longest.
-
-        Guards against clients that ask once and stay: others, which a load balancer in front holds to a
-        number, would wait for a connection while this side is below its limit and evicts none.
-        """
+        """Hand a connection without open requests over, if there is another process, or keep it idle."""
         if self.migrate is not None:
             self.loop.call_soon(self.try_to_migrate, connection)  # once its response is on the way
-        self.idle_connections[connection] = None
-        if len(self.idle_connections) > self.idle_capacity:
-            oldest = next(iter(self.idle_connections))
-            del self.idle_connections[oldest]
-            if oldest.may_close:
-                oldest.close()
+        self.keep_idle(connection)
+
+    # Lame duck
 
     @property
     def ends_connections(self) -> bool:
@@ -214,6 +135,8 @@
         for connection in list(self.connections):
             connection.check_lame_duck(now)
 
+    # Time limits
+
     def cleanup(self) -> None:
         """Enforce limits and time limits on all connections, periodically."""
         now = self.loop.time()
@@ -223,6 +146,8 @@
                 connection.check_time(now)
         self.loop.call_later(CLEANUP_INTERVAL_S, self.cleanup)
 
+    # Graceful shutdown
+
     async def drain(self) -> None:
         """Shut down gracefully: accept what still comes, answer everything, then close."""
         self.draining = True
@@ -256,6 +181,7 @@
                 await self.loop.connect_accepted_socket(lambda: ClientConnection(self), sock)
 
     def stop_listening(self) -> None:
+        """Accept no connections here; the socket itself stays as it is."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
@@ -268,9 +194,9 @@
             for connection in [c for c in self.connections if not c.has_open_requests]:
                 if self.try_to_migrate(connection) or (self.migrate is not None and waited_s < MIGRATION_S):
                     continue
-                standing = connection.eviction_priority(self.loop.time())
+                priority = connection.eviction_priority(self.loop.time())
                 if (
-                    standing < eviction.EvictionPriority.NEW and connection.may_close
+                    priority < eviction.EvictionPriority.NEW and connection.may_close
                 ) or waited_s > self.partial_request_s:
                     connection.close()
                 if waited_s > UNREAD_DRAIN_S:
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -102,16 +102,20 @@
         except httptools.HttpParserError:
             self.reject_and_close(BadRequest(400, "malformed request"))
         if self.state is RECEIVING:
-            incoming = self.incoming
-            if not incoming.head_complete:
-                if incoming.raw_bytes > HEAD_LIMIT:
-                    self.reject_and_close(BadRequest(431, "head too long"))
-                elif incoming.raw_bytes > ACCOUNTED_HEAD_BYTES:
-                    self.account_memory()
-            elif incoming.raw_bytes > RAW_LIMIT + FRAMING_SHARE * incoming.size:
-                self.reject_and_close(BadRequest(413, "request too long"))
+            self.check_size()
         self.start_next()
 
+    def check_size(self) -> None:
+        """Enforce the bounds on a request that has come in part."""
+        incoming = self.incoming
+        if not incoming.head_complete:
+            if incoming.raw_bytes > HEAD_LIMIT:
+                self.reject_and_close(BadRequest(431, "head too long"))
+            elif incoming.raw_bytes > ACCOUNTED_HEAD_BYTES:
+                self.account_memory()
+        elif incoming.raw_bytes > RAW_LIMIT + FRAMING_SHARE * incoming.size:
+            self.reject_and_close(BadRequest(413, "request too long"))
+
     def begin(self) -> None:
         """Handle the first byte of a request, also one that the parser skips."""
         self.incoming = IncomingRequest()
--- a/badgergap/proxy/lifecycle/component.py
+++ b/badgergap/proxy/lifecycle/component.py
@@ -86,7 +86,7 @@
     async def inherit(self) -> Inherited | None:
         """Return the state of the process that serves, or None where there is none."""
 
-    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Component]) -> None:
+    def join(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component]) -> None:
         """Take the parts of this gateway, before anything has started."""
 
     def teach(self) -> None:
