--- a/badgergap/balancing/event_context.py
+++ b/badgergap/balancing/event_context.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from badgergap.balancing.interface import Action, Log, SetTimer
+from badgergap.balancing.actions import Action, Log, SetTimer
 
 LOG_GAP_US = 100_000  # least time between two log lines
 
@@ -16,7 +16,7 @@
         self.now_us = 0
         self.actions: list[Action] = []
         self.timers: dict[int, Callable[[], None]] = {}  # by token
-        self._next_token = 1
+        self.next_token = 1
         self._logged_us = -LOG_GAP_US
 
     def begin(self, now_us: int) -> int:
@@ -28,9 +28,9 @@
 
     def set_timer(self, due_us: int, callback: Callable[[], None]) -> None:
         """Have `callback` called when the clock reaches `due_us`."""
-        self.timers[self._next_token] = callback
-        self.actions.append(SetTimer(due_us, self._next_token))
-        self._next_token += 1
+        self.timers[self.next_token] = callback
+        self.actions.append(SetTimer(due_us, self.next_token))
+        self.next_token += 1
 
     def fire_timer(self, token: int) -> None:
         """Run what a timer was set for; unknown tokens are ignored."""
--- a/badgergap/balancing/request_lifecycle.py
+++ b/badgergap/balancing/request_lifecycle.py
@@ -4,26 +4,20 @@
 
 from functools import partial
 
+from badgergap.balancing.actions import Cancel, ExtendTimeout, Fail, Reject, Send
 from badgergap.balancing.admission import AdmissionControl
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.eligibility import OVERDUE_MULTIPLE
 from badgergap.balancing.endpoint_selection import EndpointSelector
 from badgergap.balancing.endpoint_table import EndpointTable
 from badgergap.balancing.event_context import EventContext
-from badgergap.balancing.interface import (
+from badgergap.balancing.events import (
     MAY_STILL_RUN,
     AttemptEnded,
-    Cancel,
     ClientDisconnected,
-    ExtendTimeout,
-    Fail,
     Outcome,
-    Reject,
     RequestArrived,
-    RequestClass,
     RequestCoalesced,
-    Send,
-    Settings,
     StreamStarted,
 )
 from badgergap.balancing.latency_model import LatencyModel
@@ -38,6 +32,7 @@
     is_rejectable,
     is_repeatable,
 )
+from badgergap.balancing.settings import RequestClass, Settings
 
 
 class RequestLifecycle:
@@ -57,7 +52,7 @@
         self.retry_budget = RetryBudget()
         self.classes = settings.classes
         self._settings = settings
-        self._policy = RetryPolicy.from_settings(settings)
+        self.policy = RetryPolicy.from_settings(settings)
         self._context = context
         self._latency = latency
         self._admission = admission
@@ -198,11 +193,11 @@
         if attempt.ended or request.done:
             return
         attempt.overdue = True
-        if not self._policy.may_hedge(request):
+        if not self.policy.may_hedge(request):
             return
         if not self.retry_budget.allows_repeat(self._admission.shed_fraction):
             return
-        if self._policy.has_attempts_left(request) and self._try_send(request):
+        if self.policy.has_attempts_left(request) and self._try_send(request):
             self.retry_budget.spend()
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -230,7 +225,7 @@
 
     def _end_attempt(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         attempt.ended = True
-        attempt.may_have_run = outcome not in self._policy.never_ran
+        attempt.may_have_run = outcome not in self.policy.never_ran
         request.in_flight -= 1
         if attempt.is_stream:
             attempt.endpoint.streams -= 1
@@ -250,7 +245,7 @@
         allowed = not request.streaming and (not may_have_run or is_repeatable(request.rules))
         if may_have_run and not self._can_afford_retry(request, outcome):
             allowed = False
-        if not allowed or not has_time or not self._policy.has_attempts_left(request):
+        if not allowed or not has_time or not self.policy.has_attempts_left(request):
             self._answer_unserved(request)
             return
         if not self._try_send(request):
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -25,6 +25,7 @@
 from badgergap.proxy.proxy import Books
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.balancing.retry_policy import RetryPolicy
 from badgergap.balancing.interface import (
     AttemptEnded,
     Outcome,
@@ -717,17 +718,15 @@
 def test_no_second_copy_for_a_client_that_has_left(leaves: bool) -> None:
     async def test() -> None:
         async with gateway(hosts=3, settings=lanes(aimUs=200_000) | {"caps": {"mayCancel": False}}) as it:
-            it.proxy.balancer.settings = replace(
-                it.proxy.balancer.settings, hedging_allowed=True, max_attempts=4
-            )
-            it.proxy.settings = it.proxy.balancer.settings
+            it.proxy.settings = replace(it.proxy.settings, hedging_allowed=True, max_attempts=4)
+            it.proxy.balancer.lifecycle.policy = RetryPolicy.from_settings(it.proxy.settings)
             client = await it.client()
             client.send(ask())
             first = await it.host.taken.get()
             if leaves:
                 client.writer.close()
                 await it.event(ClientDisconnected)
-            overdue = it.proxy.balancer.context._next_token - 1
+            overdue = it.proxy.balancer.context.next_token - 1
             await it.event(TimerFired, lambda e: e.token == overdue)
             if leaves:
                 first.answer()
