--- a/badgergap/__init__.py
+++ b/badgergap/__init__.py
@@ -1,41 +1,45 @@
 """badgergap: the decisions of a load-balancing proxy for fleets of HTTP servers."""
 
-from badgergap.balancing.balancer import Balancer
-from badgergap.balancing.interface import (
+from badgergap.balancing.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdleConnections,
-    Idempotency,
-    Event,
     Fail,
     FetchEndpoints,
-    Goal,
+    HealthCheck,
+    Log,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from badgergap.balancing.balancer import Balancer
+from badgergap.balancing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointList,
     EndpointListKind,
+    EndpointStatus,
+    Event,
+    HealthCheckEnded,
     ListedEndpoint,
-    Log,
     Outcome,
     PeerMessage,
+    RequestArrived,
+    StreamStarted,
+    TimerFired,
+)
+from badgergap.balancing.settings import (
+    DeduplicationScope,
+    Goal,
+    Idempotency,
     Prices,
-    HealthCheck,
-    HealthCheckEnded,
-    Reject,
     ReportMode,
     Reports,
-    RequestArrived,
     RequestClass,
-    ClientDisconnected,
-    DeduplicationScope,
-    Send,
-    EndpointList,
-    EndpointStatus,
-    SetTimer,
     Settings,
-    StreamStarted,
-    SendPeerMessage,
     Tenant,
-    TimerFired,
-    WatchEndpoints,
 )
 
 __all__ = [
--- a/badgergap/balancing/admission.py
+++ b/badgergap/balancing/admission.py
@@ -12,9 +12,10 @@
 
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.endpoint_table import EndpointTable
-from badgergap.balancing.interface import EndpointStatus, Outcome, RequestClass, Settings
+from badgergap.balancing.events import EndpointStatus, Outcome
 from badgergap.balancing.latency_model import LatencyModel
 from badgergap.balancing.records import Request
+from badgergap.balancing.settings import RequestClass, Settings
 from badgergap.balancing.weight_controller import SLOW_ANSWER_MULTIPLE
 
 TOLERATED_WAIT_SHARE = 0.25  # of the slack under the objective: an answer that waited longer is late
@@ -28,9 +29,8 @@
 IN_FLIGHT_MEMORY_US = 500_000  # time constant of the mean of what is in flight
 BURST_WAIT_SHARE = 0.5  # of the tightest slack that work in flight may take before some is shed at once
 BURST_DOUBT = 2.0  # standard deviations: a few requests of one of many proxies say nothing of the others'
-LIVE_LOAD_PER_CORE = (
-    1.0  # requests held by a core of the fleet, as live weights show it: beyond it, shed more
-)
+# Requests held by a core of the fleet, as live weights show it: beyond it, shed more.
+LIVE_LOAD_PER_CORE = 1.0
 MAX_LIVE_STEPS = 2.0  # steps up after one list with live weights, at the most
 STATISTICS_MEMORY = 500  # first tries after which the counts of offered and served requests are halved
 
--- a/badgergap/balancing/balancer.py
+++ b/badgergap/balancing/balancer.py
@@ -11,24 +11,21 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
+from badgergap.balancing.actions import Action, EndpointView
 from badgergap.balancing.admission import MAX_SHED_FRACTION, AdmissionControl
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.eligibility import Eligibility
 from badgergap.balancing.endpoint_selection import MIN_SUBSET_SIZE, EndpointSelector
 from badgergap.balancing.endpoint_table import EndpointTable
 from badgergap.balancing.event_context import EventContext
-from badgergap.balancing.interface import (
-    Action,
+from badgergap.balancing.events import (
     AttemptEnded,
     ClientDisconnected,
     EndpointList,
     EndpointListKind,
-    EndpointView,
     Event,
     RequestArrived,
-    RequestClass,
     RequestCoalesced,
-    Settings,
     StreamStarted,
     TimerFired,
 )
@@ -37,6 +34,7 @@
 from badgergap.balancing.records import Endpoint, Request
 from badgergap.balancing.request_lifecycle import RequestLifecycle
 from badgergap.balancing.retry_policy import MAX_RETRY_TOKENS
+from badgergap.balancing.settings import RequestClass, Settings
 from badgergap.balancing.slow_start import SlowStart
 from badgergap.balancing.snapshot import LearnedState, decode_snapshot, encode_snapshot
 
@@ -86,6 +84,7 @@
 
     @yields.setter
     def yields(self, value: bool) -> None:
+        """Say whether another process of this proxy serves."""
         self.selector.is_standby = value
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
--- a/badgergap/balancing/eligibility.py
+++ b/badgergap/balancing/eligibility.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from badgergap.balancing.circuit_breaker import BreakerState
-from badgergap.balancing.interface import EndpointStatus
+from badgergap.balancing.events import EndpointStatus
 from badgergap.balancing.latency_model import LatencyModel
 from badgergap.balancing.records import Endpoint
 
--- a/badgergap/balancing/endpoint_selection.py
+++ b/badgergap/balancing/endpoint_selection.py
@@ -12,19 +12,18 @@
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.eligibility import Eligibility
 from badgergap.balancing.endpoint_table import REINSTATED_SPREAD_US, EndpointTable
-from badgergap.balancing.interface import Idempotency, RequestClass, Settings
 from badgergap.balancing.latency_model import LatencyModel
 from badgergap.balancing.ranking import locality_factor, rendezvous_rank
 from badgergap.balancing.records import Endpoint, Request
 from badgergap.balancing.retry_policy import deduplicates, is_repeatable
+from badgergap.balancing.settings import Idempotency, RequestClass, Settings
 from badgergap.balancing.slow_start import SlowStart
 
 MIN_SUBSET_SIZE = 3  # few endpoints fill their breakers' rings, and enough outlive a third that fails
 SUBSET_MEMORY = 0.98  # of the widest subset needed of late, left after each attempt
 IN_FLIGHT_EXPONENT = 4  # how hard what this proxy has in flight at an endpoint lowers its weight
-PRIORITISED_EXPONENT = (
-    4.0  # on the weights, for prioritised classes: the best endpoint is hardly left to chance
-)
+# On the weights, for prioritised classes: the best endpoint is hardly left to chance.
+PRIORITISED_EXPONENT = 4.0
 HOME_FACTOR = 20.0  # on the weight of a sticky key's home: most of its requests go there, not all
 
 Weighted = tuple[float, Endpoint]
--- a/badgergap/balancing/endpoint_table.py
+++ b/badgergap/balancing/endpoint_table.py
@@ -7,15 +7,10 @@
 from operator import attrgetter
 
 from badgergap.balancing.circuit_breaker import CircuitBreaker
-from badgergap.balancing.interface import (
-    EndpointList,
-    EndpointListKind,
-    EndpointStatus,
-    ListedEndpoint,
-    Settings,
-)
+from badgergap.balancing.events import EndpointList, EndpointListKind, EndpointStatus, ListedEndpoint
 from badgergap.balancing.ranking import locality_factor, rendezvous_rank
 from badgergap.balancing.records import Endpoint
+from badgergap.balancing.settings import Settings
 from badgergap.balancing.slow_start import BURST_SHARE, SlowStart
 from badgergap.balancing.weight_controller import MAX_WEIGHT, MIN_WEIGHT
 
--- a/badgergap/balancing/latency_model.py
+++ b/badgergap/balancing/latency_model.py
@@ -9,17 +9,17 @@
 
 from typing import NamedTuple
 
-from badgergap.balancing.interface import RequestArrived, RequestClass
+from badgergap.balancing.events import RequestArrived
 from badgergap.balancing.records import Request
+from badgergap.balancing.settings import RequestClass
 
 SMOOTHING = 0.05  # share of the newest sample in smoothed values
 RECENT_SHARE = 0.2  # share of the newest answer in the mean of the last few
 BASELINE_FALL = 0.05  # share of the way that the baseline falls to a shorter recent mean
-BASELINE_RISE = (
-    0.0005  # relative rise with each answer: an overload must not pass for the usual within seconds
-)
+# Relative rise with each answer: an overload must not pass for the usual within seconds.
+BASELINE_RISE = 0.0005
 BASELINE_PRIOR_ANSWERS = 5  # the first answer moves the baseline by a sixth of the way, later ones by less
-INITIAL_OBJECTIVE_SHARE = 4  # latencies start at the objective over this, above what is likely
+INITIAL_OBJECTIVE_DIVISOR = 4  # latencies start at the objective over this, above what is likely
 SAME_TIMEOUT_TOLERANCE = 0.02  # two client timeouts that differ by less, relatively, are the same
 
 
@@ -45,7 +45,7 @@
     def add_classes(self, classes: tuple[RequestClass, ...], like: tuple[int | None, ...]) -> None:
         """Add classes; one with an index in `like` starts with the latencies of that class."""
         for rules, old in zip(classes, like, strict=True):
-            initial_us = rules.objective_us / INITIAL_OBJECTIVE_SHARE
+            initial_us = rules.objective_us / INITIAL_OBJECTIVE_DIVISOR
             self.smoothed_us.append(initial_us if old is None else self.smoothed_us[old])
             self.baseline_us.append(initial_us if old is None else self.baseline_us[old])
             self.recent_us.append(0.0 if old is None else self.recent_us[old])
--- a/badgergap/balancing/list_polling.py
+++ b/badgergap/balancing/list_polling.py
@@ -4,8 +4,10 @@
 
 import random
 
+from badgergap.balancing.actions import WatchEndpoints
 from badgergap.balancing.event_context import EventContext
-from badgergap.balancing.interface import EndpointList, EndpointListKind, Settings, WatchEndpoints
+from badgergap.balancing.events import EndpointList, EndpointListKind
+from badgergap.balancing.settings import Settings
 
 FIRST_POLL_SHARE = 0.1  # of the longest allowed poll interval: the first poll falls within it
 BACKOFF_DIVISOR = 40  # of the same interval: the first wait is at most two such parts
--- a/badgergap/balancing/outcome_evaluation.py
+++ b/badgergap/balancing/outcome_evaluation.py
@@ -6,7 +6,7 @@
 from badgergap.balancing.circuit_breaker import BreakerState, common_failure_share
 from badgergap.balancing.endpoint_table import EndpointTable
 from badgergap.balancing.event_context import EventContext
-from badgergap.balancing.interface import Outcome
+from badgergap.balancing.events import Outcome
 from badgergap.balancing.latency_model import LatencyModel
 from badgergap.balancing.records import Attempt, Endpoint, Request
 from badgergap.balancing.weight_controller import is_slow, next_weight
--- a/badgergap/balancing/records.py
+++ b/badgergap/balancing/records.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass, field
 
 from badgergap.balancing.circuit_breaker import CircuitBreaker
-from badgergap.balancing.interface import EndpointStatus, ListedEndpoint, RequestClass
+from badgergap.balancing.events import EndpointStatus, ListedEndpoint
+from badgergap.balancing.settings import RequestClass
 
 
 @dataclass(slots=True, eq=False)
--- a/badgergap/balancing/retry_policy.py
+++ b/badgergap/balancing/retry_policy.py
@@ -5,15 +5,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from badgergap.balancing.interface import (
-    NEVER_RAN,
-    DeduplicationScope,
-    Idempotency,
-    Outcome,
-    RequestClass,
-    Settings,
-)
+from badgergap.balancing.events import NEVER_RAN, Outcome
 from badgergap.balancing.records import Attempt, Endpoint, Request
+from badgergap.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 RETRIES_PER_FIRST_TRY = 0.2  # tokens that a first try earns
 MAX_RETRY_TOKENS = 2.0  # saved up at the most: hundreds of proxies spend theirs together
--- a/badgergap/balancing/slow_start.py
+++ b/badgergap/balancing/slow_start.py
@@ -9,12 +9,11 @@
 
 from dataclasses import dataclass
 
-from badgergap.balancing.interface import Settings
 from badgergap.balancing.records import Endpoint
+from badgergap.balancing.settings import Settings
 
-BUDGET_MARGIN = (
-    0.5  # part of the overload budget that is planned with; the rest is for misjudged work and chance
-)
+# Part of the overload budget that is planned with; the rest is for misjudged work and chance.
+BUDGET_MARGIN = 0.5
 BURST_SHARE = 0.25  # part of the budget that may come at once; the rest comes steadily over the window
 
 
--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -1,17 +1,17 @@
 """The breaker's cycle and the weight controller, by example."""
 
-from tests.helpers import Driver, sends, trip
-from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, Outcome
 from badgergap.balancing.circuit_breaker import (
-    BreakerState,
-    CircuitBreaker,
-    common_failure_share,
     FIRST_COOLDOWN_US,
     MINIMUM_OUTCOMES,
     RING_SIZE,
     TRIAL_COUNT,
+    BreakerState,
+    CircuitBreaker,
+    common_failure_share,
 )
+from badgergap.balancing.interface import EndpointListKind, ListedEndpoint, Outcome
 from badgergap.balancing.weight_controller import MAX_WEIGHT, MIN_WEIGHT, WEIGHT_CUT, WEIGHT_STEP, next_weight
+from tests.helpers import Driver, sends, trip
 
 
 def tripped() -> CircuitBreaker:
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, Outcome, Prices, EndpointStatus
+from badgergap.balancing.interface import EndpointListKind, EndpointStatus, ListedEndpoint, Outcome, Prices
 from tests.helpers import SETTINGS, START_US, Driver, sends
 
 WARM_US = 20_000_000
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -7,33 +7,33 @@
 
 import pytest
 
-from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, crowd, finals, sends, timers, trip
+from badgergap.balancing.admission import MAX_SHED_STEP, AdmissionControl
+from badgergap.balancing.eligibility import OVERDUE_MULTIPLE
+from badgergap.balancing.endpoint_selection import MIN_SUBSET_SIZE
+from badgergap.balancing.event_context import LOG_GAP_US
 from badgergap.balancing.interface import (
     Cancel,
+    ClientDisconnected,
+    DeduplicationScope,
+    EndpointList,
+    EndpointListKind,
+    EndpointStatus,
     Fail,
     ListedEndpoint,
-    EndpointListKind,
     Log,
     Outcome,
     Prices,
     Reject,
     RequestArrived,
     RequestClass,
-    ClientDisconnected,
-    DeduplicationScope,
-    EndpointList,
-    EndpointStatus,
     Settings,
     StreamStarted,
     TimerFired,
     WatchEndpoints,
 )
-from badgergap.balancing.admission import MAX_SHED_STEP, AdmissionControl
-from badgergap.balancing.eligibility import OVERDUE_MULTIPLE
-from badgergap.balancing.endpoint_selection import MIN_SUBSET_SIZE
-from badgergap.balancing.event_context import LOG_GAP_US
 from badgergap.balancing.ranking import rendezvous_rank
 from badgergap.balancing.records import Attempt
+from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, crowd, finals, sends, timers, trip
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -8,32 +8,32 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import SETTINGS, START_US
+from badgergap.balancing.balancer import Balancer
 from badgergap.balancing.interface import (
     MAY_STILL_RUN,
     NEVER_RAN,
     Action,
     AttemptEnded,
     Cancel,
-    Idempotency,
+    ClientDisconnected,
+    DeduplicationScope,
+    EndpointList,
+    EndpointListKind,
+    EndpointStatus,
     Event,
     Fail,
+    Idempotency,
     ListedEndpoint,
-    EndpointListKind,
     Outcome,
     Reject,
     RequestArrived,
     RequestClass,
-    ClientDisconnected,
-    DeduplicationScope,
     Send,
-    EndpointList,
-    EndpointStatus,
     SetTimer,
     Settings,
     TimerFired,
 )
-from badgergap.balancing.balancer import Balancer
+from tests.helpers import SETTINGS, START_US
 
 GROUP = {n: n // 3 for n in range(6)}
 
--- a/tests/balancing/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from badgergap.balancing.eligibility import OVERDUE_MULTIPLE
 from badgergap.balancing.circuit_breaker import BreakerState
-from badgergap.balancing.interface import AttemptEnded, Outcome, ClientDisconnected, StreamStarted
+from badgergap.balancing.eligibility import OVERDUE_MULTIPLE
+from badgergap.balancing.interface import AttemptEnded, ClientDisconnected, Outcome, StreamStarted
 from tests.helpers import SAFE, SETTINGS, UNSAFE, Driver, finals, sends
 
 VARIED = replace(SETTINGS, work_varies=True, hedging_allowed=False)
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -7,11 +7,11 @@
 from badgergap.balancing.balancer import Balancer
 from badgergap.balancing.circuit_breaker import FIRST_COOLDOWN_US
 from badgergap.balancing.interface import (
-    ListedEndpoint,
+    EndpointList,
     EndpointListKind,
+    ListedEndpoint,
     Outcome,
     RequestClass,
-    EndpointList,
     Settings,
 )
 from tests.helpers import START_US, Driver, sends, trip
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,26 +4,26 @@
 
 from dataclasses import replace
 
+from badgergap.balancing.balancer import Balancer
+from badgergap.balancing.circuit_breaker import MINIMUM_OUTCOMES, BreakerState, CircuitBreaker
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
-    Idempotency,
+    DeduplicationScope,
+    EndpointList,
+    EndpointListKind,
     Event,
     Fail,
+    Idempotency,
     ListedEndpoint,
-    EndpointListKind,
     Outcome,
     Reject,
     RequestArrived,
     RequestClass,
-    DeduplicationScope,
     Send,
-    EndpointList,
     SetTimer,
     Settings,
 )
-from badgergap.balancing.balancer import Balancer
-from badgergap.balancing.circuit_breaker import BreakerState, CircuitBreaker, MINIMUM_OUTCOMES
 
 SAFE = RequestClass(
     objective_us=200_000,
