--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -248,7 +248,7 @@
             seen = proxy.roster.view(max(1, SHOWN - len(hosts)), now_us - GONE_SHOWN_US)
             numbers = [host.entry.listed.endpoint_id for host in seen]
             hosts += seen
-            servers += proxy.balancer.look(now_us, numbers)
+            servers += proxy.balancer.endpoint_views(now_us, numbers)
             connecting |= proxy.upstream.connecting()
             if proxy is not self.proxy:
                 pools |= dict.fromkeys(numbers, pool)
@@ -454,7 +454,7 @@
         proxy = self._proxy_of(box)
         entry = proxy.roster.entry(box)
         number = entry.listed.endpoint_id if entry is not None else -1
-        return sum(view.in_flight + view.streams for view in proxy.balancer.look(0, [number]))
+        return sum(view.in_flight + view.streams for view in proxy.balancer.endpoint_views(0, [number]))
 
     def _result(self, action: str, do: str, box: str, by: str, changed: bool, kept: bool) -> ActionResult:
         return ActionResult(
--- a/badgergap/balancing/balancer.py
+++ b/badgergap/balancing/balancer.py
@@ -63,7 +63,7 @@
         )
 
     @property
-    def servers(self) -> dict[int, Endpoint]:
+    def endpoints(self) -> dict[int, Endpoint]:
         """The endpoints that are known, by identifier."""
         return self.table.by_id
 
@@ -73,17 +73,17 @@
         return self.lifecycle.requests
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """Attempts in flight at all endpoints, those not counted whose clients have taken them over."""
         return self.admission.in_flight
 
     @property
-    def yields(self) -> bool:
+    def is_standby(self) -> bool:
         """Whether another process of this proxy serves: then warming endpoints are sent nothing from here."""
         return self.selector.is_standby
 
-    @yields.setter
-    def yields(self, value: bool) -> None:
+    @is_standby.setter
+    def is_standby(self, value: bool) -> None:
         """Say whether another process of this proxy serves."""
         self.selector.is_standby = value
 
@@ -118,7 +118,7 @@
         if self.settings.weights_follow_load and self.table.by_id:
             self.admission.follow_live_weights(self.table.mean_load_per_core())
 
-    def is_able(self, now_us: int, request_class: int) -> bool:
+    def has_eligible_endpoint(self, now_us: int, request_class: int) -> bool:
         """Whether any endpoint may be sent a request of this class: else another pool may serve it."""
         self.context.now_us = now_us = max(now_us, self.context.now_us)
         is_eligible = self.eligibility.is_eligible
@@ -136,7 +136,9 @@
         self.selector.set_classes(self.settings.classes)
         self.lifecycle.classes = self.settings.classes
 
-    def look(self, now_us: int, endpoint_ids: Iterable[int] | None = None) -> tuple[EndpointView, ...]:
+    def endpoint_views(
+        self, now_us: int, endpoint_ids: Iterable[int] | None = None
+    ) -> tuple[EndpointView, ...]:
         """Return what is made of each endpoint, or of these, for people to see. Changes nothing."""
         now_us = max(now_us, self.context.now_us)
         known = self.table.by_id
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -185,7 +185,7 @@
             return
         for name, proxy in self.proxies().items():
             learnt = will.learnt if name == MAIN else will.pools.get(name)
-            servers = proxy.balancer.servers.values()
+            servers = proxy.balancer.endpoints.values()
             if proxy in self.taught or learnt is None or not servers or any(s.used for s in servers):
                 continue
             self.taught.add(proxy)
@@ -329,7 +329,7 @@
         self.heir = link
         self.listen_no_more()
         for proxy in self.proxies().values():
-            proxy.balancer.yields = True
+            proxy.balancer.is_standby = True
             proxy.upstream.close_all_idle()
         self.downstream.give_way(self.give)
         for name, part in self.parts.items():
@@ -363,7 +363,7 @@
             return
         log.warning("the process that took the clients has gone: they are taken here again")
         for proxy in self.proxies().values():
-            proxy.balancer.yields = False
+            proxy.balancer.is_standby = False
         if self.config.listen is not None:
             self.downstream.take_back()
         for part in self.parts.values():
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -424,7 +424,7 @@
 
     def is_able(self, klass: int) -> bool:
         """Whether any host may be given a request of this class now."""
-        return self.balancer.is_able(self.clock.now_us(), klass)
+        return self.balancer.has_eligible_endpoint(self.clock.now_us(), klass)
 
     def leave(self, request: Request) -> None:
         """The client has closed its connection."""
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -111,7 +111,7 @@
     def teach(self) -> None:
         own = next((seat for seat in self.seats if seat.name == self.copies.options.name), None)
         proxies = self.proxies()
-        boxes = sum(len(proxy.balancer.servers) for proxy in proxies.values())
+        boxes = sum(len(proxy.balancer.endpoints) for proxy in proxies.values())
         if own is None or not proxies:
             return
         lesson = None
@@ -142,13 +142,15 @@
 
     def touched(self) -> bool:
         """Whether something was sent to a box: what is learnt from then on is newer than any lesson."""
-        servers = (server for proxy in self.proxies().values() for server in proxy.balancer.servers.values())
+        servers = (
+            server for proxy in self.proxies().values() for server in proxy.balancer.endpoints.values()
+        )
         return any(server.used for server in servers)
 
     def take_back(self, name: str, have: Have) -> bool:
         """Whether that is over: taken, or of no use. Not while no list of boxes is known yet."""
         proxies = self.proxies()
-        if not any(proxy.balancer.servers for proxy in proxies.values()):
+        if not any(proxy.balancer.endpoints for proxy in proxies.values()):
             return False
         try:
             lesson = learned_state.unpack(have.lesson)
@@ -173,4 +175,4 @@
         older = learned_state.aged(raw, age_us, now_us - age_us - lesson.taken_us)
         proxy.balancer.restore(now_us, older)
         known: Any = {server[0] for server in older["servers"]}
-        return len(known & proxy.balancer.servers.keys())
+        return len(known & proxy.balancer.endpoints.keys())
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -177,7 +177,7 @@
     watcher = loop.create_task(watch_stalls())
     began = time.perf_counter()
     await it.start()
-    while len(it.balancer.servers) < hosts:
+    while len(it.balancer.endpoints) < hosts:
         await asyncio.sleep(0.001)
     took = time.perf_counter() - began
     watching = False
--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -104,7 +104,7 @@
         actions = driver.end(name, server, Outcome.ERROR if server == 0 else Outcome.SUCCESS)
         for again in sends(actions):
             driver.end(name, again.endpoint_id, attempt=1)
-    assert driver.balancer.servers[0].breakers[0].state is BreakerState.OPEN
+    assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
     for _ in range(50):
         name, actions = driver.arrive()
         assert sends(actions)[0].endpoint_id != 0
@@ -113,7 +113,7 @@
 
 def test_weight_steps_up_and_is_cut() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints[0]
     server.weight = 0.5
     name, _ = driver.arrive()
     driver.end(name, 0)
@@ -125,7 +125,7 @@
 
 def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints[0]
     name, _ = driver.arrive()
     driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
     assert server.weight == MAX_WEIGHT * WEIGHT_CUT
@@ -133,7 +133,7 @@
 
 def test_weight_stays_between_floor_and_ceiling() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints[0]
     for _ in range(40):
         server.weight = next_weight(server.weight, True)
     assert server.weight == MIN_WEIGHT
@@ -144,15 +144,15 @@
 
 def test_a_newcomer_starts_at_the_mean_weight() -> None:
     driver = Driver(servers=2)
-    driver.balancer.servers[0].weight = 0.2
-    driver.balancer.servers[1].weight = 0.6
+    driver.balancer.endpoints[0].weight = 0.2
+    driver.balancer.endpoints[1].weight = 0.6
     driver.list_servers(ListedEndpoint(9), kind=EndpointListKind.DELTA)
-    assert driver.balancer.servers[9].weight == 0.4
+    assert driver.balancer.endpoints[9].weight == 0.4
 
 
 def test_a_closed_again_server_regains_its_weight() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints[0]
     for _ in range(MINIMUM_OUTCOMES):
         name, actions = driver.arrive(klass=2)
         assert sends(actions)
@@ -176,7 +176,7 @@
         server = sends(actions)[0].endpoint_id
         failed = server == 0 and n % 3 == 2
         driver.end(name, server, Outcome.ERROR if failed else Outcome.SUCCESS)
-    states = [breaker.state for breaker in driver.balancer.servers[0].breakers]
+    states = [breaker.state for breaker in driver.balancer.endpoints[0].breakers]
     assert states == [BreakerState.CLOSED, BreakerState.CLOSED, BreakerState.CLOSED, BreakerState.OPEN]
     to_0 = dict.fromkeys(range(3), 0)
     for n in range(60):
@@ -190,16 +190,16 @@
     """Where handshakes were slow, one failed connect shut out servers whose open connections worked."""
     driver = Driver(servers=1)
     for n in range(MINIMUM_OUTCOMES):
-        assert driver.balancer.servers[0].breakers[0].state is BreakerState.CLOSED
+        assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.CLOSED
         name, actions = driver.arrive(klass=n % 3)
         driver.end(name, sends(actions)[0].endpoint_id, Outcome.CONNECT_FAILED)
-    assert driver.balancer.servers[0].breakers[0].state is BreakerState.OPEN
+    assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
 
 
 def test_a_jam_does_not_open_one_breaker_after_the_other() -> None:
     """Each one that opened left its work to the rest, until nine of twelve were open and all was refused."""
     driver = Driver(servers=12)
-    servers = list(driver.balancer.servers.values())
+    servers = list(driver.balancer.endpoints.values())
     for server in servers[:4]:
         trip(server.breakers[0], driver.now_us)
     rest = servers[4]
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -42,7 +42,7 @@
 
 
 def share(driver: Driver, number: int) -> float:
-    (view,) = driver.balancer.look(driver.now_us, [number])
+    (view,) = driver.balancer.endpoint_views(driver.now_us, [number])
     return view.warm_up_fraction
 
 
@@ -94,7 +94,7 @@
     driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0), zones=2), servers=0)
     near = [ListedEndpoint(n) for n in range(6)]
     driver.list_servers(*near, ListedEndpoint(6, zone=1))
-    driver.balancer.servers[6].used = True
+    driver.balancer.endpoints[6].used = True
     for status in (OUT, READY):
         driver.list_servers(ListedEndpoint(6, status, zone=1), kind=EndpointListKind.DELTA)
     began_us = driver.now_us
@@ -115,14 +115,14 @@
 
 def test_a_breaker_that_opened_before_does_not_outlive_the_call_back() -> None:
     driver = Driver(COLD)
-    while not driver.balancer.look(driver.now_us, [1])[0].open_until_us:
+    while not driver.balancer.endpoint_views(driver.now_us, [1])[0].open_until_us:
         name, actions = driver.arrive()
         for send in sends(actions):
             driver.end(name, send.endpoint_id, Outcome.ERROR if send.endpoint_id == 1 else Outcome.SUCCESS)
         driver.now_us += 5_000
     tell(driver, 1, OUT)
     tell(driver, 1, READY)
-    assert not driver.balancer.look(driver.now_us, [1])[0].open_until_us
+    assert not driver.balancer.endpoint_views(driver.now_us, [1])[0].open_until_us
 
 
 STEPS = st.lists(
@@ -164,5 +164,5 @@
         tell(driver, number, status[number], since[number])
         if status[number] is READY and driver.now_us == cold_from[number]:
             assert share(driver, number) < 1.0
-    assert all(s.entry.status is status[n] for n, s in driver.balancer.servers.items())
+    assert all(s.entry.status is status[n] for n, s in driver.balancer.endpoints.items())
     assert driver.now_us >= START_US
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -88,7 +88,7 @@
     assert copy.endpoint_id != first
     assert driver.end(name, copy.endpoint_id, attempt=1) == [Cancel(name, 0)]
     driver.end(name, first, Outcome.CANCELLED)
-    assert driver.balancer.servers[first].breakers[0].failures == 1  # overdue, so the silence counts
+    assert driver.balancer.endpoints[first].breakers[0].failures == 1  # overdue, so the silence counts
     assert not driver.balancer.requests
 
 
@@ -122,7 +122,7 @@
 
 def test_an_unsafe_request_is_no_trial() -> None:
     driver = Driver(servers=2)
-    breaker = driver.balancer.servers[0].breakers[0]
+    breaker = driver.balancer.endpoints[0].breakers[0]
     trip(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     for _ in range(2):
@@ -138,7 +138,7 @@
 
 def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
     driver = Driver(servers=2)
-    for number, server in driver.balancer.servers.items():
+    for number, server in driver.balancer.endpoints.items():
         trip(server.breakers[0], driver.now_us + number * 100_000)
     driver.now_us += 400_000
     name, actions = driver.arrive()
@@ -227,10 +227,10 @@
 
 def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
     driver = Driver(servers=3)
-    driver.balancer.servers[1].breakers[0].record(0, True, 0, 0.0)
+    driver.balancer.endpoints[1].breakers[0].record(0, True, 0, 0.0)
     driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
-    assert list(driver.balancer.servers) == [1]
-    assert driver.balancer.servers[1].breakers[0].failures == 0
+    assert list(driver.balancer.endpoints) == [1]
+    assert driver.balancer.endpoints[1].breakers[0].failures == 0
 
 
 def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
@@ -244,7 +244,7 @@
         assert 0 < timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us
         driver.now_us = timer.due_us
         assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
-    assert list(driver.balancer.servers) == [1]
+    assert list(driver.balancer.endpoints) == [1]
 
 
 def test_nothing_is_kept_of_what_is_finished() -> None:
@@ -263,9 +263,9 @@
     for timer in driver.timers:
         driver.handle(TimerFired(timer.token))
     balancer = driver.balancer
-    assert not balancer.requests and len(balancer.servers) == 4
+    assert not balancer.requests and len(balancer.endpoints) == 4
     assert not balancer.context.timers
-    assert len(balancer.table.ranked) == 4 and balancer.out == 0
+    assert len(balancer.table.ranked) == 4 and balancer.in_flight == 0
 
 
 def test_a_clock_that_steps_back_stands_still() -> None:
@@ -411,7 +411,7 @@
         driver = Driver(cold, servers=0)
         driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
         driver.balancer.latency.baseline_us, driver.balancer.latency.smoothed_us = [10_000.0], [usual_us]
-        driver.balancer.servers[1].spent_us = 0.0
+        driver.balancer.endpoints[1].spent_us = 0.0
         sent.append(sum(bool(sends(driver.arrive()[1])) for _ in range(300)))
     assert sent[0] == sent[1] > 10
 
@@ -586,7 +586,7 @@
 def test_a_server_keeps_its_weight_from_before_the_trip() -> None:
     """Late outcomes and failed trials cut the weight that a recovering server was to come back with."""
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints[0]
     names = [driver.arrive(klass=2)[0] for _ in range(2)]
     trip(server.breakers[0], driver.now_us)
     weight = server.weight
@@ -739,4 +739,4 @@
     second, answer = driver.arrive()
     assert finals(answer) == [Reject(second)]
     assert finals(driver.end(first, sends(actions)[0].endpoint_id, Outcome.RESET)) == [Fail(first)]
-    assert not driver.balancer.requests and driver.balancer.out == 0
+    assert not driver.balancer.requests and driver.balancer.in_flight == 0
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -240,7 +240,7 @@
         assert case.done, "a request was left without its final answer"
     balancer = world.balancer
     assert not balancer.requests and not balancer.context.timers and not balancer.lifecycle.ordering.queues
-    assert all(not s.in_flight for s in balancer.servers.values())
+    assert all(not s.in_flight for s in balancer.endpoints.values())
 
 
 @pytest.mark.parametrize("seed", [1, 7])
--- a/tests/balancing/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -30,8 +30,8 @@
     for name, _ in names:
         driver.handle(StreamStarted(name, 0, latency_us=10_000))
     balancer = driver.balancer
-    (server,) = balancer.servers.values()
-    assert balancer.out == 0 and server.streams == 5 and not server.in_flight
+    (server,) = balancer.endpoints.values()
+    assert balancer.in_flight == 0 and server.streams == 5 and not server.in_flight
     driver.now_us += 3_600_000_000
     assert not balancer.eligibility.is_silent(server, balancer.context.now_us) and driver.arrive()[1]
     for name, number in names:
@@ -49,7 +49,7 @@
         driver.now_us += 1_000_000
         ended = AttemptEnded(name, 0, number, outcome, 1_000_000, finished=True)
         assert not finals(driver.handle(ended))  # its client has had what it gets
-    (server,) = driver.balancer.servers.values()
+    (server,) = driver.balancer.endpoints.values()
     opened = server.breakers[0].state is BreakerState.OPEN
     assert opened is (outcome in (Outcome.RESET, Outcome.TIMEOUT))
 
@@ -58,10 +58,10 @@
     driver = Driver(servers=3)
     name, number = begin(driver)
     driver.handle(StreamStarted(name, 0, answered=False))
-    assert driver.balancer.out == 0
+    assert driver.balancer.in_flight == 0
     actions = driver.end(name, number, Outcome.RESET)
     assert not sends(actions) and len(finals(actions)) == 1
-    assert driver.balancer.servers[number].breakers[0].failures == 1
+    assert driver.balancer.endpoints[number].breakers[0].failures == 1
     name, number = begin(driver)
     driver.handle(StreamStarted(name, 0, answered=False))
     assert [type(a).__name__ for a in driver.handle(ClientDisconnected(name))] == ["Cancel"]
@@ -69,7 +69,7 @@
 
 def test_one_long_attempt_does_not_silence_a_server_whose_work_varies_and_two_do() -> None:
     driver = Driver(VARIED, servers=1)
-    (server,) = driver.balancer.servers.values()
+    (server,) = driver.balancer.endpoints.values()
     begin(driver)
     pass_time(driver)
     assert not driver.balancer.eligibility.is_silent(server, driver.balancer.context.now_us)
@@ -79,7 +79,7 @@
     server.answered_us = driver.now_us  # a sign of life
     assert not driver.balancer.eligibility.is_silent(
         server, driver.balancer.context.now_us
-    ) and driver.balancer.is_able(driver.now_us, 0)
+    ) and driver.balancer.has_eligible_endpoint(driver.now_us, 0)
 
 
 def test_servers_that_work_on_many_at_once_are_not_crowded_by_them() -> None:
@@ -105,4 +105,4 @@
     for klass in (3, 4):
         name, number = begin(driver, klass)
         driver.end(name, number, Outcome.ERROR)
-        assert balancer.servers[number].breakers[klass + 1].failures == 1
+        assert balancer.endpoints[number].breakers[klass + 1].failures == 1
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -19,20 +19,20 @@
 
 def test_a_look_names_open_silent_and_cold_servers() -> None:
     driver = Driver(servers=3)
-    trip(driver.balancer.servers[0].breakers[0], START_US)
+    trip(driver.balancer.endpoints[0].breakers[0], START_US)
     _, actions = driver.arrive()
     (send,) = sends(actions)
-    views = {view.endpoint_id: view for view in driver.balancer.look(START_US + 60_000_000)}
+    views = {view.endpoint_id: view for view in driver.balancer.endpoint_views(START_US + 60_000_000)}
     assert views[send.endpoint_id].overdue and views[send.endpoint_id].in_flight == 1
     assert views[0].half_open and views[0].open_until_us == 0  # its rest would be over by then
-    now = {view.endpoint_id: view for view in driver.balancer.look(START_US)}
+    now = {view.endpoint_id: view for view in driver.balancer.endpoint_views(START_US)}
     assert now[0].open_until_us == START_US + FIRST_COOLDOWN_US and not now[0].half_open
     assert not now[send.endpoint_id].overdue
 
 
 def test_a_look_at_some_of_them() -> None:
     driver = Driver(servers=5)
-    assert [view.endpoint_id for view in driver.balancer.look(START_US, [3, 99, 1])] == [3, 1]
+    assert [view.endpoint_id for view in driver.balancer.endpoint_views(START_US, [3, 99, 1])] == [3, 1]
 
 
 def test_a_look_at_a_cold_server_follows_the_clock() -> None:
@@ -41,14 +41,16 @@
     balancer.handle(
         5_000_000, EndpointList(EndpointListKind.FULL, (ListedEndpoint(1, started_us=5_000_000),))
     )
-    shares = [balancer.look(5_000_000 + step)[0].warm_up_fraction for step in (0, 500_000, 1_000_000)]
+    shares = [
+        balancer.endpoint_views(5_000_000 + step)[0].warm_up_fraction for step in (0, 500_000, 1_000_000)
+    ]
     assert shares == pytest.approx([0.2, 0.6, 1.0])
 
 
 def test_looking_decides_nothing() -> None:
     looked, left = Driver(seed=5), Driver(seed=5)
     for step in range(40):
-        looked.balancer.look(looked.now_us + 10_000_000)
+        looked.balancer.endpoint_views(looked.now_us + 10_000_000)
         one, other = looked.arrive(), left.arrive()
         assert one == other
         for driver, (name, actions) in ((looked, one), (left, other)):
--- a/tests/h3/test_boxes.py
+++ b/tests/h3/test_boxes.py
@@ -173,7 +173,7 @@
             text = it.setup.path.read_text()
             await it.reload(text.replace(hidden.address, f"127.0.0.1:{relay.address[1]}"))
             asked = [asyncio.create_task(ask(it, "POST", "/upload", b"r")) for _ in range(20)]
-            while not it.proxy.balancer.servers[number(it, hidden.name)].in_flight:
+            while not it.proxy.balancer.endpoints[number(it, hidden.name)].in_flight:
                 await asyncio.sleep(0.01)
             it.proxy.drain(hidden.name, "test")
             await asyncio.sleep(0.55)
@@ -209,7 +209,7 @@
             assert (await stays.answer())[0] == 200
             while it.proxy.requests:
                 await asyncio.sleep(0.001)
-            assert len(hidden.runs) == 1 and it.proxy.balancer.out == 0
+            assert len(hidden.runs) == 1 and it.proxy.balancer.in_flight == 0
             relay.stop()
 
     run(test(), 60)
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -121,7 +121,7 @@
     """Another process: the same list, and what the first has learnt, by way of JSON."""
     heir = Driver(driver.balancer.settings, servers=0)
     heir.now_us = driver.now_us
-    heir.list_servers(*(s.entry for s in driver.balancer.servers.values()), kind=EndpointListKind.DISK)
+    heir.list_servers(*(s.entry for s in driver.balancer.endpoints.values()), kind=EndpointListKind.DISK)
     heir.balancer.restore(heir.now_us, json.loads(json.dumps(driver.balancer.snapshot())))
     return heir
 
@@ -133,7 +133,7 @@
     tell(driver, used[-1], EndpointStatus.OUT)
     tell(driver, 5, EndpointStatus.READY, started_us=driver.now_us - 1_000_000)
     serve(driver, 100)
-    while not driver.balancer.look(driver.now_us, [1])[0].open_until_us:
+    while not driver.balancer.endpoint_views(driver.now_us, [1])[0].open_until_us:
         name, actions = driver.arrive(driver.count % 2)
         for send in sends(actions):
             driver.now_us += 1_000
@@ -146,25 +146,27 @@
     heir = heir_of(driver)
     assert heir.balancer.snapshot() == driver.balancer.snapshot()
     now_us = driver.now_us
-    assert heir.balancer.look(now_us) == tuple(replace(v, in_flight=0) for v in driver.balancer.look(now_us))
-    views = {view.endpoint_id: view for view in heir.balancer.look(now_us)}
+    assert heir.balancer.endpoint_views(now_us) == tuple(
+        replace(v, in_flight=0) for v in driver.balancer.endpoint_views(now_us)
+    )
+    views = {view.endpoint_id: view for view in heir.balancer.endpoint_views(now_us)}
     assert views[1].open_until_us > now_us and views[5].warm_up_fraction < 1.0
-    assert any(s.spent_us > 0.0 for s in heir.balancer.servers.values())
+    assert any(s.spent_us > 0.0 for s in heir.balancer.endpoints.values())
 
 
 def test_a_trial_is_owed_anew() -> None:
     driver = worked()
-    driver.now_us = driver.balancer.look(driver.now_us, [1])[0].open_until_us + 1
-    breaker = driver.balancer.servers[1].breakers[0]
+    driver.now_us = driver.balancer.endpoint_views(driver.now_us, [1])[0].open_until_us + 1
+    breaker = driver.balancer.endpoints[1].breakers[0]
     assert breaker.allows(driver.now_us) and breaker.take_trial() and breaker.trials_in_flight
     heir = heir_of(driver)
-    (view,) = heir.balancer.look(heir.now_us, [1])
-    assert view.half_open and not heir.balancer.servers[1].breakers[0].trials_in_flight
+    (view,) = heir.balancer.endpoint_views(heir.now_us, [1])
+    assert view.half_open and not heir.balancer.endpoints[1].breakers[0].trials_in_flight
 
 
 def test_a_host_put_back_stays_cold_for_the_next_process() -> None:
     driver = worked()
-    (out,) = (n for n, s in driver.balancer.servers.items() if s.entry.status is EndpointStatus.OUT)
+    (out,) = (n for n, s in driver.balancer.endpoints.items() if s.entry.status is EndpointStatus.OUT)
     tell(driver, out, EndpointStatus.READY)
     driver.now_us += 2_000_000
     heir = heir_of(driver)
@@ -177,7 +179,7 @@
     driver = worked()
     heir = Driver(COLD, servers=0)
     heir.now_us = driver.now_us
-    entries = [s.entry for s in driver.balancer.servers.values()]
+    entries = [s.entry for s in driver.balancer.endpoints.values()]
     started = replace(entries[2], started_us=driver.now_us)
     heir.list_servers(
         *(started if e.endpoint_id == entries[2].endpoint_id else e for e in entries),
@@ -212,7 +214,7 @@
 def test_a_process_whose_heir_serves_sends_cold_hosts_nothing() -> None:
     driver = Driver(COLD, servers=0)
     driver.list_servers(ListedEndpoint(0, started_us=driver.now_us), ListedEndpoint(1))
-    driver.balancer.yields = True
+    driver.balancer.is_standby = True
     assert set(serve(driver, 60)) == {1}
 
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -57,7 +57,7 @@
 def nothing_left(it: Gateway) -> None:
     """No request, id, attempt or place is held for anything that is over."""
     assert not it.proxy.requests and it.proxy.open == 0 and not it.downstream.intake.open_ids
-    assert it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
+    assert it.proxy.balancer.in_flight == 0 and not it.proxy.balancer.requests
     assert it.downstream.budget.used == 0
     assert not any(c.exchange is not None for c in it.proxy.upstream.connections)
 
@@ -594,7 +594,7 @@
             client = await it.client()
             client.send(ask("buy", body=b"x" * 100))
             taken = await it.host.taken.get()
-            assert it.proxy.balancer.out == 1
+            assert it.proxy.balancer.in_flight == 1
             taken.raw(says)
             if closes:
                 await taken.writer.drain()
@@ -604,7 +604,9 @@
                     taken.writer.close()
             if again:
                 second = await it.host.taken.get()
-                assert second.head["request-id"] == taken.head["request-id"] and it.proxy.balancer.out == 1
+                assert (
+                    second.head["request-id"] == taken.head["request-id"] and it.proxy.balancer.in_flight == 1
+                )
                 second.answer()
                 assert (await client.answer())[0] == 200
             else:
@@ -786,7 +788,7 @@
             _, watch = await it.registry.watches.get()
             client = await it.client()
             await it.served(client)
-            (server,) = it.proxy.balancer.servers.values()
+            (server,) = it.proxy.balancer.endpoints.values()
             assert (
                 it.proxy.balancer.slow_start.capacity_fraction(server, it.proxy.balancer.context.now_us)
                 == 1.0
@@ -794,9 +796,9 @@
             now_ms = it.proxy.clock.now_us() // 1000
             watch.write(chunk(news(entry("h0", it.host.address, "left"))))
             watch.write(chunk(news(entry("h0", it.host.address, since_ms=now_ms), index=2)))
-            await until(lambda: any(s.start_us for s in it.proxy.balancer.servers.values()))
+            await until(lambda: any(s.start_us for s in it.proxy.balancer.endpoints.values()))
             await it.host.left.get()
-            (again,) = it.proxy.balancer.servers.values()
+            (again,) = it.proxy.balancer.endpoints.values()
             assert (
                 again is not server
                 and it.proxy.balancer.slow_start.capacity_fraction(again, it.proxy.balancer.context.now_us)
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -30,7 +30,7 @@
 def experienced() -> Driver:
     """Box 0 has failed until its breaker opened; box 1 has served."""
     driver = Driver()
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints[0]
     server.weight = MIN_WEIGHT
     trip(server.breakers[0], driver.now_us)
     for _ in range(20):
@@ -51,7 +51,7 @@
 def test_a_lesson_goes_on_where_it_was_whatever_the_clocks_say(skew_us: int) -> None:
     """A breaker that had so long to go has as long to go, less what has passed."""
     old = experienced()
-    left_us = old.balancer.servers[0].breakers[0].open_until_us - old.now_us
+    left_us = old.balancer.endpoints[0].breakers[0].open_until_us - old.now_us
     raw = carried(old.balancer.snapshot())
     new = Driver()
     now_us = START_US + 7_200 * S + skew_us
@@ -59,7 +59,7 @@
     older = learned_state.aged(raw, age_us, now_us - age_us - old.now_us)
     new.balancer.restore(now_us, older)
     new.now_us = now_us
-    breaker = new.balancer.servers[0].breakers[0]
+    breaker = new.balancer.endpoints[0].breakers[0]
     assert breaker.state is BreakerState.OPEN and breaker.open_until_us - now_us == left_us - age_us
     assert {a.server for _ in range(40) for a in new.arrive()[1] if hasattr(a, "server")} <= {1, 2}
     assert new.balancer.latency.smoothed_us == old.balancer.latency.smoothed_us
@@ -135,7 +135,7 @@
     assert room_of(Driver(servers=0)).take_back("g1", Have(good, S)) is False  # until there is a list
     room = room_of(taken := Driver())
     assert room.take_back("g1", Have(good, S)) and room.taken_back == 3
-    assert taken.balancer.servers[0].breakers[0].state is BreakerState.OPEN
+    assert taken.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
     for room, have in (
         (room_of(Driver(), ("b",)), Have(good, S)),
         (room_of(Driver()), Have(good, learned_state.OLDEST_US + 1)),
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -157,7 +157,7 @@
     def forgive(self) -> None:
         """Every breaker is as at the start: a test that breaks one box again and again means the gateway."""
         for proxy in [self.proxy, *(self.web.pools.proxies().values() if self.web.pools else ())]:
-            for server in proxy.balancer.servers.values():
+            for server in proxy.balancer.endpoints.values():
                 server.breakers = [CircuitBreaker() for _ in server.breakers]
 
     def runs(self, path: str = "") -> int:
--- a/tests/web/test_clients.py
+++ b/tests/web/test_clients.py
@@ -93,7 +93,7 @@
                 it.proxy.drain("app-0", "test")  # what is open stays open
                 await ben.send("x" * 300_000)
                 assert len(await ann.recv()) == 300_000
-                assert it.proxy.balancer.out == 0  # a chat is no load
+                assert it.proxy.balancer.in_flight == 0  # a chat is no load
                 status, head, _ = await it.get("/")
                 assert status == 503 and head["retry-after"].isdigit()
                 assert it.web.door is not None
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -67,7 +67,7 @@
             assert it.runs() == 0 and not front.waiting and front.current is None
             assert it.web.door is not None
             await until(lambda: it.web.door is not None and not it.web.door.connections)
-            assert it.proxy.balancer.out == 0 and it.proxy.upstream.budget.used == 0
+            assert it.proxy.balancer.in_flight == 0 and it.proxy.upstream.budget.used == 0
 
     run(test())
 
--- a/tests/web/test_run.py
+++ b/tests/web/test_run.py
@@ -127,7 +127,7 @@
             async with asyncio.timeout(10):
                 while it.proxy.requests:  # every request in the books has ended
                     await asyncio.sleep(0.05)
-            assert it.proxy.open == 0 and it.proxy.balancer.out == 0 and not it.proxy.balancer.requests
-            assert not any(server.streams for server in it.proxy.balancer.servers.values())
+            assert it.proxy.open == 0 and it.proxy.balancer.in_flight == 0 and not it.proxy.balancer.requests
+            assert not any(server.streams for server in it.proxy.balancer.endpoints.values())
 
     run(test(), 90)
--- a/tests/web/test_streams.py
+++ b/tests/web/test_streams.py
@@ -233,9 +233,9 @@
             status, head = await client.head()
             assert status == 200 and await broken_off(client, status, head)
             assert (await it.get("/wait?s=10"))[0] == 504
-            (server,) = it.proxy.balancer.servers.values()
+            (server,) = it.proxy.balancer.endpoints.values()
             assert server.breakers[0].failures == 0 and server.weight == 1.0
-            assert it.proxy.balancer.out == 0 and server.streams == 0
+            assert it.proxy.balancer.in_flight == 0 and server.streams == 0
 
     run(test())
 
@@ -294,8 +294,8 @@
     async def test() -> None:
         routes = ROUTE + 'failing = ["503", "404"]\n'
         async with site(tmp_path, routes=routes) as it:
-            view = it.proxy.balancer.look(0)[0].endpoint_id
-            breaker = it.proxy.balancer.servers[view].breakers[0]
+            view = it.proxy.balancer.endpoint_views(0)[0].endpoint_id
+            breaker = it.proxy.balancer.endpoints[view].breakers[0]
             for status, failures in ((500, 0), (302, 0), (503, 1), (404, 2)):
                 client = await it.client()
                 assert (await client.ask(request("POST", f"/status/{status}", b"")))[::2] == (
