--- a/badgergap/__init__.py
+++ b/badgergap/__init__.py
@@ -35,12 +35,10 @@
     Goal,
     Idempotency,
     Prices,
-    ReportMode,
-    Reports,
     RequestClass,
     Settings,
-    Tenant,
 )
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings, ReportMode, Reports, Tenant
 
 __all__ = [
     "Action",
@@ -65,6 +63,7 @@
     "Outcome",
     "PeerMessage",
     "Prices",
+    "ProxySettings",
     "Reject",
     "ReportMode",
     "Reports",
--- a/badgergap/balancing/interface.py
+++ b/badgergap/balancing/interface.py
@@ -41,11 +41,8 @@
     Goal,
     Idempotency,
     Prices,
-    ReportMode,
-    Reports,
     RequestClass,
     Settings,
-    Tenant,
 )
 
 __all__ = [
@@ -75,8 +72,6 @@
     "PeerMessage",
     "Prices",
     "Reject",
-    "ReportMode",
-    "Reports",
     "RequestArrived",
     "RequestClass",
     "RequestCoalesced",
@@ -85,7 +80,6 @@
     "SetTimer",
     "Settings",
     "StreamStarted",
-    "Tenant",
     "TimerFired",
     "WatchEndpoints",
 ]
--- a/badgergap/balancing/settings.py
+++ b/badgergap/balancing/settings.py
@@ -29,14 +29,6 @@
     GROUP = "group"
 
 
-class ReportMode(Enum):
-    """Where load reports come from."""
-
-    NONE = "none"
-    ANSWERS = "answers"  # outcomes and health check results carry one now and then
-    PROBES = "probes"  # health check results only
-
-
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     """What is known and wanted of a class of requests."""
@@ -63,19 +55,7 @@
             "deduplication_window_us": 0,
             "aim_stretch": 0,
         }
-        _check(self, least, shares=("late_weight",))
-
-
-@dataclass(slots=True, frozen=True)
-class Tenant:
-    """A customer among those who share the fleet. No decision uses these yet."""
-
-    quota_per_s: float = 0.0  # requests a second over all proxies within its quota
-    share: float = 0.0  # of the service
-
-    def __post_init__(self) -> None:
-        """Reject values that no decision can be made from."""
-        _check(self, least={"quota_per_s": 0}, shares=("share",))
+        check_fields(self, least, shares=("late_weight",))
 
 
 @dataclass(slots=True, frozen=True)
@@ -96,15 +76,7 @@
 
     def __post_init__(self) -> None:
         """Reject values that no decision can be made from."""
-        _check(self, least=dict.fromkeys(self.__slots__, 0))
-
-
-@dataclass(slots=True, frozen=True)
-class Reports:
-    """Load reports of the endpoints. No decision uses them yet."""
-
-    mode: ReportMode = ReportMode.NONE
-    fields: tuple[str, ...] = ()  # names of the values
+        check_fields(self, least=dict.fromkeys(self.__slots__, 0))
 
 
 @dataclass(slots=True, frozen=True)
@@ -118,7 +90,7 @@
 
     def __post_init__(self) -> None:
         """Reject values that no decision can be made from."""
-        _check(self, least=dict.fromkeys(self.__slots__, 0))
+        check_fields(self, least=dict.fromkeys(self.__slots__, 0))
 
 
 @dataclass(slots=True, frozen=True)
@@ -147,19 +119,11 @@
     overload_window_us: int = 1_000_000  # for this long, a warming endpoint falls over
     rejected_may_have_run: bool = False  # REJECTED is no proof that the attempt never ran
     ordered_key_quiet_us: int = 0  # pause of an ordered key after an attempt that may still be running
-    # Read by the proxy, or by nothing yet; no decision uses these.
-    tenants: tuple[Tenant, ...] = ()
+    # Not used yet.
     over_share_worth: float = 1.0  # value of a request beyond its tenant's quota, as a share of its class's
-    reports: Reports = field(default_factory=Reports)
-    may_probe: bool = False  # health checks are allowed
-    may_message: bool = False  # messages to other proxies are allowed
     requests_per_connection: int = 1
-    connect_timeout_us: int = 0  # 0: not stated
-    idle_connection_us: int = 0  # idle connections are closed after this; 0: not stated
-    max_open_requests: int = 0  # beyond it requests are rejected before they are decided on; 0: not stated
     cpu_us_per_s: float = 0.0  # of this proxy; 0: no limit
     cpu_us_per_request: float = 0.0
-    drain_grace_us: int = 0  # nothing new is sent to a draining endpoint, so the decisions need no grace
     answer_slack_us: int = 0  # a final answer may come this long after the client's deadline
     passes_deadline: bool = False  # endpoints that call a further tier hand on the time left
     zones: int = 1
@@ -175,7 +139,7 @@
         if not self.classes:
             raise ValueError("classes is empty")
         least = dict.fromkeys(_AT_LEAST_0, 0) | dict.fromkeys(_AT_LEAST_1, 1)
-        _check(self, least, shares=("cold_capacity", "over_share_worth"))
+        check_fields(self, least, shares=("cold_capacity", "over_share_worth"))
         if self.proxy_index >= self.proxy_count:
             raise ValueError("proxy_index is not below proxy_count")
 
@@ -188,12 +152,8 @@
     "zone",
     "tier",
     "ordered_key_quiet_us",
-    "connect_timeout_us",
-    "idle_connection_us",
-    "max_open_requests",
     "cpu_us_per_s",
     "cpu_us_per_request",
-    "drain_grace_us",
     "answer_slack_us",
 )
 _AT_LEAST_1 = (
@@ -209,7 +169,7 @@
 )
 
 
-def _check(settings: object, least: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
+def check_fields(settings: object, least: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
     """Raise ValueError for a field that is not finite, below its least value, or no share."""
     for name in (*least, *shares):
         value = getattr(settings, name)
--- a/badgergap/proxy/lifecycle/config.py
+++ b/badgergap/proxy/lifecycle/config.py
@@ -4,12 +4,13 @@
 
 import json
 from collections.abc import Mapping
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, field, fields, replace
 from pathlib import Path
 from typing import Any
 
 from badgergap.balancing.interface import Settings
-from badgergap.simulator.codec import WireError, parse_settings
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings
+from badgergap.simulator.codec import WireError, parse_proxy_settings, parse_settings
 
 Address = tuple[str, int]
 
@@ -45,6 +46,7 @@
     grows: bool = False  # a later configuration may hold further classes behind those of this one
     console: Address | None = None  # for operators' calls alone; None: no such listener
     memory_mb: int = 0  # that the process may have; 0: not stated
+    proxy_settings: ProxySettings = field(default_factory=ProxySettings)  # of the same part as settings
 
 
 def parse_address(text: object) -> Address:
@@ -85,20 +87,20 @@
 
 def needs_restart(old: Config, new: Config) -> list[str]:
     """What differs that a running process does not take over; `known` is for a start only."""
-    followed = {"discovery", "filed_discovery", "known"}
+    followed = {"discovery", "filed_discovery", "known", "proxy_settings"}
     if old.grows:
         more = old.settings.classes + new.settings.classes[len(old.settings.classes) :]
-        most = new.settings.max_open_requests
+        most = new.proxy_settings.max_open_requests
         old = replace(
             old,
-            settings=replace(old.settings, classes=more, max_open_requests=most),
+            settings=replace(old.settings, classes=more),
+            proxy_settings=replace(old.proxy_settings, max_open_requests=most),
             names=new.names,
         )
-    return [
-        f.name
-        for f in fields(Config)
-        if f.name not in followed and getattr(old, f.name) != getattr(new, f.name)
-    ]
+    changed = {f.name for f in fields(Config) if getattr(old, f.name) != getattr(new, f.name)}
+    if "proxy_settings" in changed:
+        changed.add("settings")  # both are the same part of the file
+    return [f.name for f in fields(Config) if f.name in changed - followed]
 
 
 def parse_config(raw: dict[str, Any], filed_discovery: object = None) -> Config:
@@ -111,6 +113,7 @@
         raise ConfigError("known is not a list of hosts")
     try:
         parsed = parse_settings(json.dumps(settings))
+        proxy_settings = parse_proxy_settings(json.dumps(settings))
     except WireError as error:
         raise ConfigError(str(error)) from None
     peer_listen, peers_all, console = raw.get("peer_listen"), raw.get("peers_all"), raw.get("console")
@@ -122,6 +125,7 @@
         sockets=_sockets(raw.get("limits", {})),
         memory_mb=_memory(raw.get("limits", {})),
         settings=parsed,
+        proxy_settings=proxy_settings,
         names=_names(settings),
         known=known,
         filed_discovery=filed_discovery,
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -63,7 +63,7 @@
         self.pools: dict[str, Pool] = {}
         self.leaving: set[Proxy] = set()
         self.connections = Share(main.upstream.limit)
-        self.open_requests = Share(main.settings.max_open_requests)
+        self.open_requests = Share(main.proxy_settings.max_open_requests)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def proxy(self, name: str) -> Proxy | None:
@@ -88,7 +88,7 @@
                     feeder.reload(config)
             else:
                 await self._begin(plan)
-        self.open_requests.total = config.settings.max_open_requests
+        self.open_requests.total = config.proxy_settings.max_open_requests
         self._divide()
 
     async def _begin(self, plan: PoolPlan) -> None:
@@ -166,4 +166,6 @@
     if new is None or new.same != old.same:
         return False
     settings = new.config.settings  # classes only grow, and are taken over
+    if old.config.proxy_settings != new.config.proxy_settings:
+        return False
     return replace(old.config.settings, classes=settings.classes) == settings
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -19,6 +19,7 @@
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import Budget, total_of
 from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
+from badgergap.proxy.lifecycle.proxy_settings import ReportMode
 from badgergap.proxy.endpoints.discovery import Discovery
 from badgergap.proxy.endpoints.registry import Roster
 from badgergap.proxy.endpoints.sources import PLATFORM, HostSource, News
@@ -39,7 +40,6 @@
     HealthCheck,
     HealthCheckEnded,
     Reject,
-    ReportMode,
     RequestArrived,
     ClientDisconnected,
     RequestCoalesced,
@@ -197,6 +197,7 @@
         settings = config.settings
         self.observer = observer
         self.config, self.settings, self.loop = config, settings, loop
+        self.proxy_settings = config.proxy_settings
         self.filed = config  # as read last: the start of the next reload
         self.clock = Clock()
         self.balancer = Balancer(settings, config.seed)
@@ -206,9 +207,9 @@
             connections=eviction.limit(config.sockets, 0)
             if not config.grows
             else eviction.half(config.sockets),
-            connect_timeout_us=settings.connect_timeout_us,
-            idle_us=settings.idle_connection_us,
-            drain_grace_us=settings.drain_grace_us,
+            connect_timeout_us=self.proxy_settings.connect_timeout_us,
+            idle_us=self.proxy_settings.idle_connection_us,
+            drain_grace_us=self.proxy_settings.drain_grace_us,
             budget=Budget(total_of(config.memory_mb)),
             rest_s=REST_S if not config.grows else 0.0,
         )
@@ -257,7 +258,7 @@
         self.roster.add_source(source.name, source.rank, source.dynamic, source.fallback)
 
     async def start(self) -> None:
-        if self.settings.may_message and self.config.peer_listen is not None:
+        if self.proxy_settings.may_message and self.config.peer_listen is not None:
             self.peers, _ = await self.loop.create_datagram_endpoint(
                 lambda: Peers(self.on_datagram),
                 local_addr=self.config.peer_listen,
@@ -293,10 +294,9 @@
         # A class that was changed stands under its own name anew, the old entry under the name and a mark.
         old = {name.partition("~")[0]: number for number, name in enumerate(names[:known])}
         self.balancer.add_classes(classes, tuple(old.get(name) for name in names[known:]))
-        most = config.settings.max_open_requests
-        self.settings = replace(
-            self.settings, classes=self.settings.classes + classes, max_open_requests=most
-        )
+        self.settings = replace(self.settings, classes=self.settings.classes + classes)
+        most = config.proxy_settings.max_open_requests
+        self.proxy_settings = replace(self.proxy_settings, max_open_requests=most)
 
     def close(self) -> None:
         for source in self.sources.values():
@@ -420,7 +420,7 @@
     def has_room(self) -> bool:
         if self.may_open is not None:
             return self.may_open()
-        return not 0 < self.settings.max_open_requests <= self.open
+        return not 0 < self.proxy_settings.max_open_requests <= self.open
 
     def is_able(self, klass: int) -> bool:
         """Whether any host may be given a request of this class now."""
@@ -594,14 +594,14 @@
         self.forget_if_over(request)
 
     def report(self, answer: Answer | None) -> tuple[tuple[str, float], ...]:
-        if answer is None or self.settings.reports.mode is not ReportMode.ANSWERS:
+        if answer is None or self.proxy_settings.reports.mode is not ReportMode.ANSWERS:
             return ()
         return parse_report(answer.header(b"server-load"))
 
     def probe(self, server: int) -> None:
-        if not self.settings.may_probe:
+        if not self.proxy_settings.may_probe:
             return
-        reports = self.settings.reports.mode is not ReportMode.NONE
+        reports = self.proxy_settings.reports.mode is not ReportMode.NONE
         sent_us = self.clock.now_us()
 
         def ended(outcome: Outcome, answer: Answer | None) -> None:
@@ -660,7 +660,7 @@
         to = self.config.peers_all if action.proxy is None else self.config.peers[action.proxy]
         if len(action.data) > PEER_LIMIT:
             raise ValueError(f"a message of {len(action.data)} bytes is too long")
-        if self.settings.may_message and self.peers is not None and to is not None:
+        if self.proxy_settings.may_message and self.peers is not None and to is not None:
             self.peers.sendto(action.data, to)
 
     def on_datagram(self, data: bytes, sender: Address) -> None:
--- a/badgergap/simulator/codec.py
+++ b/badgergap/simulator/codec.py
@@ -29,8 +29,6 @@
     HealthCheck,
     HealthCheckEnded,
     Reject,
-    ReportMode,
-    Reports,
     RequestArrived,
     RequestClass,
     ClientDisconnected,
@@ -41,10 +39,10 @@
     Settings,
     StreamStarted,
     SendPeerMessage,
-    Tenant,
     TimerFired,
     WatchEndpoints,
 )
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings, ReportMode, Reports, Tenant
 
 Fields = Mapping[str, str]
 
@@ -111,17 +109,35 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults."""
+    """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults.
+
+    The keys that the proxy reads must be usable too. Raises WireError.
+    """
+    raw = _settings_object(text)
+    try:
+        settings = _settings(raw)
+        _proxy_settings(raw)
+    except ValueError as error:
+        raise WireError(f"settings cannot be used: {error}") from None
+    return settings
+
+
+def parse_proxy_settings(text: str) -> ProxySettings:
+    """Read what the proxy itself needs of the same object. Raises WireError."""
+    try:
+        return _proxy_settings(_settings_object(text))
+    except ValueError as error:
+        raise WireError(f"settings cannot be used: {error}") from None
+
+
+def _settings_object(text: str) -> dict[str, Any]:
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
         raise WireError(f"settings are not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise WireError("settings are not an object")
-    try:
-        return _settings(raw)
-    except ValueError as error:
-        raise WireError(f"settings cannot be used: {error}") from None
+    return raw
 
 
 class Reader:
@@ -175,7 +191,7 @@
 def _settings(raw: dict[str, Any]) -> Settings:
     boot = Reader(raw)
     caps, contract, goal, prices = (boot.part(k) for k in ("caps", "contract", "objectiveMix", "prices"))
-    report, family = boot.part("report"), boot.part("familyInfo")
+    family = boot.part("familyInfo")
     advice = caps.flag("retryAfter")
     return Settings(
         classes=tuple(_request_class(lane) for lane in boot.parts("lanes")),
@@ -210,22 +226,29 @@
         overload_window_us=contract.whole("fallUs", 1_000_000),
         rejected_may_have_run=contract.flag("fullUnproven"),
         ordered_key_quiet_us=contract.whole("keyQuietUs", 0),
-        drain_grace_us=contract.whole("stopSendingWithinUs", 0),
         answer_slack_us=contract.whole("answerSlackUs", 0),
+        over_share_worth=boot.number("overShareWorth", 1.0),
+        requests_per_connection=caps.whole("multiplex", 1),
+        cpu_us_per_s=caps.number("cpuUsPerS", 0.0),
+        cpu_us_per_request=caps.number("cpuUsPerRequest", 0.0),
+    )
+
+
+def _proxy_settings(raw: dict[str, Any]) -> ProxySettings:
+    boot = Reader(raw)
+    caps, contract, report = boot.part("caps"), boot.part("contract"), boot.part("report")
+    return ProxySettings(
         tenants=tuple(
             Tenant(tenant.number("allowancePerS", 0.0), tenant.number("fraction", 0.0))
             for tenant in boot.parts("tenants")
         ),
-        over_share_worth=boot.number("overShareWorth", 1.0),
         reports=Reports(report.word("how", "silent", REPORT_MODES), tuple(map(str, report.items("fields")))),
         may_probe=caps.flag("probes"),
         may_message=caps.flag("peers"),
-        requests_per_connection=caps.whole("multiplex", 1),
         connect_timeout_us=caps.whole("connectTimeoutUs", 0),
         idle_connection_us=caps.whole("keepaliveUs", 0),
         max_open_requests=caps.whole("mostHeld", 0),
-        cpu_us_per_s=caps.number("cpuUsPerS", 0.0),
-        cpu_us_per_request=caps.number("cpuUsPerRequest", 0.0),
+        drain_grace_us=contract.whole("stopSendingWithinUs", 0),
     )
 
 
--- a/badgergap/site/convert.py
+++ b/badgergap/site/convert.py
@@ -4,6 +4,7 @@
 
 from dataclasses import replace
 
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings
 from badgergap.proxy.lifecycle.config import Config, ConfigError, Names
 from badgergap.balancing.interface import Idempotency, Prices, RequestClass, DeduplicationScope, Settings
 from badgergap.site.schema import Address, ClassTable, PoolTable, Site
@@ -48,15 +49,17 @@
             overload_multiple=site.fleet.overload_multiple,
             overload_window_us=int(site.fleet.overload_within),
             rejected_may_have_run=not site.fleet.full_means_untouched,
-            connect_timeout_us=int(site.fleet.connect_within),
-            idle_connection_us=int(site.fleet.idle_connections),
-            max_open_requests=site.limits.open_requests,
             zones=max(1, len(zones)),
             server_kinds=max(1, len(kinds)),
             endpoint_concurrency=site.fleet.at_once,
             work_varies=site.http is not None,
             clients_mark_retries=site.http is not None and site.site.listen is None,
         )
+        proxy_settings = ProxySettings(
+            connect_timeout_us=int(site.fleet.connect_within),
+            idle_connection_us=int(site.fleet.idle_connections),
+            max_open_requests=site.limits.open_requests,
+        )
     except ValueError as error:
         raise ConfigError(f"the operator file cannot be used: {error}") from None
     discovery = site.site.discovery
@@ -68,6 +71,7 @@
         seed=seed,
         sockets=site.limits.sockets,
         settings=settings,
+        proxy_settings=proxy_settings,
         names=Names(tuple(name for name, _ in classes), tenants, zones, kinds),
         known={},
         filed_discovery=str(discovery) if discovery is not None else None,
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -26,8 +26,6 @@
     HealthCheck,
     HealthCheckEnded,
     Reject,
-    ReportMode,
-    Reports,
     RequestArrived,
     RequestClass,
     ClientDisconnected,
@@ -38,16 +36,17 @@
     SetTimer,
     StreamStarted,
     SendPeerMessage,
-    Tenant,
     TimerFired,
     WatchEndpoints,
 )
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings, ReportMode, Reports, Tenant
 from badgergap.simulator.codec import (
     OUTCOMES,
     PARSERS,
     WireError,
     format_action,
     parse_server,
+    parse_proxy_settings,
     parse_settings,
     split_line,
 )
@@ -372,17 +371,19 @@
         overload_window_us=16,
         rejected_may_have_run=True,
         ordered_key_quiet_us=11,
-        drain_grace_us=12,
         answer_slack_us=13,
-        tenants=(Tenant(24.0, 0.25),),
         over_share_worth=0.2,
+        requests_per_connection=18,
+        cpu_us_per_s=22.0,
+        cpu_us_per_request=23.0,
+    )
+    assert parse_proxy_settings(json.dumps(boot)) == ProxySettings(
+        tenants=(Tenant(24.0, 0.25),),
         reports=Reports(ReportMode.ANSWERS, ("queue",)),
         may_probe=True,
         may_message=True,
-        requests_per_connection=18,
         connect_timeout_us=19,
         idle_connection_us=20,
         max_open_requests=21,
-        cpu_us_per_s=22.0,
-        cpu_us_per_request=23.0,
+        drain_grace_us=12,
     )
