--- a/badgergap/balancing/settings.py
+++ b/badgergap/balancing/settings.py
@@ -119,17 +119,6 @@
     overload_window_us: int = 1_000_000  # for this long, a warming endpoint falls over
     rejected_may_have_run: bool = False  # REJECTED is no proof that the attempt never ran
     ordered_key_quiet_us: int = 0  # pause of an ordered key after an attempt that may still be running
-    # Not used yet.
-    over_share_worth: float = 1.0  # value of a request beyond its tenant's quota, as a share of its class's
-    requests_per_connection: int = 1
-    cpu_us_per_s: float = 0.0  # of this proxy; 0: no limit
-    cpu_us_per_request: float = 0.0
-    answer_slack_us: int = 0  # a final answer may come this long after the client's deadline
-    passes_deadline: bool = False  # endpoints that call a further tier hand on the time left
-    zones: int = 1
-    server_kinds: int = 1
-    tier: int = 0  # the tier that this proxy sends to
-    tiers: int = 1
     # Ordinary applications, whose work varies by itself
     endpoint_concurrency: int = 1  # requests that an endpoint of the usual size works on at a time
     work_varies: bool = False  # an endpoint that answers anything meanwhile is not silent
@@ -139,7 +128,7 @@
         if not self.classes:
             raise ValueError("classes is empty")
         least = dict.fromkeys(_AT_LEAST_0, 0) | dict.fromkeys(_AT_LEAST_1, 1)
-        check_fields(self, least, shares=("cold_capacity", "over_share_worth"))
+        check_fields(self, least, shares=("cold_capacity",))
         if self.proxy_index >= self.proxy_count:
             raise ValueError("proxy_index is not below proxy_count")
 
@@ -150,21 +139,13 @@
     "max_retry_after_us",
     "proxy_index",
     "zone",
-    "tier",
     "ordered_key_quiet_us",
-    "cpu_us_per_s",
-    "cpu_us_per_request",
-    "answer_slack_us",
 )
 _AT_LEAST_1 = (
     "proxy_count",
     "max_attempts",
     "overload_window_us",
     "overload_multiple",
-    "requests_per_connection",
-    "zones",
-    "server_kinds",
-    "tiers",
     "endpoint_concurrency",
 )
 
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -100,9 +100,8 @@
     def __init__(self, config: Config) -> None:
         self.settings = config.settings
         self.classes = {name.encode(): number for number, name in enumerate(config.names.classes)}
-        tenants = (
-            config.names.tenants if config.proxy_settings.tenants else ()
-        )  # else they are the routes' affair
+        # Without stated tenants they are the routes' affair.
+        tenants = config.names.tenants if config.proxy_settings.tenants else ()
         self.tenants = {name.encode(): number for number, name in enumerate(tenants)}
         self.open_ids: set[bytes] = set()  # of the requests in hand, as their clients call them
 
--- a/badgergap/simulator/codec.py
+++ b/badgergap/simulator/codec.py
@@ -111,12 +111,13 @@
 def parse_settings(text: str) -> Settings:
     """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults.
 
-    The keys that the proxy reads must be usable too. Raises WireError.
+    The keys that the proxy or nothing reads must be usable too. Raises WireError.
     """
     raw = _settings_object(text)
     try:
         settings = _settings(raw)
         _proxy_settings(raw)
+        _check_unread_keys(raw)
     except ValueError as error:
         raise WireError(f"settings cannot be used: {error}") from None
     return settings
@@ -206,17 +207,12 @@
         proxy_count=boot.whole("balancers", 1),
         proxy_index=boot.whole("index", 0),
         zone=boot.whole("zone", 0),
-        zones=max(1, len(boot.items("zones"))),
-        server_kinds=max(1, len(boot.items("shapes"))),
-        tier=boot.whole("stage", 0),
-        tiers=max(1, len(boot.items("tiers"))),
         clients_mark_retries=boot.part("clients").flag("marksRetry"),
         max_attempts=caps.whole("maxAttempts", 3),
         may_cancel=caps.flag("mayCancel"),
         hedging_allowed=caps.flag("secondCopies"),
         weights_follow_load=boot.raw.get("weights") == "live",
         sticky_keys=family.flag("warmKeys"),
-        passes_deadline=family.flag("passesDeadline"),
         endpoint_list_is_pushed=boot.word("membershipMode", "pushed", {"pushed": True, "on_request": False}),
         max_poll_interval_us=contract.whole("mustAskInUs", 10_000_000),
         max_retry_after_us=caps.whole("maxRetryAfterUs", 1_000_000) if advice else 0,
@@ -226,11 +222,6 @@
         overload_window_us=contract.whole("fallUs", 1_000_000),
         rejected_may_have_run=contract.flag("fullUnproven"),
         ordered_key_quiet_us=contract.whole("keyQuietUs", 0),
-        answer_slack_us=contract.whole("answerSlackUs", 0),
-        over_share_worth=boot.number("overShareWorth", 1.0),
-        requests_per_connection=caps.whole("multiplex", 1),
-        cpu_us_per_s=caps.number("cpuUsPerS", 0.0),
-        cpu_us_per_request=caps.number("cpuUsPerRequest", 0.0),
     )
 
 
@@ -252,6 +243,23 @@
     )
 
 
+def _check_unread_keys(raw: dict[str, Any]) -> None:
+    """Raise for an unusable value of a key that nothing reads, so that a mistake is found at the launch."""
+    boot = Reader(raw)
+    caps = boot.part("caps")
+    for key in ("zones", "shapes", "tiers"):
+        boot.items(key)
+    boot.whole("stage", 0)
+    boot.part("familyInfo").flag("passesDeadline")
+    boot.part("contract").whole("answerSlackUs", 0)
+    caps.number("cpuUsPerS", 0.0)
+    caps.number("cpuUsPerRequest", 0.0)
+    if caps.whole("multiplex", 1) < 1:
+        raise ValueError("caps.multiplex is below 1")
+    if boot.number("overShareWorth", 1.0) > 1:
+        raise ValueError("overShareWorth is above 1")
+
+
 def _request_class(lane: Reader) -> RequestClass:
     if "giveUpUs" not in lane.raw:
         raise WireError(f"{lane.name('giveUpUs')} is missing")
--- a/badgergap/site/convert.py
+++ b/badgergap/site/convert.py
@@ -49,8 +49,6 @@
             overload_multiple=site.fleet.overload_multiple,
             overload_window_us=int(site.fleet.overload_within),
             rejected_may_have_run=not site.fleet.full_means_untouched,
-            zones=max(1, len(zones)),
-            server_kinds=max(1, len(kinds)),
             endpoint_concurrency=site.fleet.at_once,
             work_varies=site.http is not None,
             clients_mark_retries=site.http is not None and site.site.listen is None,
@@ -110,12 +108,7 @@
     tenants = tuple(dict.fromkeys(old.names.tenants + new.names.tenants))
     _check_tenants(tenants)
     names = Names(tuple(name for name, _ in classes), tenants, old.names.zones, old.names.kinds)
-    settings = replace(
-        new.settings,
-        classes=tuple(klass for _, klass in classes),
-        zones=old.settings.zones,
-        server_kinds=old.settings.server_kinds,
-    )
+    settings = replace(new.settings, classes=tuple(klass for _, klass in classes))
     return replace(new, names=names, settings=settings, seed=old.seed)
 
 
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -91,7 +91,7 @@
 
 def test_a_host_far_away_that_was_used_is_used_again_soon_too() -> None:
     """By the draw it would come up once in hundreds of requests."""
-    driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0), zones=2), servers=0)
+    driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), servers=0)
     near = [ListedEndpoint(n) for n in range(6)]
     driver.list_servers(*near, ListedEndpoint(6, zone=1))
     driver.balancer.endpoints[6].used = True
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -305,7 +305,6 @@
         {"overload_multiple": NAN},
         {"cold_capacity": 1.2},
         {"ordered_key_quiet_us": -1},
-        {"over_share_worth": 1.5},
     ],
 )
 def test_settings_that_cannot_be_used_are_rejected(bad: dict[str, object]) -> None:
