--- a/tests/admin/test_room.py
+++ b/tests/admin/test_room.py
@@ -540,7 +540,9 @@
             client = await it.client()
             client.send(request())
             (await it.host.taken.get()).answer()
-            assert (await it.event(AttemptEnded)).endpoint_id == it.proxy.roster.entry("h1").server.server  # type: ignore[union-attr]
+            assert (await it.event(AttemptEnded)).endpoint_id == it.proxy.roster.entry(
+                "h1"
+            ).listed.endpoint_id  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -22,7 +22,7 @@
 from badgergap.standins.rig import rig
 from tests.replication.load import keyed, post
 from tests.replication.test_process import placed, played
-from tests.helpers import START_US, Driver, trip
+from tests.helpers import START_US, Driver, sends, trip
 
 S = 1_000_000
 
@@ -61,7 +61,8 @@
     new.now_us = now_us
     breaker = new.balancer.endpoints[0].breakers[0]
     assert breaker.state is BreakerState.OPEN and breaker.open_until_us - now_us == left_us - age_us
-    assert {a.server for _ in range(40) for a in new.arrive()[1] if hasattr(a, "server")} <= {1, 2}
+    used = {send.endpoint_id for _ in range(40) for send in sends(new.arrive()[1])}
+    assert used and used <= {1, 2}
     assert new.balancer.latency.smoothed_us == old.balancer.latency.smoothed_us
 
 
