--- a/badgergap/balancing/admission.py
+++ b/badgergap/balancing/admission.py
@@ -28,7 +28,9 @@
 CROWDED_PER_ENDPOINT = 1.0  # requests in flight at each endpoint: below it nothing can be queueing
 IN_FLIGHT_MEMORY_US = 500_000  # time constant of the mean of what is in flight
 BURST_WAIT_SHARE = 0.5  # of the tightest slack that work in flight may take before some is shed at once
-BURST_DOUBT = 2.0  # standard deviations: a few requests of one of many proxies say nothing of the others'
+BURST_CONFIDENCE = (
+    2.0  # standard deviations: a few requests of one of many proxies say nothing of the others'
+)
 # Requests held by a core of the fleet, as live weights show it: beyond it, shed more.
 LIVE_LOAD_PER_CORE = 1.0
 MAX_LIVE_STEPS = 2.0  # steps up after one list with live weights, at the most
@@ -95,7 +97,7 @@
         Guards against bursts: answers show a queue when it stands, and by then all requests in it are late.
         The work that an endpoint holds may take `BURST_WAIT_SHARE` of the slack under the tightest objective.
         """
-        surely = self.in_flight - BURST_DOUBT * math.sqrt(self.in_flight)
+        surely = self.in_flight - BURST_CONFIDENCE * math.sqrt(self.in_flight)
         if surely <= 0.0:
             return 0.0
         baseline_us = self._latency.baseline_us
--- a/badgergap/balancing/endpoint_selection.py
+++ b/badgergap/balancing/endpoint_selection.py
@@ -117,25 +117,25 @@
             candidates = self._retry_candidates(request, candidates, now_us)
         if not request.allowed_endpoints:
             return candidates
-        tried = [attempt.endpoint for attempt in request.attempts]
+        attempted = [attempt.endpoint for attempt in request.attempts]
         allowed = request.allowed_endpoints
-        named = [e for e in self._table.ranked if e.entry.endpoint_id in allowed and e not in tried]
+        named = [e for e in self._table.ranked if e.entry.endpoint_id in allowed and e not in attempted]
         return [e for e in named if self._eligibility.is_eligible(e, request_class, now_us)]
 
     def _retry_candidates(self, request: Request, subset: list[Endpoint], now_us: int) -> list[Endpoint]:
         """Return the endpoints that a further attempt may go to."""
-        tried = [attempt.endpoint for attempt in request.attempts]
+        attempted = [attempt.endpoint for attempt in request.attempts]
         may_have_run = [attempt for attempt in request.attempts if attempt.may_have_run]
         rules = request.rules
         if not may_have_run or rules.idempotency is Idempotency.SAFE:
-            return [endpoint for endpoint in subset if endpoint not in tried]
+            return [endpoint for endpoint in subset if endpoint not in attempted]
         if rules.idempotency is Idempotency.UNSAFE:
             return []
         if now_us - may_have_run[0].sent_us >= rules.deduplication_window_us:
             return []
         is_eligible, request_class = self._eligibility.is_eligible, request.request_class
-        untried = (e for e in self._table.ranked if e not in tried)
-        eligible = [e for e in untried if is_eligible(e, request_class, now_us)]
+        remaining = (e for e in self._table.ranked if e not in attempted)
+        eligible = [e for e in remaining if is_eligible(e, request_class, now_us)]
         within = self._table.ranked[: math.ceil(self.subset_size)]
         usable = [e for e in eligible if e in within or self._is_warm(e, now_us)]
         return [e for e in usable if deduplicates(rules, may_have_run, e)]
--- a/badgergap/balancing/endpoint_table.py
+++ b/badgergap/balancing/endpoint_table.py
@@ -97,7 +97,7 @@
         else:
             known.entry = entry
         if is_out and not was_out:
-            self.by_id[entry.endpoint_id].taken_out_us = rules.now_us
+            self.by_id[entry.endpoint_id].marked_out_us = rules.now_us
         self.full_weights[entry.kind] = max(entry.weight, self.full_weights.get(entry.kind, MIN_WEIGHT))
 
     def _new_endpoint(
@@ -116,7 +116,7 @@
             entry, rules.weight, rank, breakers, start_us=entry.started_us, spent_at_us=rules.now_us
         )
         if known is not None:
-            endpoint.taken_out_us = known.taken_out_us
+            endpoint.marked_out_us = known.marked_out_us
             endpoint.used = known.used
         spread_us = BURST_SHARE * rules.budget_us
         if is_reinstated:
@@ -135,7 +135,7 @@
         while it was out, where the list is late with its new start or never names it.
         """
         endpoint.reinstated_us = now_us
-        if endpoint.start_us <= endpoint.taken_out_us:
+        if endpoint.start_us <= endpoint.marked_out_us:
             endpoint.start_us = now_us
         if endpoint.used:
             self.reinstated.append(endpoint)
--- a/badgergap/balancing/records.py
+++ b/badgergap/balancing/records.py
@@ -23,7 +23,7 @@
     breakers: list[CircuitBreaker]  # the first judges all outcomes; then one for each request class
     in_flight: dict[Attempt, int] = field(default_factory=dict)  # attempts, by when sent; oldest first
     start_us: int = 0  # since when it runs, as far as is known; 0: long ago
-    taken_out_us: int = 0  # when it was last taken out by hand
+    marked_out_us: int = 0  # when it was last taken out by hand
     reinstated_us: int = 0  # when it was put back; 0: never taken out
     used: bool = False  # this proxy has sent it something at some time
     streams: int = 0  # attempts whose clients have taken them over (see Attempt.is_stream)
--- a/badgergap/balancing/request_lifecycle.py
+++ b/badgergap/balancing/request_lifecycle.py
@@ -72,7 +72,7 @@
             self._context.actions.append(Fail(event.request_id))
             return
         request = self.register(event, self.classes[event.request_class])
-        if self._is_shed(request) or not (self._await_turn(request) or self._try_send(request)):
+        if self._is_shed(request) or not (self._wait_for_key(request) or self._try_send(request)):
             self._answer_unserved(request)
 
     def register(self, event: RequestArrived, rules: RequestClass) -> Request:
@@ -124,7 +124,7 @@
 
     # Ordered requests
 
-    def _await_turn(self, request: Request) -> bool:
+    def _wait_for_key(self, request: Request) -> bool:
         """Let a request wait behind the earlier ones of its key; False if it may go at once.
 
         One that can't run in time any more is rejected while its client can still try again.
--- a/badgergap/balancing/settings.py
+++ b/badgergap/balancing/settings.py
@@ -44,7 +44,7 @@
     in_order: bool = False  # requests with one key run one at a time, in order of arrival
     streamed: bool = False  # the answer is a stream; the start of the stream says so too
     # The objective is later by this multiple of the request's own work (not used yet).
-    aim_stretch: float = 0.0
+    objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
         """Reject values that no decision can be made from."""
@@ -53,7 +53,7 @@
             "client_timeout_us": 1,
             "priority_weight": 0,
             "deduplication_window_us": 0,
-            "aim_stretch": 0,
+            "objective_stretch": 0,
         }
         check_fields(self, least, shares=("late_weight",))
 
--- a/badgergap/balancing/snapshot.py
+++ b/badgergap/balancing/snapshot.py
@@ -85,7 +85,7 @@
         endpoint.spent_us,
         endpoint.spent_at_us,
         endpoint.start_us,
-        endpoint.taken_out_us,
+        endpoint.marked_out_us,
         endpoint.reinstated_us,
         endpoint.used + is_reinstated,
         [_encode_breaker(breaker) for breaker in endpoint.breakers],
@@ -142,7 +142,7 @@
 def _decode_endpoint(raw: Sequence[object], known: Endpoint, now_us: int) -> RestoredEndpoint:
     """Build an endpoint from its stored form, beside the list entry and the rank that are known."""
     _, *numbers, breakers = raw
-    weight, spent_us, spent_at_us, start_us, taken_out_us, reinstated_us, use = _numbers(numbers, 7)
+    weight, spent_us, spent_at_us, start_us, marked_out_us, reinstated_us, use = _numbers(numbers, 7)
     endpoint = replace(
         known,
         weight=min(max(MIN_WEIGHT, weight), MAX_WEIGHT),
@@ -152,7 +152,7 @@
         spent_us=max(0.0, spent_us),
         spent_at_us=min(int(spent_at_us), now_us),
         in_flight={},
-        taken_out_us=int(taken_out_us),
+        marked_out_us=int(marked_out_us),
         reinstated_us=int(reinstated_us),
         used=use > UNUSED,
     )
--- a/badgergap/simulator/codec.py
+++ b/badgergap/simulator/codec.py
@@ -274,7 +274,7 @@
         deduplication_window_us=lane.whole("windowUs", 0),
         in_order=lane.flag("sequential"),
         streamed=lane.flag("streamed"),
-        aim_stretch=lane.number("aimStretch", 0.0),
+        objective_stretch=lane.number("aimStretch", 0.0),
     )
 
 
