--- a/badgergap/__init__.py
+++ b/badgergap/__init__.py
@@ -1,42 +1,44 @@
 """badgergap: the decisions of a load-balancing proxy for fleets of HTTP servers."""
 
-from badgergap.balancing.balancer import Balancer
-from badgergap.balancing.interface import (
+from badgergap.balancing.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdleConnections,
-    Idempotency,
-    Event,
     Fail,
     FetchEndpoints,
-    Goal,
-    EndpointListKind,
-    ListedEndpoint,
-    Log,
-    Outcome,
-    PeerMessage,
-    Prices,
     HealthCheck,
-    HealthCheckEnded,
+    Log,
     Reject,
-    ReportMode,
-    Reports,
-    RequestArrived,
-    RequestClass,
-    ClientDisconnected,
-    DeduplicationScope,
     Send,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from badgergap.balancing.balancer import Balancer
+from badgergap.balancing.events import (
+    AttemptEnded,
+    ClientDisconnected,
     EndpointList,
+    EndpointListKind,
     EndpointStatus,
-    SetTimer,
-    Settings,
+    Event,
+    HealthCheckEnded,
+    ListedEndpoint,
+    Outcome,
+    PeerMessage,
+    RequestArrived,
     StreamStarted,
-    SendPeerMessage,
-    Tenant,
     TimerFired,
-    WatchEndpoints,
 )
+from badgergap.balancing.settings import (
+    DeduplicationScope,
+    Goal,
+    Idempotency,
+    Prices,
+    RequestClass,
+    Settings,
+)
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings, ReportMode, Reports, Tenant
 
 __all__ = [
     "Action",
@@ -61,6 +63,7 @@
     "Outcome",
     "PeerMessage",
     "Prices",
+    "ProxySettings",
     "Reject",
     "ReportMode",
     "Reports",
--- a/badgergap/balancing/admission.py
+++ b/badgergap/balancing/admission.py
@@ -12,9 +12,10 @@
 
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.endpoint_table import EndpointTable
-from badgergap.balancing.interface import EndpointStatus, Outcome, RequestClass, Settings
+from badgergap.balancing.events import EndpointStatus, Outcome
 from badgergap.balancing.latency_model import LatencyModel
 from badgergap.balancing.records import Request
+from badgergap.balancing.settings import RequestClass, Settings
 from badgergap.balancing.weight_controller import SLOW_ANSWER_MULTIPLE
 
 TOLERATED_WAIT_SHARE = 0.25  # of the slack under the objective: an answer that waited longer is late
@@ -27,10 +28,11 @@
 CROWDED_PER_ENDPOINT = 1.0  # requests in flight at each endpoint: below it nothing can be queueing
 IN_FLIGHT_MEMORY_US = 500_000  # time constant of the mean of what is in flight
 BURST_WAIT_SHARE = 0.5  # of the tightest slack that work in flight may take before some is shed at once
-BURST_DOUBT = 2.0  # standard deviations: a few requests of one of many proxies say nothing of the others'
-LIVE_LOAD_PER_CORE = (
-    1.0  # requests held by a core of the fleet, as live weights show it: beyond it, shed more
+BURST_CONFIDENCE = (
+    2.0  # standard deviations: a few requests of one of many proxies say nothing of the others'
 )
+# Requests held by a core of the fleet, as live weights show it: beyond it, shed more.
+LIVE_LOAD_PER_CORE = 1.0
 MAX_LIVE_STEPS = 2.0  # steps up after one list with live weights, at the most
 STATISTICS_MEMORY = 500  # first tries after which the counts of offered and served requests are halved
 
@@ -39,7 +41,7 @@
     """What is offered, served, in flight and shed, in the order of the request classes where by class."""
 
     def __init__(
-        self, settings: Settings, latency: LatencyModel, table: EndpointTable, random: random.Random
+        self, settings: Settings, latency: LatencyModel, table: EndpointTable, rng: random.Random
     ) -> None:
         self.offered = [0.0] * len(settings.classes)  # first tries, halved now and then
         self.served = [0.0] * len(settings.classes)  # answered within the objective, halved with them
@@ -51,7 +53,7 @@
         self._settings = settings
         self._latency = latency
         self._table = table
-        self._random = random
+        self._rng = rng
 
     def add_classes(self, classes: tuple[RequestClass, ...]) -> None:
         """Count for further request classes too."""
@@ -86,7 +88,7 @@
         work = [count * us for count, us in zip(self.offered, self._latency.baseline_us, strict=True)]
         total = sum(work) or 1.0
         below = sum(each for each, other in zip(work, values, strict=True) if other < value) / total
-        point = below + work[request.request_class] / total * self._random.random()
+        point = below + work[request.request_class] / total * self._rng.random()
         return point < shed
 
     def burst_shed_fraction(self) -> float:
@@ -95,7 +97,7 @@
         Guards against bursts: answers show a queue when it stands, and by then all requests in it are late.
         The work that an endpoint holds may take `BURST_WAIT_SHARE` of the slack under the tightest objective.
         """
-        surely = self.in_flight - BURST_DOUBT * math.sqrt(self.in_flight)
+        surely = self.in_flight - BURST_CONFIDENCE * math.sqrt(self.in_flight)
         if surely <= 0.0:
             return 0.0
         baseline_us = self._latency.baseline_us
--- a/badgergap/balancing/endpoint_selection.py
+++ b/badgergap/balancing/endpoint_selection.py
@@ -12,19 +12,18 @@
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.eligibility import Eligibility
 from badgergap.balancing.endpoint_table import REINSTATED_SPREAD_US, EndpointTable
-from badgergap.balancing.interface import Idempotency, RequestClass, Settings
 from badgergap.balancing.latency_model import LatencyModel
 from badgergap.balancing.ranking import locality_factor, rendezvous_rank
 from badgergap.balancing.records import Endpoint, Request
 from badgergap.balancing.retry_policy import deduplicates, is_repeatable
+from badgergap.balancing.settings import Idempotency, RequestClass, Settings
 from badgergap.balancing.slow_start import SlowStart
 
 MIN_SUBSET_SIZE = 3  # few endpoints fill their breakers' rings, and enough outlive a third that fails
 SUBSET_MEMORY = 0.98  # of the widest subset needed of late, left after each attempt
 IN_FLIGHT_EXPONENT = 4  # how hard what this proxy has in flight at an endpoint lowers its weight
-PRIORITISED_EXPONENT = (
-    4.0  # on the weights, for prioritised classes: the best endpoint is hardly left to chance
-)
+# On the weights, for prioritised classes: the best endpoint is hardly left to chance.
+PRIORITISED_EXPONENT = 4.0
 HOME_FACTOR = 20.0  # on the weight of a sticky key's home: most of its requests go there, not all
 
 Weighted = tuple[float, Endpoint]
@@ -40,7 +39,7 @@
         table: EndpointTable,
         eligibility: Eligibility,
         slow_start: SlowStart,
-        random: random.Random,
+        rng: random.Random,
     ) -> None:
         self.subset_size = float(MIN_SUBSET_SIZE)
         self.prioritised = prioritised_classes(settings.classes)
@@ -49,7 +48,7 @@
         self._table = table
         self._eligibility = eligibility
         self._slow_start = slow_start
-        self._random = random
+        self._rng = rng
         self._sticky_keys = settings.sticky_keys
         self._zone = settings.zone
         self._remote_factor = locality_factor(False, settings.prices.cross_zone)
@@ -103,7 +102,7 @@
             return None
         if self._sticky_keys and request.key is not None:
             total += favour_home(request.key, weights)
-        point = self._random.random() * total
+        point = self._rng.random() * total
         for weight, endpoint in weights:
             point -= weight
             if point <= 0.0:
@@ -118,25 +117,25 @@
             candidates = self._retry_candidates(request, candidates, now_us)
         if not request.allowed_endpoints:
             return candidates
-        tried = [attempt.endpoint for attempt in request.attempts]
+        attempted = [attempt.endpoint for attempt in request.attempts]
         allowed = request.allowed_endpoints
-        named = [e for e in self._table.ranked if e.entry.endpoint_id in allowed and e not in tried]
+        named = [e for e in self._table.ranked if e.entry.endpoint_id in allowed and e not in attempted]
         return [e for e in named if self._eligibility.is_eligible(e, request_class, now_us)]
 
     def _retry_candidates(self, request: Request, subset: list[Endpoint], now_us: int) -> list[Endpoint]:
         """Return the endpoints that a further attempt may go to."""
-        tried = [attempt.endpoint for attempt in request.attempts]
+        attempted = [attempt.endpoint for attempt in request.attempts]
         may_have_run = [attempt for attempt in request.attempts if attempt.may_have_run]
         rules = request.rules
         if not may_have_run or rules.idempotency is Idempotency.SAFE:
-            return [endpoint for endpoint in subset if endpoint not in tried]
+            return [endpoint for endpoint in subset if endpoint not in attempted]
         if rules.idempotency is Idempotency.UNSAFE:
             return []
         if now_us - may_have_run[0].sent_us >= rules.deduplication_window_us:
             return []
         is_eligible, request_class = self._eligibility.is_eligible, request.request_class
-        untried = (e for e in self._table.ranked if e not in tried)
-        eligible = [e for e in untried if is_eligible(e, request_class, now_us)]
+        remaining = (e for e in self._table.ranked if e not in attempted)
+        eligible = [e for e in remaining if is_eligible(e, request_class, now_us)]
         within = self._table.ranked[: math.ceil(self.subset_size)]
         usable = [e for e in eligible if e in within or self._is_warm(e, now_us)]
         return [e for e in usable if deduplicates(rules, may_have_run, e)]
--- a/badgergap/balancing/endpoint_table.py
+++ b/badgergap/balancing/endpoint_table.py
@@ -7,15 +7,10 @@
 from operator import attrgetter
 
 from badgergap.balancing.circuit_breaker import CircuitBreaker
-from badgergap.balancing.interface import (
-    EndpointList,
-    EndpointListKind,
-    EndpointStatus,
-    ListedEndpoint,
-    Settings,
-)
+from badgergap.balancing.events import EndpointList, EndpointListKind, EndpointStatus, ListedEndpoint
 from badgergap.balancing.ranking import locality_factor, rendezvous_rank
 from badgergap.balancing.records import Endpoint
+from badgergap.balancing.settings import Settings
 from badgergap.balancing.slow_start import BURST_SHARE, SlowStart
 from badgergap.balancing.weight_controller import MAX_WEIGHT, MIN_WEIGHT
 
@@ -35,7 +30,7 @@
 class EndpointTable:
     """All endpoints, by identifier and by rank, and those that were reinstated by hand."""
 
-    def __init__(self, settings: Settings, slow_start: SlowStart, random: random.Random) -> None:
+    def __init__(self, settings: Settings, slow_start: SlowStart, rng: random.Random) -> None:
         self.by_id: dict[int, Endpoint] = {}
         self.ranked: list[Endpoint] = []  # the same by rank: the subset is the first of them
         self.reinstated: list[Endpoint] = []  # put back by hand, used before, and not used since
@@ -43,7 +38,7 @@
         self.class_count = len(settings.classes)
         self._settings = settings
         self._slow_start = slow_start
-        self._random = random
+        self._rng = rng
 
     def add_classes(self, count: int) -> None:
         """Give each endpoint breakers for further request classes."""
@@ -102,7 +97,7 @@
         else:
             known.entry = entry
         if is_out and not was_out:
-            self.by_id[entry.endpoint_id].taken_out_us = rules.now_us
+            self.by_id[entry.endpoint_id].marked_out_us = rules.now_us
         self.full_weights[entry.kind] = max(entry.weight, self.full_weights.get(entry.kind, MIN_WEIGHT))
 
     def _new_endpoint(
@@ -121,7 +116,7 @@
             entry, rules.weight, rank, breakers, start_us=entry.started_us, spent_at_us=rules.now_us
         )
         if known is not None:
-            endpoint.taken_out_us = known.taken_out_us
+            endpoint.marked_out_us = known.marked_out_us
             endpoint.used = known.used
         spread_us = BURST_SHARE * rules.budget_us
         if is_reinstated:
@@ -129,7 +124,7 @@
             capacity = self._slow_start.capacity_fraction(endpoint, rules.now_us)
             rate = (1.0 - BURST_SHARE) * rules.budget_us * capacity
             spread_us = min(spread_us, REINSTATED_SPREAD_US * rate / settings.overload_window_us)
-        endpoint.spent_us = self._random.random() * max(rules.usual_latency_us, spread_us)
+        endpoint.spent_us = self._rng.random() * max(rules.usual_latency_us, spread_us)
         return endpoint
 
     def _reinstate(self, endpoint: Endpoint, now_us: int) -> None:
@@ -140,7 +135,7 @@
         while it was out, where the list is late with its new start or never names it.
         """
         endpoint.reinstated_us = now_us
-        if endpoint.start_us <= endpoint.taken_out_us:
+        if endpoint.start_us <= endpoint.marked_out_us:
             endpoint.start_us = now_us
         if endpoint.used:
             self.reinstated.append(endpoint)
--- a/badgergap/balancing/event_context.py
+++ b/badgergap/balancing/event_context.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from badgergap.balancing.interface import Action, Log, SetTimer
+from badgergap.balancing.actions import Action, Log, SetTimer
 
 LOG_GAP_US = 100_000  # least time between two log lines
 
--- a/badgergap/balancing/records.py
+++ b/badgergap/balancing/records.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass, field
 
 from badgergap.balancing.circuit_breaker import CircuitBreaker
-from badgergap.balancing.interface import EndpointStatus, ListedEndpoint, RequestClass
+from badgergap.balancing.events import ListedEndpoint
+from badgergap.balancing.settings import RequestClass
 
 
 @dataclass(slots=True, eq=False)
@@ -22,7 +23,7 @@
     breakers: list[CircuitBreaker]  # the first judges all outcomes; then one for each request class
     in_flight: dict[Attempt, int] = field(default_factory=dict)  # attempts, by when sent; oldest first
     start_us: int = 0  # since when it runs, as far as is known; 0: long ago
-    taken_out_us: int = 0  # when it was last taken out by hand
+    marked_out_us: int = 0  # when it was last taken out by hand
     reinstated_us: int = 0  # when it was put back; 0: never taken out
     used: bool = False  # this proxy has sent it something at some time
     streams: int = 0  # attempts whose clients have taken them over (see Attempt.is_stream)
@@ -30,10 +31,6 @@
     spent_us: float = 0.0  # slow start: work sent and not yet paid off
     spent_at_us: int = 0  # when `spent_us` was last brought up to date
 
-    def is_ready(self) -> bool:
-        """Whether the endpoint list allows new requests."""
-        return self.entry.status is EndpointStatus.READY
-
     def breakers_of(self, request_class: int) -> tuple[CircuitBreaker, CircuitBreaker]:
         """Return the two breakers that must allow a request: over all classes, and of its class.
 
--- a/badgergap/balancing/request_lifecycle.py
+++ b/badgergap/balancing/request_lifecycle.py
@@ -4,26 +4,20 @@
 
 from functools import partial
 
+from badgergap.balancing.actions import Cancel, ExtendTimeout, Fail, Reject, Send
 from badgergap.balancing.admission import AdmissionControl
 from badgergap.balancing.circuit_breaker import BreakerState
 from badgergap.balancing.eligibility import OVERDUE_MULTIPLE
 from badgergap.balancing.endpoint_selection import EndpointSelector
 from badgergap.balancing.endpoint_table import EndpointTable
 from badgergap.balancing.event_context import EventContext
-from badgergap.balancing.interface import (
+from badgergap.balancing.events import (
     MAY_STILL_RUN,
     AttemptEnded,
-    Cancel,
     ClientDisconnected,
-    ExtendTimeout,
-    Fail,
     Outcome,
-    Reject,
     RequestArrived,
-    RequestClass,
     RequestCoalesced,
-    Send,
-    Settings,
     StreamStarted,
 )
 from badgergap.balancing.latency_model import LatencyModel
@@ -38,6 +32,7 @@
     is_rejectable,
     is_repeatable,
 )
+from badgergap.balancing.settings import RequestClass, Settings
 
 
 class RequestLifecycle:
@@ -77,7 +72,7 @@
             self._context.actions.append(Fail(event.request_id))
             return
         request = self.register(event, self.classes[event.request_class])
-        if self._is_shed(request) or not (self._await_turn(request) or self._try_send(request)):
+        if self._is_shed(request) or not (self._wait_for_key(request) or self._try_send(request)):
             self._answer_unserved(request)
 
     def register(self, event: RequestArrived, rules: RequestClass) -> Request:
@@ -129,7 +124,7 @@
 
     # Ordered requests
 
-    def _await_turn(self, request: Request) -> bool:
+    def _wait_for_key(self, request: Request) -> bool:
         """Let a request wait behind the earlier ones of its key; False if it may go at once.
 
         One that can't run in time any more is rejected while its client can still try again.
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -379,7 +379,7 @@
         self.successor = successor
         self.stop_listening_for_successors()
         for proxy in self.proxies().values():
-            proxy.balancer.yields = True
+            proxy.balancer.is_standby = True
             proxy.upstream.close_all_idle()
         self.downstream.hand_over(self._export_connection)
         for name, component in self.components.items():
@@ -419,7 +419,7 @@
             return
         log.warning("the process that took the clients has gone: they are taken here again")
         for proxy in self.proxies().values():
-            proxy.balancer.yields = False
+            proxy.balancer.is_standby = False
         if self.config.listen is not None:
             self.downstream.resume_accepting()
         for component in self.components.values():
--- a/badgergap/hot_restart/learned_state_import.py
+++ b/badgergap/hot_restart/learned_state_import.py
@@ -30,7 +30,7 @@
         """Restore the pools that can be restored now; the others are left for a later call."""
         for name, proxy in self.proxies().items():
             snapshot = self.state.learned_state if name == MAIN else self.state.pools.get(name)
-            servers = proxy.balancer.servers.values()
+            servers = proxy.balancer.endpoints.values()
             is_in_use = any(server.used for server in servers)
             if proxy in self.restored or snapshot is None or not servers or is_in_use:
                 continue
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -109,7 +109,7 @@
     def __init__(self, config: Config) -> None:
         self.settings = config.settings
         self.classes = {name.encode(): number for number, name in enumerate(config.names.classes)}
-        tenants = config.names.tenants if config.settings.tenants else ()  # else the routes have them
+        tenants = config.names.tenants if config.proxy_settings.tenants else ()  # else the routes have them
         self.tenants = {name.encode(): number for number, name in enumerate(tenants)}
         self.open_ids: set[bytes] = set()  # Request-Id of each open request
 
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -65,7 +65,7 @@
         self.pools: dict[str, Pool] = {}
         self.draining: set[Proxy] = set()
         self.connections = Quota(main.upstream.limit)
-        self.open_requests = Quota(main.settings.max_open_requests)
+        self.open_requests = Quota(main.proxy_settings.max_open_requests)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def proxy(self, name: str) -> Proxy | None:
@@ -91,7 +91,7 @@
                     component.reload(config)
             else:
                 await self._start(plan)
-        self.open_requests.total = config.settings.max_open_requests
+        self.open_requests.total = config.proxy_settings.max_open_requests
         self._divide()
 
     async def _start(self, plan: PoolPlan) -> None:
@@ -172,5 +172,7 @@
     """A pool stays while its components and the balancer's settings are as they were."""
     if new is None or new.identity != old.identity:
         return False
+    if old.config.proxy_settings != new.config.proxy_settings:
+        return False
     settings = new.config.settings  # classes are only added, and taken over
     return replace(old.config.settings, classes=settings.classes) == settings
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -27,7 +27,6 @@
     Log,
     Outcome,
     Reject,
-    ReportMode,
     RequestArrived,
     RequestCoalesced,
     Send,
@@ -41,6 +40,7 @@
 from badgergap.proxy.endpoints.directory import EndpointDirectory
 from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
 from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
+from badgergap.proxy.lifecycle.proxy_settings import ReportMode
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import Budget, total_of
 from badgergap.proxy.load_reports import parse_report
@@ -103,15 +103,16 @@
         self.observer = observer
         self.config = config
         self.settings = settings
+        self.proxy_settings = config.proxy_settings
         self.loop = loop
         self.latest_config = config  # as read last: the start of the next reload
         self.clock = clock if clock is not None else Clock()
         self.balancer = Balancer(settings, config.seed)
         self.upstream = _upstream(config, loop)
         self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
-        self.peers = PeerMessenger(config, settings.may_message, loop, self.feed)
+        self.peers = PeerMessenger(config, self.proxy_settings.may_message, loop, self.feed)
         self.health_checker = HealthChecker(
-            self.upstream, settings.reports.mode, self.clock.now_us, self.feed
+            self.upstream, self.proxy_settings.reports.mode, self.clock.now_us, self.feed
         )
         self.requests: dict[str, Request] = {}
         self.open_requests = 0  # requests that are owed an answer
@@ -155,11 +156,9 @@
         # A class that was changed has a new entry under its name; its old one is named with a mark.
         old_index = {name.partition("~")[0]: index for index, name in enumerate(names[:first_new])}
         self.balancer.add_classes(classes, tuple(old_index.get(name) for name in names[first_new:]))
-        self.settings = replace(
-            self.settings,
-            classes=self.settings.classes + classes,
-            max_open_requests=config.settings.max_open_requests,
-        )
+        self.settings = replace(self.settings, classes=self.settings.classes + classes)
+        most = config.proxy_settings.max_open_requests
+        self.proxy_settings = replace(self.proxy_settings, max_open_requests=most)
 
     def close(self) -> None:
         self.directory.close()
@@ -241,7 +240,7 @@
             case FetchEndpoints():
                 self.directory.fetch()
             case HealthCheck():
-                if self.settings.may_probe:
+                if self.proxy_settings.may_probe:
                     self.health_checker.check(action.endpoint_id)
             case CloseIdleConnections():
                 self.upstream.close_idle(action.endpoint_id)
@@ -288,11 +287,11 @@
         """Whether one more request may be open."""
         if self.may_admit is not None:
             return self.may_admit()
-        return not 0 < self.settings.max_open_requests <= self.open_requests
+        return not 0 < self.proxy_settings.max_open_requests <= self.open_requests
 
     def is_able(self, request_class: int) -> bool:
         """Whether any endpoint may be given a request of this class now."""
-        return self.balancer.is_able(self.clock.now_us(), request_class)
+        return self.balancer.has_eligible_endpoint(self.clock.now_us(), request_class)
 
     def client_left(self, request: Request) -> None:
         """The client has closed its connection."""
@@ -470,13 +469,13 @@
 
     def load_report(self, answer: Answer | None) -> tuple[tuple[str, float], ...]:
         """The load report that came along with an answer, where the settings say that there is one."""
-        if answer is None or self.settings.reports.mode is not ReportMode.ANSWERS:
+        if answer is None or self.proxy_settings.reports.mode is not ReportMode.ANSWERS:
             return ()
         return parse_report(answer.header(b"server-load"))
 
 
 def _upstream(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
-    settings = config.settings
+    settings = config.proxy_settings
     return Upstream(
         loop,
         # With an operator file the other half is for the listeners of its site.
--- a/badgergap/proxy/upstream/health_check.py
+++ b/badgergap/proxy/upstream/health_check.py
@@ -7,7 +7,8 @@
 
 import httptools
 
-from badgergap.balancing.interface import HealthCheckEnded, Outcome, ReportMode
+from badgergap.balancing.interface import HealthCheckEnded, Outcome
+from badgergap.proxy.lifecycle.proxy_settings import ReportMode
 from badgergap.proxy.load_reports import parse_report
 from badgergap.proxy.upstream.connection_pool import Endpoint, EndpointId, PooledConnection, Upstream
 from badgergap.proxy.upstream.exchange import HEAD_LIMIT, INTERIM_LIMIT, Answer, Exchange
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -136,7 +136,7 @@
         """Send what this gateway has learned to the members that store it."""
         own = next((replica for replica in self.replicas if replica.name == self.copies.options.name), None)
         proxies = self.proxies()
-        endpoints = sum(len(proxy.balancer.servers) for proxy in proxies.values())
+        endpoints = sum(len(proxy.balancer.endpoints) for proxy in proxies.values())
         if own is None or not proxies:
             return
         health_snapshot = None
@@ -172,13 +172,15 @@
 
         What is learnt from then on is newer than any health snapshot.
         """
-        servers = (server for proxy in self.proxies().values() for server in proxy.balancer.servers.values())
+        servers = (
+            server for proxy in self.proxies().values() for server in proxy.balancer.endpoints.values()
+        )
         return any(server.used for server in servers)
 
     def restore(self, name: str, answer: StoredSnapshot) -> bool:
         """Whether that is over: taken, or of no use. Not while no list of endpoints is known yet."""
         proxies = self.proxies()
-        if not any(proxy.balancer.servers for proxy in proxies.values()):
+        if not any(proxy.balancer.endpoints for proxy in proxies.values()):
             return False
         try:
             health_snapshot = learned_state.unpack(answer.health_snapshot)
@@ -205,4 +207,4 @@
         older = learned_state.age_snapshot(raw, age_us, now_us - age_us - health_snapshot.taken_us)
         proxy.balancer.restore(now_us, older)
         known: Any = {server[0] for server in older["servers"]}
-        return len(known & proxy.balancer.servers.keys())
+        return len(known & proxy.balancer.endpoints.keys())
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -8,32 +8,32 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import SETTINGS, START_US
+from badgergap.balancing.balancer import Balancer
 from badgergap.balancing.interface import (
     MAY_STILL_RUN,
     NEVER_RAN,
     Action,
     AttemptEnded,
     Cancel,
-    Idempotency,
+    ClientDisconnected,
+    DeduplicationScope,
+    EndpointList,
+    EndpointListKind,
+    EndpointStatus,
     Event,
     Fail,
+    Idempotency,
     ListedEndpoint,
-    EndpointListKind,
     Outcome,
     Reject,
     RequestArrived,
     RequestClass,
-    ClientDisconnected,
-    DeduplicationScope,
     Send,
-    EndpointList,
-    EndpointStatus,
     SetTimer,
     Settings,
     TimerFired,
 )
-from badgergap.balancing.balancer import Balancer
+from tests.helpers import SETTINGS, START_US
 
 GROUP = {n: n // 3 for n in range(6)}
 
@@ -240,7 +240,7 @@
         assert case.done, "a request was left without its final answer"
     balancer = world.balancer
     assert not balancer.requests and not balancer.context.timers and not balancer.lifecycle.ordering.queues
-    assert all(not s.in_flight for s in balancer.servers.values())
+    assert all(not s.in_flight for s in balancer.endpoints.values())
 
 
 @pytest.mark.parametrize("seed", [1, 7])
