--- a/badgergap/replication/anti_entropy.py
+++ b/badgergap/replication/anti_entropy.py
@@ -54,7 +54,7 @@
     quiet: frozenset[str] = (
         frozenset()
     )  # sources that are not waited for: they are gone, or said nothing of late
-    same: dict[str, set[int]] = field(default_factory=dict)  # buckets that do not differ, by holder
+    same: dict[str, set[int]] = field(default_factory=dict)  # buckets that do not differ, by disk
     digests: dict[str, dict[int, list[RecordDigest]]] = field(default_factory=dict)
     asked_us: int = 0
     moved_us: int = 0  # when it last came further
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -101,15 +101,16 @@
         return {"key": str(arguments["key"]), "found": settled}
 
     def _named_keys(self, arguments: Arguments) -> list[tuple[str, str, bytes]]:
-        wanted, name = str(arguments["key"]).encode("latin-1", "replace"), arguments.get("route")
+        client_key = str(arguments["key"]).encode("latin-1", "replace")
+        name = arguments.get("route")
         keyed = [(route, tenant) for route, tenant in self.keyed() if name in (None, route)]
         if not keyed:
             raise Refused("no route keeps keys" if name is None else f"no route {name} keeps keys")
-        return [(route, tenant, records.key_of(tenant, route, wanted)) for route, tenant in keyed]
+        return [(route, tenant, records.key_of(tenant, route, client_key)) for route, tenant in keyed]
 
     def _describe(self, route: str, tenant: str, key: bytes, record: Record) -> dict[str, Any]:
-        it = self.service.require_node()
-        now = it.clock.now_us(it.now_us)
+        node = self.service.require_node()
+        now = node.clock.now_us(node.now_us)
         partition = key[0]
         return {
             "route": route,
@@ -119,11 +120,11 @@
             "answer_bytes": len(record.body),
             "answer_kept": record.whole and record.state == "done",
             "owner": record.owner,
-            "boxes": [self._endpoint_name(box) for box in record.endpoints],
+            "boxes": [self._endpoint_name(number) for number in record.endpoints],
             "begun_s_ago": max(0, now - record.at_us) // 1_000_000,
             "kept_s_more": max(0, record.expires_us - now) // 1_000_000,
             "part": partition,
-            "at": list(dict.fromkeys(replica.name for replica in it.placement.members(partition))),
+            "at": list(dict.fromkeys(replica.name for replica in node.placement.members(partition))),
         }
 
     def _endpoint_name(self, number: int) -> str:
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -9,7 +9,6 @@
 import asyncio
 import logging
 from collections.abc import Callable, Mapping
-from typing import Any
 
 import msgspec
 
@@ -203,5 +202,5 @@
         now_us = proxy.clock.now_us()
         older = learned_state.age_snapshot(raw, age_us, now_us - age_us - health_snapshot.taken_us)
         proxy.balancer.restore(now_us, older)
-        known: Any = {server[0] for server in older["servers"]}
-        return len(known & proxy.balancer.servers.keys())
+        restored = {server[0] for server in older["servers"]}
+        return len(restored & proxy.balancer.servers.keys())
--- a/badgergap/replication/placement.py
+++ b/badgergap/replication/placement.py
@@ -2,8 +2,8 @@
 
 A key lies in one of so many partitions, by its first byte. A partition belongs to `copies` replicas by
 rendezvous hashing over the replicas' names, never two in one zone while there are zones enough. A replica
-is a name and its `disk_id`: the identity of the disk behind it. A wiped disk is another holder in the same
-replica, so only its partitions move.
+is a name and its `disk_id`: the identity of the disk behind it. A wiped disk is another one behind the same
+name, so only its partitions move.
 
 An epoch is *moving* or *settled*. Moving from the replicas `before` to `replicas`, whatever is done needs a
 majority of both sets of a partition; it is settled once a majority of each partition's new set holds all
--- a/badgergap/replication/snapshot_commands.py
+++ b/badgergap/replication/snapshot_commands.py
@@ -14,6 +14,7 @@
 from badgergap.consensus.service import PUBLISH_S, Refused
 from badgergap.replication import idempotency_record as records
 from badgergap.replication import messages, snapshot
+from badgergap.replication.acceptor import Ballot
 from badgergap.replication.idempotency_record import Record
 from badgergap.replication.messages import Message
 from badgergap.replication.placement import Placement, Replica, majority
@@ -76,21 +77,29 @@
                 "folders are empty"
             )
         now = it.clock.now_us(it.now_us)
+        count = await self._put_all(found, now)
+        failed = await self._publish_head(found.head, member.state.newest.settings)
+        return {"records": count, "of": found.count, "not": failed}
+
+    async def _put_all(self, found: snapshot.Snapshot, now_us: int) -> int:
+        """How many records were restored. Raises Refused."""
         count = 0
         batch: list[tuple[bytes, Record]] = []
         for key, data in found.records():
-            batch.append((key, _anew(records.decode(data), found.head.at_us, now)))
+            batch.append((key, _anew(records.decode(data), found.head.at_us, now_us)))
             if len(batch) == RESTORE_BATCH:
                 count += await self._put(batch)
                 batch = []
-        count += await self._put(batch)
+        return count + await self._put(batch)
+
+    async def _publish_head(self, head: snapshot.Head, settings: str) -> list[str]:
+        """Publish the settings, if they are others, and the manual drains. What failed, for people."""
         outcomes = []
-        if found.head.settings and found.head.settings != member.state.newest.settings:
-            outcomes.append(await self._publish("settings", found.head.settings, "restored"))
-        for host, by in found.head.out.items():
+        if head.settings and head.settings != settings:
+            outcomes.append(await self._publish("settings", head.settings, "restored"))
+        for host, by in head.out.items():
             outcomes.append(await self._publish("out", host, by))
-        failed = [why for why in outcomes if why]
-        return {"records": count, "of": found.count, "not": failed}
+        return [why for why in outcomes if why]
 
     async def _put(self, batch: list[tuple[bytes, Record]]) -> int:
         def put(record: Record) -> Callable[[Record | None], Record | None]:
@@ -118,7 +127,8 @@
     """All replicas held still for a moment, and then read at leisure."""
 
     def __init__(self, service: ReplicationService, placement: Placement) -> None:
-        self.service, self.placement = service, placement
+        self.service = service
+        self.placement = placement
         self.id = secrets.randbits(60)
         self.frozen: set[str] = set()
         self.pages: dict[tuple[str, int, bytes], asyncio.Future[messages.Paged]] = {}
@@ -169,10 +179,10 @@
     async def collect(self) -> Iterator[tuple[bytes, bytes]]:
         """Of each partition what a majority of its replicas held, the newest of each key."""
         self.service.listeners.append(self._on_message)
-        found: list[dict[bytes, tuple[Any, bytes]]] = []
+        found: list[dict[bytes, tuple[Ballot, bytes]]] = []
         try:
             for partition in range(self.placement.partitions):
-                newest: dict[bytes, tuple[Any, bytes]] = {}
+                newest: dict[bytes, tuple[Ballot, bytes]] = {}
                 replicas = [s for s in self.placement.sets(partition)[0] if s.disk_id in self.frozen]
                 for replica in replicas:
                     after, more = b"", True
