--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -35,7 +35,7 @@
     for _ in range(20):
         name, actions = driver.arrive()
         driver.now_us += 10_000
-        driver.end(name, actions[0].server)  # type: ignore[union-attr]
+        driver.end(name, actions[0].endpoint_id)  # type: ignore[union-attr]
     return driver
 
 
@@ -120,7 +120,7 @@
 def room_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LessonsRoom:
     names = SimpleNamespace(names=SimpleNamespace(classes=classes))
     proxy: Any = SimpleNamespace(
-        balancer=driver.balancer, clock=SimpleNamespace(now_us=lambda: driver.now_us), filed=names
+        balancer=driver.balancer, clock=SimpleNamespace(now_us=lambda: driver.now_us), latest_config=names
     )
     return LessonsRoom(SimpleNamespace(), SimpleNamespace(), lambda: {"": proxy})  # type: ignore[arg-type]
 
