--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -54,14 +54,20 @@
 
 @dataclass(slots=True)
 class Pool:
+    """A pool that takes requests."""
+
     plan: PoolPlan
     proxy: Proxy
     components: list[PoolComponent] = field(default_factory=list)
 
 
 class Pools:
+    """All pools of a gateway, and their quotas of connections and open requests."""
+
     def __init__(self, main: Proxy, observer: Observer | None, main_weight: float = 1.0) -> None:
-        self.main, self.observer, self.main_weight = main, observer, main_weight
+        self.main = main
+        self.observer = observer
+        self.main_weight = main_weight
         self.pools: dict[str, Pool] = {}
         self.draining: set[Proxy] = set()
         self.connections = Share(main.upstream.limit)
@@ -69,12 +75,14 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def proxy(self, name: str) -> Proxy | None:
+        """The proxy of a pool that takes requests, or None."""
         if name == MAIN:
             return self.main
         pool = self.pools.get(name)
         return pool.proxy if pool is not None else None
 
     def proxies(self) -> dict[str, Proxy]:
+        """Those of all pools that take requests, by name, the main one first."""
         return {MAIN: self.main, **{name: pool.proxy for name, pool in self.pools.items()}}
 
     async def apply(self, plans: Sequence[PoolPlan], config: Config) -> None:
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -72,7 +72,7 @@
             self.write(exchange)
 
     def write(self, exchange: Exchange) -> None:
-        """Send what the exchange has to say."""
+        """Send the exchange's request."""
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -81,6 +81,7 @@
             self.exchange.lost()
 
     def abort(self) -> None:
+        """Close at once, without an outcome for the exchange."""
         self.exchange = None
         self.pool.forget(self)
         if self.connecting is not None:
@@ -89,7 +90,7 @@
             self.transport.abort()
 
     def fail(self) -> None:
-        """What came is no answer that can be passed on: as good as a broken connection."""
+        """What came is no response that can be passed on: as good as a broken connection."""
         exchange = self.exchange
         self.abort()
         if exchange is not None:
@@ -196,7 +197,10 @@
     def carry(
         self, endpoint_id: EndpointId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
     ) -> None:
-        """Have an exchange carried by an idle connection of this kind, or else by a new one."""
+        """Have an exchange carried by an idle connection of this kind, or else by a new one.
+
+        It ends as TIMEOUT after so many seconds, and as NEVER_SENT if nothing may be sent to the endpoint.
+        """
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None or not self.may_send(endpoint):
             self.loop.call_soon(exchange.never_sent)
@@ -277,7 +281,7 @@
             self.close_idle(endpoint_id)
 
     def close_oldest_idle(self) -> bool:
-        """Make room for a new connection."""
+        """Close an idle connection for a new one to be made. Returns whether there was one."""
         idle = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
         if not idle:
             return False
@@ -285,7 +289,7 @@
         return True
 
     def clean_up(self) -> None:
-        """Close what has stood idle for long and forget endpoints that are gone."""
+        """Close what has been idle for long, and forget endpoints that are gone. Called periodically."""
         oldest = self.loop.time() - self.idle_s
         for endpoint_id, endpoint in list(self.endpoints.items()):
             while endpoint.idle and endpoint.idle[0].idle_since < oldest:
--- a/badgergap/proxy/upstream/health_check.py
+++ b/badgergap/proxy/upstream/health_check.py
@@ -56,12 +56,12 @@
     Its own class beside that of streams: health checks and requests never share a connection.
     """
 
-    def __init__(self, pool: Upstream, host: Endpoint) -> None:
-        super().__init__(pool, host)
+    def __init__(self, pool: Upstream, endpoint: Endpoint) -> None:
+        super().__init__(pool, endpoint)
         self.answer = Answer()
         self.size = 0
-        self.raw = 0  # bytes since the request went out, however they are framed
-        self.interim = 0
+        self.raw_size = 0  # bytes since the request went out, however they are framed
+        self.interim_count = 0
         self.chunks: list[bytes] = []
         self.complete = False
         self.keep_alive = False
@@ -73,7 +73,8 @@
         transport = self.transport
         assert transport is not None
         self.exchange = exchange
-        self.raw = self.interim = 0
+        self.raw_size = 0
+        self.interim_count = 0
         exchange.connection = self
         exchange.written = True  # unless pause_writing says otherwise from within write
         transport.write(exchange.payload)
@@ -92,7 +93,7 @@
         if self.exchange is None:  # nothing was asked
             self.abort()
             return
-        self.raw += len(data)
+        self.raw_size += len(data)
         clean = True
         try:
             self.parser.feed_data(data)
@@ -101,7 +102,7 @@
         if self.complete:
             # What comes right behind a whole answer spoils the connection, not the answer.
             self.conclude(clean)
-        elif not clean or self.raw > RAW_LIMIT:
+        elif not clean or self.raw_size > RAW_LIMIT:
             self.fail()
 
     # Parser
@@ -121,12 +122,11 @@
     def on_headers_complete(self) -> None:
         self.size = 0
         if self.parser.get_status_code() < 200:
-            self.interim += 1
-            if self.interim > INTERIM_LIMIT:
+            self.interim_count += 1
+            if self.interim_count > INTERIM_LIMIT:
                 raise ValueError("too many interim answers")
-        elif (
-            int(self.answer.header(b"content-length") or 0) > BODY_LIMIT
-        ):  # the parser takes nothing but digits
+        # The parser takes nothing but digits for a length.
+        elif int(self.answer.header(b"content-length") or 0) > BODY_LIMIT:
             raise ValueError("body too long")
 
     def on_body(self, body: bytes) -> None:
@@ -142,7 +142,11 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def conclude(self, clean: bool) -> None:
-        """Only now that the parser has read all there was: the next request may go out on this connection."""
+        """End the exchange, and return the connection to the pool, or close it.
+
+        Only now that the parser has read all there was may the next request go out on this connection.
+        `clean`: nothing came behind the response.
+        """
         exchange, answer = self.exchange, self.answer
         assert exchange is not None
         answer.status = self.parser.get_status_code()
