--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -128,7 +128,7 @@
 def room_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LearnedStateService:
     names = SimpleNamespace(names=SimpleNamespace(classes=classes))
     proxy: Any = SimpleNamespace(
-        balancer=driver.balancer, clock=SimpleNamespace(now_us=lambda: driver.now_us), filed=names
+        balancer=driver.balancer, clock=SimpleNamespace(now_us=lambda: driver.now_us), latest_config=names
     )
     return LearnedStateService(SimpleNamespace(), SimpleNamespace(), lambda: {"": proxy})  # type: ignore[arg-type]
 
