--- a/badgergap/proxy/body_streams.py
+++ b/badgergap/proxy/body_streams.py
@@ -28,8 +28,11 @@
 class UploadReceiver(Protocol):
     """The endpoint's side of a request: takes what comes after the part that was held."""
 
-    def send_body(self, data: bytes) -> None: ...
-    def end_body(self, trailers: Headers) -> None: ...
+    def send_body(self, data: bytes) -> None:
+        """Take the next bytes of the request's body, in order."""
+
+    def end_body(self, trailers: Headers) -> None:
+        """The request's body is complete; `trailers` follow it."""
 
 
 @dataclass(slots=True, eq=False)
@@ -51,9 +54,11 @@
 
     @property
     def ready(self) -> bool:
+        """Whether an attempt may begin: the body is complete, or at least `hold` bytes of it have come."""
         return self.complete or self.size >= self.hold
 
     def put(self, data: bytes) -> None:
+        """Take the next bytes from the client: they are held for a retry, or passed on to the receiver."""
         self.size += len(data)
         if self.awaits_continue:
             self.held.append(data)
@@ -79,6 +84,7 @@
         self._notify_if_ready()
 
     def end(self, trailers: Headers) -> None:
+        """The body is complete, with these trailers."""
         self.complete = True
         self.trailers = trailers
         self.flow(True)  # nothing more of it is to come that could be held back
@@ -149,7 +155,8 @@
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
         """The final response's head. Called once at the most."""
 
-    def data(self, data: bytes) -> None: ...
+    def data(self, data: bytes) -> None:
+        """The next bytes of the response's body."""
 
     def end(self, trailers: Headers) -> None:
         """The response is complete."""
--- a/badgergap/proxy/clock.py
+++ b/badgergap/proxy/clock.py
@@ -13,4 +13,5 @@
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
+        """Return the time in microseconds since the Unix epoch."""
         return (self.offset_ns + time.monotonic_ns()) // 1000
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -40,11 +40,13 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """An operator has connected: its line has LINE_TIMEOUT_S to come."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
         self.listener.add(self)
         self.timer = self.listener.loop.call_later(LINE_TIMEOUT_S, self.respond, b"fail no line has come\n")
 
     def data_received(self, data: bytes) -> None:
+        """Collect the line and respond to it once it is complete; one over LINE_LIMIT bytes fails."""
         if self.is_answered:
             return  # only one line to a connection
         self.line += data[: LINE_LIMIT + 1 - len(self.line)]
@@ -55,6 +57,7 @@
             self.respond(b"fail the line is too long\n")
 
     def eof_received(self) -> bool:
+        """The operator has closed its end: a line that is incomplete is answered with a failure."""
         if self.is_answered:
             return False  # it has its response and has closed
         self.respond(b"fail the line has no end\n")
@@ -73,11 +76,13 @@
             self.timer = self.listener.loop.call_later(UNREAD_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: stop its timer and no longer count it."""
         if self.timer is not None:
             self.timer.cancel()
         self.listener.connections.pop(self, None)
 
     def abort(self) -> None:
+        """Close at once, without a response."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -69,8 +69,12 @@
     def ends_connections(self) -> bool:
         """Whether each response is its connection's last."""
 
-    def add(self, connection: ClientConnection) -> None: ...
-    def discard(self, connection: ClientConnection) -> None: ...
+    def add(self, connection: ClientConnection) -> None:
+        """Count a connection that a client has opened."""
+
+    def discard(self, connection: ClientConnection) -> None:
+        """Stop counting a connection that has ended."""
+
     def on_idle(self, connection: ClientConnection) -> None:
         """It has no request in hand."""
 
@@ -88,11 +92,13 @@
     # Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A client has connected: register the connection and bound what may be unsent to it."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
         self.transport.set_write_buffer_limits(high=self.server.unsent_limit)
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: drop its requests and what is held for them."""
         self.server.discard(self)
         self.write_paused = False
         self.abandon_all()
@@ -138,6 +144,7 @@
     # Requests, one at a time
 
     def on_body_complete(self, incoming: IncomingRequest) -> None:
+        """Notify the proxy that the body of the current request is complete."""
         if incoming is self.current and self.request is not None:
             self.server.proxy.on_body_complete(self.request)
 
--- a/badgergap/proxy/downstream/forwarding.py
+++ b/badgergap/proxy/downstream/forwarding.py
@@ -18,6 +18,7 @@
         self.prepared_lines = ready
 
     def lines(self) -> bytes:
+        """Return the prepared lines as they are sent."""
         return self.prepared_lines
 
 
--- a/badgergap/proxy/downstream/http_connection.py
+++ b/badgergap/proxy/downstream/http_connection.py
@@ -128,6 +128,7 @@
 
     @property
     def is_idle(self) -> bool:
+        """Whether no request is open here and none is being received."""
         return not self.has_open_requests and not self.is_receiving
 
     def stop_reading(self) -> None:
@@ -141,10 +142,12 @@
         raise NotImplementedError
 
     def on_message_begin(self) -> None:
+        """The parser has met a request: begin it, unless its first byte has begun it already."""
         if self.state is IDLE or self.state is CLOSED:  # a further one in the same data
             self.begin()
 
     def on_url(self, url: bytes) -> None:
+        """Add a part of the request's target, which may come in several."""
         self.incoming.target += url
 
     # Flow control
@@ -162,10 +165,12 @@
         (self.transport.pause_reading if pause else self.transport.resume_reading)()
 
     def pause_writing(self) -> None:
+        """The client takes no more for now: pause what its response comes from."""
         self.write_paused = True
         self._on_write_flow()
 
     def resume_writing(self) -> None:
+        """The client takes data again: resume what its response comes from."""
         self.write_paused = False
         self._on_write_flow()
 
@@ -186,6 +191,7 @@
         """Report the bytes that are held here, where there is a budget for them."""
 
     def write(self, data: bytes) -> None:
+        """Write to the client; does nothing once the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -218,6 +224,7 @@
         raise NotImplementedError
 
     def serves(self, incoming: RespondedRequest) -> bool:
+        """Whether this is the current request, whose response is not complete."""
         return self.current is incoming
 
     # The end from here
@@ -258,6 +265,7 @@
             self.transport.close()
 
     def abort(self) -> None:
+        """Close at once, dropping what is unsent."""
         self.stop_reading()
         if self.transport is not None:
             self.transport.abort()
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -82,12 +82,15 @@
     # Transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the read buffer that the listener's connections share."""
         return self.server.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """The first `nbytes` of the shared buffer were read from this client."""
         self.data_received(self.server.reads.take(nbytes))
 
     def data_received(self, data: bytes) -> None:
+        """Parse what the client has sent, and start the next request; invalid input is rejected."""
         if self.is_closing:
             return
         self.progress_at = self.loop.time()
@@ -161,6 +164,7 @@
     # Parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header field to the request, or reject it; trailers are dropped."""
         incoming = self.incoming
         if self.state is not RECEIVING or incoming.head_complete:  # trailers are dropped
             return
@@ -171,6 +175,7 @@
             self.reject_and_close(refusal)
 
     def on_headers_complete(self) -> None:
+        """Check the complete head, and begin to receive the body if one is to come."""
         incoming = self.incoming
         incoming.method = self.parser.get_method()
         if self.state is not RECEIVING:
@@ -193,6 +198,7 @@
             self.send_continue()
 
     def on_body(self, body: bytes) -> None:
+        """Add bytes to the body, and queue the request once an attempt may begin; rejects over BODY_LIMIT."""
         incoming = self.incoming
         incoming.size += len(body)
         if incoming.size > BODY_LIMIT:
@@ -208,6 +214,7 @@
                 self.enqueue(incoming)
 
     def on_message_complete(self) -> None:
+        """The request has been read to its end: complete its body, queue it, and bound those read ahead."""
         self.state = AFTER_END[self.state]
         if self.state is not IDLE:
             return
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -31,9 +31,15 @@
     def serves(self, incoming: RespondedRequest) -> bool:
         """Whether it is this request's turn, and its response is not complete."""
 
-    def send_response(self, incoming: RespondedRequest, answer: Answer) -> None: ...
-    def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes: ...
-    def write(self, data: bytes) -> None: ...
+    def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
+        """Send a complete response to this request."""
+
+    def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
+        """Return the bytes of a response's head, as this request's client gets it."""
+
+    def write(self, data: bytes) -> None:
+        """Write to the client; does nothing once the connection is closing."""
+
     def response_finished(self, incoming: RespondedRequest) -> None:
         """The response is complete."""
 
@@ -51,22 +57,27 @@
 
     @property
     def open(self) -> bool:
+        """Whether the client still waits for this response or the rest of it."""
         return self.writer.serves(self.incoming)
 
     def answer(self, answer: Answer) -> None:
+        """Send a complete response."""
         self.writer.send_response(self.incoming, answer)
 
     def interim(self, status: int, headers: Headers) -> None:
+        """Forward a 1xx response; an HTTP/1.0 client gets none."""
         if self.open and self.incoming.version == "1.1":
             lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
             lines += [b"%b: %b" % header for header in headers]
             self.writer.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
     def go_on(self) -> None:
+        """Send 100 Continue, unless the final response has begun."""
         if self.open and self.incoming.source is None:
             self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
+        """Send the final response's head; `source` is cancelled if none is awaited or one has begun."""
         writer, incoming = self.writer, self.incoming
         if not self.open or incoming.source is not None:
             source.client_left()
@@ -83,6 +94,7 @@
             source.flow(False)
 
     def data(self, data: bytes) -> None:
+        """Send the next bytes of the body, as a chunk if the response is chunked."""
         if self.open and data:
             writer = self.writer
             if not writer.write_paused:
@@ -90,12 +102,14 @@
             writer.write(b"%x\r\n%b\r\n" % (len(data), data) if self.incoming.chunked else data)
 
     def end(self, fields: Headers) -> None:
+        """Complete the response, with trailers if it is chunked."""
         if self.open:
             if self.incoming.chunked:
                 self.writer.write(last_chunk(fields))
             self.writer.response_finished(self.incoming)
 
     def broke(self) -> None:
+        """The response has broken off: abort it, so that the client sees that it is incomplete."""
         if self.open:
             self.incoming.source = None
             self.writer.abort_response(self.incoming)
--- a/badgergap/proxy/endpoints/directory.py
+++ b/badgergap/proxy/endpoints/directory.py
@@ -63,10 +63,12 @@
         self.registry.add_source(source.name, source.rank, source.dynamic, source.fallback)
 
     def start(self) -> None:
+        """Start all sources; updates may come from within the call."""
         for source in self.sources.values():
             source.start()
 
     def close(self) -> None:
+        """Close all sources: they send no more updates."""
         for source in self.sources.values():
             source.close()
 
@@ -86,10 +88,12 @@
         return bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
 
     def watch(self, on: bool) -> None:
+        """Open or close the watch of each source; one that may not be followed is not watched."""
         for source in self.sources.values():
             source.watch(on and self.may_follow(source.name))
 
     def fetch(self) -> None:
+        """Fetch the full list once from each source that may be followed."""
         for source in self.sources.values():
             if self.may_follow(source.name):
                 source.fetch()
--- a/badgergap/proxy/endpoints/discovery.py
+++ b/badgergap/proxy/endpoints/discovery.py
@@ -81,9 +81,11 @@
             self.moving_until = 0.0
 
     def open_watch(self) -> None:
+        """Begin a call that streams changes after the version held; the watch before is not closed."""
         self.current_watch = DiscoveryCall(self, f"{PATH}?stream=1&index={self.index}", watch=True)
 
     def stop_watch(self) -> None:
+        """End the watch, and the one before it if it is still open."""
         for call in (self.current_watch, self.previous_watch):
             if call is not None:
                 call.end()
@@ -113,6 +115,7 @@
             self.open_watch()
 
     def fetch(self) -> None:
+        """Begin a call for the full list; its result comes as an update."""
         self.fetches.add(DiscoveryCall(self, PATH, watch=False))
 
     def on_list(self, raw: Any, call: DiscoveryCall) -> None:
@@ -204,9 +207,11 @@
         return self.loop.time() >= self.current_at
 
     def describe(self) -> str:
+        """Return discovery's address and the version of the list, for operators."""
         return "{}:{}, version {}".format(*self.address, self.index)
 
     def close(self) -> None:
+        """End all calls: no more updates are sent."""
         self.closed = True
         self.stop_watch()
         for call in self.fetches:
--- a/badgergap/proxy/endpoints/discovery_call.py
+++ b/badgergap/proxy/endpoints/discovery_call.py
@@ -57,6 +57,7 @@
             self.fail(f"no connection: {error}")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the GET, unless the call is over; from here on silence is timed."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
         if self.over:
             self.transport.abort()
@@ -73,10 +74,12 @@
         self.silence = self.discovery.loop.call_later(MOVE_ANSWER_S if moved else SILENCE_S, self.fall_silent)
 
     def fall_silent(self) -> None:
+        """Fail the call because discovery has sent nothing for too long."""
         self.silent = True
         self.fail("silent for too long")
 
     def data_received(self, data: bytes) -> None:
+        """Parse what discovery has sent; malformed input fails the call."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -85,14 +88,17 @@
             self.restart_silence_timer()  # with the limit that holds after this answer
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: the call has failed, unless it is over."""
         self.fail("connection lost")
 
     def on_headers_complete(self) -> None:
+        """Fail the call on any status but 200."""
         status = self.parser.get_status_code()
         if status != 200:
             self.fail(f"answered {status}")
 
     def on_body(self, body: bytes) -> None:
+        """Take bytes of the body, and read each complete line of a watch; fails over LINE_LIMIT bytes."""
         if self.over:
             return
         self.buffer += body
@@ -107,6 +113,7 @@
                     self.read_line(bytes(line))
 
     def on_message_complete(self) -> None:
+        """Read the list that was fetched; a watch that ends has failed."""
         if self.over:
             return
         if self.watch:
@@ -117,6 +124,7 @@
                 self.discovery.on_call_failed(self)
 
     def read_line(self, line: bytes) -> None:
+        """Read one line of a watch, and report a message that it completes or that is unreadable."""
         try:
             message = self.messages.add_line(line)
         except ValueError as error:
@@ -145,6 +153,7 @@
             self.transport.abort()
 
     def fail(self, why: str) -> None:
+        """End the call and report it as failed, once; `why` is logged."""
         if self.over:
             return
         self.end()
--- a/badgergap/proxy/endpoints/manual_drains.py
+++ b/badgergap/proxy/endpoints/manual_drains.py
@@ -33,6 +33,7 @@
         self.untouchable = False  # the file is of a later version: not overwritten
 
     def load(self) -> list[ManualDrain]:
+        """Return the stored drains, DRAIN_LIMIT at most; none if the file is missing or unusable."""
         try:
             with self.path.open("rb") as file:
                 data = file.read(SIZE_LIMIT + 1)
--- a/badgergap/proxy/endpoints/registry.py
+++ b/badgergap/proxy/endpoints/registry.py
@@ -43,6 +43,7 @@
 
     @property
     def gone(self) -> bool:
+        """Whether the source reported the endpoint as gone."""
         return self.entry.listed.status is EndpointStatus.GONE
 
 
@@ -74,6 +75,7 @@
 
     @property
     def endpoint_count(self) -> int:
+        """The number of endpoints that the source names and that are not gone."""
         return len(self.records) - len(self.gone)
 
     def record(self, records: dict[str, EndpointRecord]) -> None:
@@ -86,6 +88,7 @@
                 self.gone.discard(name)
 
     def forget(self, name: str) -> None:
+        """Drop the record of an endpoint. Raises KeyError if there is none."""
         del self.records[name]
         self.gone.discard(name)
 
@@ -111,6 +114,7 @@
         self.drains: dict[str, ManualDrain] = {}
 
     def add_source(self, name: str, rank: int, dynamic: bool, fallback: bool = False) -> None:
+        """Add a source without records, in the order of `rank` (the lowest is believed first)."""
         self.sources[name] = SourceState(name, rank, dynamic, fallback)
         self.sources = dict(sorted(self.sources.items(), key=lambda item: item[1].rank))
 
--- a/badgergap/proxy/endpoints/sources.py
+++ b/badgergap/proxy/endpoints/sources.py
@@ -53,13 +53,20 @@
     """
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The name that its updates and records go by."""
+
     @property
-    def rank(self) -> int: ...
+    def rank(self) -> int:
+        """Its order among the sources; the lowest is believed."""
+
     @property
-    def dynamic(self) -> bool: ...
+    def dynamic(self) -> bool:
+        """Whether an endpoint that it stops naming is gone."""
+
     @property
-    def fallback(self) -> bool: ...
+    def fallback(self) -> bool:
+        """Whether its endpoints count only until a dynamic source has sent an update."""
 
     def start(self) -> None:
         """Begin to send updates; the first may come from within the call."""
--- a/badgergap/proxy/peer_messages.py
+++ b/badgergap/proxy/peer_messages.py
@@ -18,6 +18,7 @@
         self.on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Pass on a datagram and its sender's address."""
         self.on_datagram(data, addr)
 
 
@@ -41,6 +42,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def start(self) -> None:
+        """Listen for gossip, where it is enabled and has an address. Raises OSError."""
         if self._enabled and self._config.peer_listen is not None:
             self.transport, _ = await self._loop.create_datagram_endpoint(
                 lambda: PeerProtocol(self.on_datagram),
@@ -49,6 +51,7 @@
             )
 
     def close(self) -> None:
+        """Close the socket, if one is open."""
         if self.transport is not None:
             self.transport.close()
 
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -31,11 +31,14 @@
     def join(self, proxy: Proxy) -> None:
         """Called before the pool starts: adds sources, restores what was kept."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Begin its work, for a pool that is being started."""
 
-    def reload(self, config: Config) -> None: ...
+    def reload(self, config: Config) -> None:
+        """Follow a new configuration of the pool."""
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """End its work, and free what it holds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,6 +157,7 @@
         pool.proxy.close()
 
     async def close(self) -> None:
+        """Close all pools, also those that are draining."""
         for task in self.tasks:
             task.cancel()
         for pool in self.pools.values():
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -75,15 +75,18 @@
         self.sent_us = sent_us
 
     def on_committed(self) -> None:
+        """No retry is possible from here on: the balancer is notified that this attempt is the last."""
         if self.request.last_resort is not None:
             self.request.last_resort.cancel()  # the rest takes as long as the client and the route say
         self.proxy.feed(StreamStarted(self.request.id, self.attempt_number, answered=False))
 
     def on_response_started(self, status: int, waited_s: float) -> None:
+        """The response is being passed on, `waited_s` seconds after the request was sent."""
         self.proxy.close_with(self.request, status)
         self.proxy.feed(StreamStarted(self.request.id, self.attempt_number, latency_us=int(waited_s * 1e6)))
 
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+        """The attempt has ended with this outcome, and the response if it was not passed on."""
         if outcome is Outcome.ERROR and self.request.spec.passes_failures:
             self.request.endpoint_failure = answer
         self.proxy.attempt_ended(self, outcome, answer)
@@ -132,11 +135,13 @@
         self.upstream.current_epoch = current_epoch
 
     async def start(self) -> None:
+        """Start gossip, the sources of endpoints and the periodic cleanup. Raises OSError."""
         await self.peers.start()
         self.directory.start()
         self.loop.call_later(CLEAN_UP_S, self.clean_up)
 
     def clean_up(self) -> None:
+        """Close connections that were idle for long, and do so again every CLEAN_UP_S seconds."""
         self.upstream.clean_up()
         self.loop.call_later(CLEAN_UP_S, self.clean_up)
 
@@ -161,6 +166,7 @@
         self.proxy_settings = replace(self.proxy_settings, max_open_requests=most)
 
     def close(self) -> None:
+        """Close the sources, all connections to endpoints, and gossip."""
         self.directory.close()
         self.upstream.close()
         self.peers.close()
@@ -217,6 +223,7 @@
             self.forget_if_over(request)
 
     def carry_out(self, action: Action) -> None:
+        """Carry out one action of the balancer."""
         match action:
             case Send():
                 self.send(action)
@@ -413,6 +420,7 @@
             request.last_resort.cancel()
 
     def forget_if_over(self, request: Request) -> None:
+        """Forget a request that is owed no response and has no attempt in flight."""
         if request.reply is None and request.attempts_in_flight == 0:
             self.requests.pop(request.id, None)
 
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -53,6 +53,7 @@
         self.epoch = pool.current_epoch() if pool.current_epoch is not None else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The endpoint has accepted: write the exchange, unless it may no longer be sent."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
         # With no room in the buffer, pause_writing and resume_writing tell exactly when bytes are held back.
         self.transport.set_write_buffer_limits(high=0)
@@ -76,6 +77,7 @@
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: an exchange on it is lost."""
         self.pool.forget(self)
         if self.exchange is not None:
             self.exchange.lost()
@@ -106,6 +108,8 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
+    """An endpoint at one address, and the idle connections to it."""
+
     address: Address
     protocol: str = ""  # in which it is spoken to; "" is HTTP/1.1
     stop_at: float | None = None  # loop time from which nothing new may be written, once it drains or is gone
@@ -154,6 +158,7 @@
     def update_endpoint(
         self, endpoint_id: EndpointId, address: Address, status: EndpointStatus, protocol: str = ""
     ) -> None:
+        """Update an endpoint; another address or protocol closes the idle connections to the one before."""
         endpoint = self.endpoints.setdefault(endpoint_id, Endpoint(address, protocol))
         if endpoint.address != address or endpoint.protocol != protocol:
             # Another machine. Guards against a connection to the one before that is busy now and rests later.
@@ -173,10 +178,12 @@
             self.close_idle(endpoint_id)
 
     def drain_unlisted(self, listed: Iterable[EndpointId]) -> None:
+        """Drain every endpoint that is not listed."""
         for endpoint_id in self.endpoints.keys() - set(listed):
             self.drain_endpoint(endpoint_id)
 
     def may_send(self, endpoint: Endpoint) -> bool:
+        """Whether something new may be written to the endpoint now."""
         return endpoint.stop_at is None or self.loop.time() < endpoint.stop_at
 
     def is_epoch_current(self, epoch: int) -> bool:
@@ -225,6 +232,7 @@
         return None
 
     def connect(self, endpoint: Endpoint, exchange: Exchange, kind: type[PooledConnection]) -> None:
+        """Carry the exchange by a new connection; it ends as NEVER_SENT if there is no capacity for one."""
         if not self.has_capacity() and not self.close_oldest_idle():
             self.loop.call_soon(exchange.never_sent)
             return
@@ -240,6 +248,7 @@
         return len(self.connections) + self.connections_elsewhere < self.limit
 
     async def open(self, connection: PooledConnection, exchange: Exchange) -> None:
+        """Connect within `connect_timeout_s` seconds; a failure to do so ends the exchange."""
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(
@@ -260,6 +269,7 @@
     # The pool
 
     def return_idle(self, connection: PooledConnection) -> None:
+        """Keep a connection for the next exchange, or close it if its endpoint drains."""
         if connection.endpoint.stop_at is not None:
             connection.abort()
             return
@@ -267,16 +277,19 @@
         connection.endpoint.idle.append(connection)
 
     def forget(self, connection: PooledConnection) -> None:
+        """Stop counting a connection, and never use it again."""
         self.connections.discard(connection)
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
 
     def close_idle(self, endpoint_id: EndpointId) -> None:
+        """Close the endpoint's idle connections; an unknown endpoint has none."""
         endpoint = self.endpoints.get(endpoint_id)
         for connection in list(endpoint.idle) if endpoint is not None else ():
             connection.abort()
 
     def close_all_idle(self) -> None:
+        """Close the idle connections to all endpoints."""
         for endpoint_id in self.endpoints:
             self.close_idle(endpoint_id)
 
@@ -298,6 +311,7 @@
                 del self.endpoints[endpoint_id]
 
     def close(self) -> None:
+        """Call what is in `on_close`, then close all connections at once."""
         for end in self.on_close:
             end()
         for connection in list(self.connections):
--- a/badgergap/proxy/upstream/exchange.py
+++ b/badgergap/proxy/upstream/exchange.py
@@ -63,6 +63,7 @@
         self.unwanted = False
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+        """Report the outcome, and the response if there is one; does nothing after the first call."""
         if self.done:
             return
         self.done = True
--- a/badgergap/proxy/upstream/health_check.py
+++ b/badgergap/proxy/upstream/health_check.py
@@ -41,6 +41,7 @@
         self._payload = b"GET " + path + b" HTTP/1.1\r\nHost: service.internal\r\n\r\n"
 
     def check(self, endpoint_id: EndpointId) -> None:
+        """Send one health check; its outcome, round-trip time and load report go to the balancer."""
         sent_us = self._now_us()
 
         def ended(outcome: Outcome, answer: Answer | None) -> None:
@@ -71,6 +72,7 @@
     # Transport
 
     def write(self, exchange: Exchange) -> None:
+        """Send the exchange's request on this connection."""
         transport = self.transport
         assert transport is not None
         self.exchange = exchange
@@ -83,14 +85,17 @@
             exchange.written = False
 
     def pause_writing(self) -> None:
+        """Part of the request is held back: it does not count as written."""
         if self.exchange is not None:
             self.exchange.written = False
 
     def resume_writing(self) -> None:
+        """The request has left the process completely: it counts as written."""
         if self.exchange is not None:
             self.exchange.written = True
 
     def data_received(self, data: bytes) -> None:
+        """Parse the response; over RAW_LIMIT bytes, or malformed, it fails the check."""
         if self.exchange is None:  # nothing was asked
             self.abort()
             return
@@ -109,18 +114,21 @@
     # Parser
 
     def on_message_begin(self) -> None:
+        """Begin a response. Raises ValueError if the final one has come already."""
         if self.complete:
             # The parser turns it into its own error, and leaves the first answer as it is.
             raise ValueError("a second answer to one request")
         self.answer, self.chunks, self.size = Answer(), [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header field. Raises ValueError if the head is over HEAD_LIMIT bytes."""
         self.answer.headers.append((name.lower(), value))
         self.size += len(name) + len(value)
         if self.size > HEAD_LIMIT:
             raise ValueError("head too long")
 
     def on_headers_complete(self) -> None:
+        """Check the head. Raises ValueError on too many interim responses or too long a body."""
         self.size = 0
         if self.parser.get_status_code() < 200:
             self.interim_count += 1
@@ -131,12 +139,14 @@
             raise ValueError("body too long")
 
     def on_body(self, body: bytes) -> None:
+        """Add bytes of the body. Raises ValueError if it is over BODY_LIMIT bytes."""
         self.chunks.append(body)
         self.size += len(body)
         if self.size > BODY_LIMIT:
             raise ValueError("body too long")
 
     def on_message_complete(self) -> None:
+        """Note that the final response is complete, and whether the connection may be kept."""
         self.complete = self.parser.get_status_code() >= 200  # else an interim answer: the final one follows
         # Asked here and not later: once the message is over the parser has forgotten how it was framed, and
         # calls every connection one that closes.
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -110,6 +110,7 @@
         raise NotImplementedError
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+        """End the attempt once with this outcome; a response that was cut short breaks at the client too."""
         if self.done:
             return
         self.spec.upload.detach(self)
@@ -141,6 +142,7 @@
         self.continue_timer = self.loop.call_later(EXPECT_S, self.on_continue)
 
     def cancel_continue_timer(self) -> None:
+        """Stop waiting for the endpoint's 100 Continue."""
         if self.continue_timer is not None:
             self.continue_timer.cancel()
             self.continue_timer = None
@@ -164,6 +166,7 @@
     # The answer
 
     def start_response(self, head: AnswerHead) -> None:
+        """Pass the final response's head on to the client: no retry is possible from here on."""
         if self.timer is not None:
             self.timer.cancel()
         self.response_started = True
@@ -187,11 +190,13 @@
             self.end(outcome, answer)
 
     def client_left(self) -> None:
+        """The client has left: cancel the attempt."""
         self.response_complete = True  # nobody is to be notified of a break
         self.give_up(Outcome.CANCELLED)
 
 
 def outcome_of(status: int, headers: Headers, failing: Callable[[int], bool]) -> Outcome:
+    """Return the outcome that a response means; REJECTED is a 503 or 504 that says `not-started: 1`."""
     if status in (503, 504) and (b"not-started", b"1") in headers:
         return Outcome.REJECTED
     return Outcome.ERROR if failing(status) else Outcome.SUCCESS
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -69,15 +69,18 @@
 
     @property
     def http1_connection(self) -> Http1Connection | None:
+        """The HTTP/1.1 connection that carries the attempt, if there is one."""
         return self.connection if isinstance(self.connection, Http1Connection) else None
 
     def send_body(self, data: bytes) -> None:
+        """Send the next bytes of the request's body, as a chunk if it is chunked."""
         connection = self.http1_connection
         if connection is not None:
             self.progress_at = self.loop.time()
             connection.send(b"%x\r\n%b\r\n" % (len(data), data) if self.spec.chunked else data)
 
     def end_body(self, fields: Headers) -> None:
+        """The request's body is complete: send its end, and trailers if it is chunked."""
         connection = self.http1_connection
         if connection is not None and self.spec.chunked:
             connection.send(last_chunk(fields))
@@ -86,6 +89,7 @@
         self.sent_at = self.progress_at = self.loop.time()
 
     def flow(self, on: bool) -> None:
+        """Read the endpoint's response on, or pause while the client takes no more."""
         self.client_paused = not on
         self.progress_at = self.loop.time()
         connection = self.http1_connection
@@ -139,9 +143,11 @@
     # Transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the read buffer that the pool's connections share."""
         return self.pool.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """The first `nbytes` of the shared buffer were read from this endpoint."""
         self.data_received(self.pool.reads.take(nbytes))
 
     def write(self, exchange: Exchange) -> None:
@@ -217,6 +223,7 @@
         self.counted_unsent = unsent
 
     def pause_writing(self) -> None:
+        """The endpoint takes no more for now: pause the client's upload."""
         self.write_blocked = True
         self.count_unsent()
         if self.attempt is not None and self.exchange is not None:
@@ -224,6 +231,7 @@
             self.attempt.spec.upload.pace(False)
 
     def resume_writing(self) -> None:
+        """All that was written has left the process: resume the client's upload."""
         self.write_blocked = False
         self.count_unsent()
         if self.attempt is not None and self.exchange is not None:
@@ -236,6 +244,7 @@
             self.attempt.spec.upload.pace(True)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what the endpoint has sent and pass it on; what was not requested closes the connection."""
         exchange = self.attempt
         if exchange is None or self.exchange is None:  # nothing was asked
             self.abort()
@@ -300,6 +309,7 @@
                 self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: complete a response that ends with it, or else the attempt is lost."""
         self.pool.forget(self)
         self.write_blocked = False
         self.count_unsent()
@@ -316,6 +326,7 @@
             exchange.lost()
 
     def abort(self) -> None:
+        """Close at once, without an outcome, and release what is held of the response."""
         self.count_held(0)
         super().abort()
 
@@ -355,17 +366,20 @@
     # Parser
 
     def on_message_begin(self) -> None:
+        """Begin a response. Raises ValueError if the final one is complete already."""
         if self.state is COMPLETE:
             # The parser turns it into its own error, and leaves the first answer as it is.
             raise ValueError("a second answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header or trailer field. Raises ValueError if they are over HEAD_LIMIT bytes."""
         self.head_size += len(name) + len(value) + 4
         if self.head_size > HEAD_LIMIT:
             raise ValueError("head too long")
         (self.headers if self.state is HEAD else self.trailer_fields).append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
+        """Pass the response's head on, or hold it. Raises ValueError if the body would be too long."""
         exchange = self.attempt
         assert exchange is not None
         status = self.parser.get_status_code()
@@ -431,6 +445,7 @@
         return AnswerHead(status, headers, length, has_body)
 
     def on_body(self, body: bytes) -> None:
+        """Pass bytes of the body on, or hold them. Raises ValueError if the body is too long."""
         exchange = self.attempt
         if exchange is None or self.exchange is None or self.state is COMPLETE:
             return
@@ -457,6 +472,7 @@
         self.count_held(0)
 
     def on_message_complete(self) -> None:
+        """Note that the final response is complete."""
         if self.state is BODY:
             self.state = COMPLETE
 
