--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -11,7 +11,6 @@
 
 import asyncio
 import contextlib
-import enum
 import os
 import socket
 from dataclasses import replace
@@ -26,6 +25,7 @@
 from badgergap.proxy.limits.memory import LEAST
 from badgergap.proxy.downstream.response_writer import last_chunk
 from badgergap.proxy.header_fields import BadHead, response_headers, trailers
+from badgergap.proxy.upstream.response_state import ResponseState
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to an endpoint and not yet sent, beyond which the client is not read
@@ -36,27 +36,6 @@
 FRAMING_LIMIT, FRAMING_SHARE = 4 * HEAD_LIMIT, 32
 
 
-class ResponseState(enum.Enum):
-    """How far the response to the request on a connection has come.
-
-    | state | what comes next is | leads to |
-    | --- | --- | --- |
-    | HEAD | parsed: interim heads, the final one | BODY; COMPLETE without a body; TUNNEL after 101 |
-    | BODY | parsed: content, trailers | DIRECT once the length is known and the head passed on; COMPLETE |
-    | DIRECT | content, passed on unparsed | COMPLETE when all of its length has come |
-    | TUNNEL | anything, passed on unparsed | COMPLETE when the connection ends |
-    | COMPLETE | nothing | HEAD when the next request is written |
-
-    A body without a length and the tunnel are COMPLETE at the connection's end, any other one is broken off.
-    """
-
-    HEAD = enum.auto()
-    BODY = enum.auto()
-    DIRECT = enum.auto()
-    TUNNEL = enum.auto()
-    COMPLETE = enum.auto()
-
-
 # Names of this module: one look-up each, on the path of every read.
 HEAD, BODY, DIRECT = ResponseState.HEAD, ResponseState.BODY, ResponseState.DIRECT
 TUNNEL, COMPLETE = ResponseState.TUNNEL, ResponseState.COMPLETE
