--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -33,10 +33,12 @@
         return self.keyed_request.inner is self.turn
 
     def answer(self, answer: Answer) -> None:
+        """Pass on the endpoint's whole answer."""
         if self.open:
             self.keyed_request.answer(answer)
 
     def interim(self, status: int, headers: Headers) -> None:
+        """Pass on an interim (1xx) response, unless the keyed request has its final answer."""
         if self.open and not self.keyed_request.over:
             self.keyed_request.client.interim(status, headers)
 
@@ -44,18 +46,22 @@
         """The body is here."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
+        """Pass on the head of a streamed answer, whose body `source` delivers."""
         if self.open:
             self.keyed_request.begin(head, source)
 
     def data(self, data: bytes) -> None:
+        """Pass on a piece of a streamed answer's body."""
         if self.open:
             self.keyed_request.data(data)
 
     def end(self, trailers: Headers) -> None:
+        """Pass on the end of a streamed answer."""
         if self.open:
             self.keyed_request.end_of(trailers)
 
     def broke(self) -> None:
+        """Pass on that a streamed answer broke off before its end."""
         if self.open:
             self.keyed_request.broke()
 
@@ -144,12 +150,15 @@
         self.attempt = attempt
 
     def on_committed(self) -> None:
+        """Pass on that the request cannot go to another endpoint any more."""
         self.attempt.listener.on_committed()
 
     def on_response_started(self, status: int, waited_s: float) -> None:
+        """Pass on the status of a response that has started, and the seconds waited for it."""
         self.attempt.listener.on_response_started(status, waited_s)
 
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+        """Keep the endpoint's answer, report whether it may have run the request, and end the attempt."""
         attempt = self.attempt
         attempt.written = attempt.inner.written if attempt.inner is not None else False
         if answer is not None:
