--- a/badgergap/simulator/adapter.py
+++ b/badgergap/simulator/adapter.py
@@ -25,6 +25,12 @@
 
 
 class Host:
+    """The balancers of one simulator process, by instance name, and the batch being read.
+
+    The simulated clock is in microseconds and moves only with `begin_batch`. `errors` gets one line for each
+    line of `source` that cannot be read.
+    """
+
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
         self.balancers: dict[str, Balancer] = {}
@@ -36,6 +42,7 @@
         self.reply: list[str] = []
 
     def run(self) -> None:
+        """Read `source` to its end. Lines that cannot be read are reported and skipped."""
         for line in self.source:
             self.line_number += 1
             line = line.rstrip("\r\n")
@@ -47,9 +54,15 @@
                 self.complain(line, str(error))
 
     def complain(self, line: str, why: str) -> None:
+        """Report an unreadable line, cut to 200 characters, with its number in the input (from 1)."""
         print(f"badgergap: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
+        """Act on one line without its line end; an empty one is ignored.
+
+        Raises KeyError for a missing field or an unknown value, and ValueError (WireError among them) for a
+        line that cannot be read otherwise.
+        """
         if line == "go":
             self.finish_batch()
             return
@@ -84,6 +97,10 @@
             raise WireError("unknown event")
 
     def read_inventory(self, fields: Fields) -> None:
+        """Read the entries that follow an `inventory` line and keep them as a numbered endpoint list.
+
+        Unreadable entries are reported and left out. Raises KeyError or ValueError for the line itself.
+        """
         members: list[ListedEndpoint] = []
         for _ in range(int(fields["members"])):
             entry = self.source.readline()
@@ -101,6 +118,10 @@
         self.tables[fields["table"]] = tuple(members)
 
     def deliver(self, event: Event) -> None:
+        """Give an event to the current instance's balancer, and add its actions to the batch's reply.
+
+        Raises WireError if the instance is not running.
+        """
         balancer = self.balancers.get(self.instance)
         if balancer is None:
             raise WireError(f"unknown instance '{self.instance}'")
@@ -113,6 +134,7 @@
         self.reply.extend(map(format_action, actions))
 
     def finish_batch(self) -> None:
+        """Write the reply of the batch, ended by `next`, and start an empty one."""
         self.reply.append("next\n")
         self.sink.write("\n".join(self.reply))
         self.sink.flush()
@@ -120,6 +142,7 @@
 
 
 def main() -> int:
+    """Serve the simulator on standard input and output until the input ends; return the exit status."""
     gc.freeze()  # what the imports made is never garbage
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
     Host(sys.stdin, sys.stdout, sys.stderr).run()
--- a/badgergap/simulator/codec.py
+++ b/badgergap/simulator/codec.py
@@ -142,7 +142,10 @@
 
 
 class Reader:
-    """Typed access to one object of the settings; what is unusable is named by its path."""
+    """Typed access to one object of the settings; what is unusable is named by its path.
+
+    All methods that read a value raise WireError if it has the wrong type or is out of range.
+    """
 
     def __init__(self, raw: object, path: str = "") -> None:
         if not isinstance(raw, dict):
@@ -151,21 +154,26 @@
         self.path = path
 
     def name(self, key: str) -> str:
+        """Return the path of a key from the root of the settings, such as `caps.maxAttempts`."""
         return f"{self.path}.{key}" if self.path else key
 
     def part(self, key: str) -> Reader:
+        """Return a reader of the object under this key, an empty one if the key is missing."""
         return Reader(self.raw.get(key, {}), self.name(key))
 
     def items(self, key: str) -> list[Any]:
+        """Return the list under this key, an empty one if the key is missing."""
         value = self.raw.get(key, [])
         if not isinstance(value, list):
             raise WireError(f"{self.name(key)} is not a list")
         return value
 
     def parts(self, key: str) -> list[Reader]:
+        """Return a reader for each object of the list under this key."""
         return [Reader(item, f"{self.name(key)}[{n}]") for n, item in enumerate(self.items(key))]
 
     def number(self, key: str, default: float) -> float:
+        """Return a finite number, 0 or more, in the unit of the key."""
         value = self.raw.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise WireError(f"{self.name(key)} is not a finite number")
@@ -174,15 +182,18 @@
         return float(value)
 
     def whole(self, key: str, default: int) -> int:
+        """Return a number of 0 or more, with any fraction cut off."""
         return int(self.number(key, default))
 
     def flag(self, key: str, default: bool = False) -> bool:
+        """Return a boolean; an integer counts as true unless it is 0."""
         value = self.raw.get(key, default)
         if not isinstance(value, bool | int):
             raise WireError(f"{self.name(key)} is not true or false")
         return bool(value)
 
     def word(self, key: str, default: str, known: Mapping[str, Any]) -> Any:
+        """Return what `known` maps the word under this key to; an unknown word raises WireError."""
         value = self.raw.get(key, default)
         if not isinstance(value, str) or value not in known:
             raise WireError(f"{self.name(key)} '{value}' is unknown")
@@ -293,6 +304,11 @@
 
 
 def parse_server(fields: Fields) -> ListedEndpoint:
+    """Read an entry of an endpoint list; its start time is in microseconds.
+
+    Raises WireError for a weight that is not finite and above 0, KeyError for a missing host or an unknown
+    status, and ValueError for a field that is not a number.
+    """
     if not 0.0 < float(fields.get("heft", "1")) < math.inf:
         raise WireError("heft is not a finite number above 0")
     return ListedEndpoint(
@@ -307,6 +323,10 @@
 
 
 def parse_incoming(fields: Fields) -> RequestArrived:
+    """Read the arrival of a request: client timeout and expected work in microseconds, the key in hex.
+
+    Raises KeyError for a missing field and ValueError for one that is not a number.
+    """
     key, work = fields.get("affinity"), fields.get("costUs")
     return RequestArrived(
         fields["requestId"],
@@ -321,6 +341,10 @@
 
 
 def parse_outcome(fields: Fields) -> AttemptEnded:
+    """Read the end of an attempt, with its duration in microseconds and the load report that came along.
+
+    Raises KeyError for a missing field or an unknown verdict, and ValueError for one that is not a number.
+    """
     return AttemptEnded(
         fields["requestId"],
         int(fields["shot"]),
@@ -333,14 +357,23 @@
 
 
 def parse_dropped(fields: Fields) -> ClientDisconnected:
+    """Read that a client has gone. Raises KeyError if the request is not named."""
     return ClientDisconnected(fields["requestId"])
 
 
 def parse_streaming(fields: Fields) -> StreamStarted:
+    """Read that an attempt's response has started to stream.
+
+    Raises KeyError for a missing field and ValueError for an attempt number that is not an integer.
+    """
     return StreamStarted(fields["requestId"], int(fields["shot"]))
 
 
 def parse_pong(fields: Fields) -> HealthCheckEnded:
+    """Read the result of a health check: its outcome, duration in microseconds and load report.
+
+    Raises KeyError for a missing field or an unknown verdict, and ValueError for one that is not a number.
+    """
     return HealthCheckEnded(
         int(fields["host"]),
         OUTCOMES[fields["verdict"]],
@@ -350,6 +383,10 @@
 
 
 def parse_inbox(fields: Fields) -> PeerMessage:
+    """Read a message of another gateway, in base64; `-` stands for an empty one.
+
+    Raises WireError for bad base64, KeyError for a missing field and ValueError for a bad sender number.
+    """
     text = fields["bytes"]
     try:
         data = b"" if text == "-" else base64.b64decode(text, validate=True)
@@ -359,6 +396,7 @@
 
 
 def parse_reminder(fields: Fields) -> TimerFired:
+    """Read that a timer is due. Raises KeyError if its token is missing, ValueError if it is no integer."""
     return TimerFired(int(fields["keyBack"]))
 
 
@@ -374,6 +412,10 @@
 
 
 def format_action(action: Action) -> str:
+    """Write an action as one line without a line end; times are in microseconds.
+
+    Raises ValueError for ExtendTimeout, which the wire has no word for.
+    """
     match action:
         case Send():
             wait_us = action.timeout_us
