--- a/badgergap/proxy/lifecycle/config.py
+++ b/badgergap/proxy/lifecycle/config.py
@@ -11,7 +11,8 @@
 from badgergap.balancing.interface import Settings
 from badgergap.errors import BadgergapError
 from badgergap.proxy.lifecycle.proxy_settings import ProxySettings
-from badgergap.simulator.codec import WireError, parse_proxy_settings, parse_settings
+from badgergap.simulator.codec import WireError
+from badgergap.simulator.settings_parser import parse_proxy_settings, parse_settings
 
 Address = tuple[str, int]
 
--- a/badgergap/simulator/adapter.py
+++ b/badgergap/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Runs balancers on the bench's wire: batches from standard input, one reply each to standard output.
+"""Runs balancers on the simulator's text protocol: batches from standard input, replies to standard output.
 
 Every instance has a Balancer of its own; nothing is shared and nothing is decided here. A line that cannot be
 read is named on standard error and skipped.
@@ -8,6 +8,7 @@
 
 import gc
 import sys
+from collections.abc import Callable
 from typing import TextIO
 
 from badgergap.balancing.interface import Event, ListedEndpoint, EndpointListKind, EndpointList
@@ -19,12 +20,12 @@
     WireError,
     format_action,
     parse_server,
-    parse_settings,
     split_line,
 )
+from badgergap.simulator.settings_parser import parse_settings
 
 
-class Host:
+class SimulatorAdapter:
     """The balancers of one simulator process, by instance name, and the batch being read.
 
     The simulated clock is in microseconds and moves only with `begin_batch`. `errors` gets one line for each
@@ -34,12 +35,20 @@
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
         self.balancers: dict[str, Balancer] = {}
-        self.tables: dict[str, tuple[ListedEndpoint, ...]] = {}
+        self.endpoint_lists: dict[str, tuple[ListedEndpoint, ...]] = {}
         self.instance = ""
-        self.spoken_for = ""
+        self.reply_instance = ""
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
+        self.control_handlers: dict[str, Callable[[Fields], None]] = {
+            "begin_batch": self.begin_batch,
+            "instance": self.select_instance,
+            "inventory": self.read_endpoint_list,
+            "registry": self.deliver_endpoint_list,
+            "launch": self.launch_instance,
+            "destroy": self.destroy_instance,
+        }
 
     def run(self) -> None:
         """Read `source` to its end. Lines that cannot be read are reported and skipped."""
@@ -49,13 +58,13 @@
             try:
                 self.read_line(line)
             except KeyError as error:
-                self.complain(line, f"field or value {error} is missing or unknown")
+                self.report_error(line, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(line, str(error))
+                self.report_error(line, str(error))
 
-    def complain(self, line: str, why: str) -> None:
+    def report_error(self, line: str, reason: str) -> None:
         """Report an unreadable line, cut to 200 characters, with its number in the input (from 1)."""
-        print(f"badgergap: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
+        print(f"badgergap: line {self.line_number}: {reason}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
         """Act on one line without its line end; an empty one is ignored.
@@ -72,36 +81,54 @@
         parser = PARSERS.get(name)
         if parser is not None:
             self.deliver(parser(fields))
-        elif name == "begin_batch":
-            self.reply, self.instance, self.spoken_for = [], "", ""
-            self.now_us = int(fields["simTimeUs"])
-        elif name == "instance":
-            self.instance = ""  # a malformed name must not leave events to the one before
-            self.instance = fields["i"]
-        elif name == "inventory":
-            self.read_inventory(fields)
-        elif name == "registry":
-            kind = LIST_KINDS[fields["how"]]
-            servers = () if kind is EndpointListKind.ERROR else self.tables[fields["table"]]
-            self.deliver(EndpointList(kind, servers))
-        elif name == "launch":
-            self.balancers.pop(self.instance, None)
-            if not self.instance:
-                raise WireError("launch outside any instance")
-            settings = parse_settings(fields["bootInfo"])
-            self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
-        elif name == "destroy":
-            if self.balancers.pop(self.instance, None) is None:
-                raise WireError(f"unknown instance '{self.instance}'")
-        else:
+            return
+        handler = self.control_handlers.get(name)
+        if handler is None:
             raise WireError("unknown event")
+        handler(fields)
+
+    def begin_batch(self, fields: Fields) -> None:
+        """Start a batch at this simulated time, with no instance selected. Raises KeyError or ValueError."""
+        self.reply, self.instance, self.reply_instance = [], "", ""
+        self.now_us = int(fields["simTimeUs"])
+
+    def select_instance(self, fields: Fields) -> None:
+        """Make this instance the current one. Raises KeyError, and then none is."""
+        self.instance = ""  # a malformed name must not leave events to the one before
+        self.instance = fields["i"]
+
+    def launch_instance(self, fields: Fields) -> None:
+        """Give the current instance a new balancer; the one before is gone even if the settings are bad.
+
+        Raises WireError for unusable settings or no current instance, KeyError for a missing field and
+        ValueError for a seed that is not an integer.
+        """
+        self.balancers.pop(self.instance, None)
+        if not self.instance:
+            raise WireError("launch outside any instance")
+        settings = parse_settings(fields["bootInfo"])
+        self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
+
+    def destroy_instance(self, fields: Fields) -> None:
+        """Forget the current instance's balancer; no field is read. Raises WireError if it is not running."""
+        if self.balancers.pop(self.instance, None) is None:
+            raise WireError(f"unknown instance '{self.instance}'")
+
+    def deliver_endpoint_list(self, fields: Fields) -> None:
+        """Give a numbered endpoint list, or the failure to get one, to the current instance.
+
+        Raises KeyError for an unknown kind or number, and WireError if the instance is not running.
+        """
+        kind = LIST_KINDS[fields["how"]]
+        servers = () if kind is EndpointListKind.ERROR else self.endpoint_lists[fields["table"]]
+        self.deliver(EndpointList(kind, servers))
 
-    def read_inventory(self, fields: Fields) -> None:
+    def read_endpoint_list(self, fields: Fields) -> None:
         """Read the entries that follow an `inventory` line and keep them as a numbered endpoint list.
 
         Unreadable entries are reported and left out. Raises KeyError or ValueError for the line itself.
         """
-        members: list[ListedEndpoint] = []
+        entries: list[ListedEndpoint] = []
         for _ in range(int(fields["members"])):
             entry = self.source.readline()
             self.line_number += 1
@@ -110,12 +137,12 @@
                 name, entry_fields = split_line(entry)
                 if name != "host":
                     raise WireError("not a list entry")
-                members.append(parse_server(entry_fields))
+                entries.append(parse_server(entry_fields))
             except KeyError as error:
-                self.complain(entry, f"field or value {error} is missing or unknown")
+                self.report_error(entry, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(entry, str(error))
-        self.tables[fields["table"]] = tuple(members)
+                self.report_error(entry, str(error))
+        self.endpoint_lists[fields["table"]] = tuple(entries)
 
     def deliver(self, event: Event) -> None:
         """Give an event to the current instance's balancer, and add its actions to the batch's reply.
@@ -128,8 +155,8 @@
         actions = balancer.handle(self.now_us, event)
         if not actions:
             return
-        if self.spoken_for != self.instance:
-            self.spoken_for = self.instance
+        if self.reply_instance != self.instance:
+            self.reply_instance = self.instance
             self.reply.append(f"by i={self.instance}")
         self.reply.extend(map(format_action, actions))
 
@@ -145,7 +172,7 @@
     """Serve the simulator on standard input and output until the input ends; return the exit status."""
     gc.freeze()  # what the imports made is never garbage
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
-    Host(sys.stdin, sys.stdout, sys.stderr).run()
+    SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
 
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -39,6 +39,7 @@
     TimerFired,
     WatchEndpoints,
 )
+from badgergap.errors import BadgergapError
 from badgergap.proxy.lifecycle.proxy_settings import ProxySettings, ReportMode, Reports, Tenant
 from badgergap.simulator.codec import (
     OUTCOMES,
@@ -46,11 +47,10 @@
     WireError,
     format_action,
     parse_server,
-    parse_proxy_settings,
-    parse_settings,
     split_line,
 )
-from badgergap.simulator.adapter import Host
+from badgergap.simulator.adapter import SimulatorAdapter
+from badgergap.simulator.settings_parser import parse_proxy_settings, parse_settings
 
 LANES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
@@ -79,7 +79,7 @@
 
 def run(*lines: str) -> tuple[list[str], str]:
     sink, errors = io.StringIO(), io.StringIO()
-    Host(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
+    SimulatorAdapter(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
 
 
@@ -384,3 +384,7 @@
         max_open_requests=21,
         drain_grace_us=12,
     )
+
+
+def test_a_wire_error_is_one_of_the_package_and_a_value_error() -> None:
+    assert issubclass(WireError, BadgergapError) and issubclass(WireError, ValueError)
