--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -136,7 +136,7 @@
 
     assert group is not None and admin.group is not None  # the file was checked
     room, meter, calls = changes_room(group, figures)
-    room.tell = admin.tell
+    room.notify = admin.tell
     admin.notices.append(room.problems)
     admin.group = WithChanges(admin.group, calls)
     rooms.append(room)
--- a/badgergap/cli/staged.py
+++ b/badgergap/cli/staged.py
@@ -9,9 +9,9 @@
 from badgergap.admin import CallRefused, Figures
 from badgergap.consensus.errors import Refused
 from badgergap.consensus.service import GroupService
-from badgergap.rollout.commands import Calls
-from badgergap.rollout.metrics import Meter
-from badgergap.rollout.service import StagedRoom
+from badgergap.rollout.commands import RolloutCommands
+from badgergap.rollout.metrics import MetricsCollector
+from badgergap.rollout.service import RolloutService
 
 
 class Asked(Protocol):
@@ -24,20 +24,22 @@
     def line(self) -> str: ...
 
 
-def changes_room(group: GroupService, figures: Figures) -> tuple[StagedRoom, Meter, Calls]:
-    meter = Meter(figures, time.time_ns() // 1_000_000)
-    room = StagedRoom(group, meter, lambda: figures.classes)
-    return room, meter, Calls(room)
+def changes_room(
+    group: GroupService, figures: Figures
+) -> tuple[RolloutService, MetricsCollector, RolloutCommands]:
+    meter = MetricsCollector(figures, time.time_ns() // 1_000_000)
+    service = RolloutService(group, meter, lambda: figures.classes)
+    return service, meter, RolloutCommands(service)
 
 
 class WithChanges:
     """The same with its changes."""
 
-    def __init__(self, asked: Asked, changes: Calls) -> None:
+    def __init__(self, asked: Asked, changes: RolloutCommands) -> None:
         self.asked, self.changes = asked, changes
 
     async def call(self, op: str, given: Mapping[str, Any]) -> Any:
-        if op not in self.changes.known:
+        if op not in self.changes.handlers:
             return await self.asked.call(op, given)
         try:
             return await self.changes.call(op, given)
@@ -48,5 +50,5 @@
         return await self.asked.agree_out(box, by, out)
 
     def line(self) -> str:
-        change = self.changes.room.line()
+        change = self.changes.service.status_line()
         return f"{self.asked.line()}; {change}" if change else self.asked.line()
--- a/badgergap/cli/staged_words.py
+++ b/badgergap/cli/staged_words.py
@@ -50,11 +50,11 @@
         return "change_history", {}
     import msgspec
 
-    from badgergap.rollout.plan import BadPlan, read_plan
+    from badgergap.rollout.plan import InvalidPlan, read_plan
 
     try:
         plan, found = read_plan(read_text(args.path), str(args.path))
-    except BadPlan as error:
+    except InvalidPlan as error:
         raise ConfigError(str(error)) from None
     settings = args.path.parent / found.settings
     read_site(settings)
--- a/badgergap/rollout/commands.py
+++ b/badgergap/rollout/commands.py
@@ -15,20 +15,20 @@
 from badgergap.consensus.settings_text import decode_tables, encode_tables
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.rollout import compatibility
-from badgergap.rollout.controller import Run
-from badgergap.rollout.analysis import BLOCK_S, BLOCKS_LEAST
-from badgergap.rollout.plan import MEMBER, BadPlan, Plan, shown, stages_of
-from badgergap.rollout.service import StagedRoom
+from badgergap.rollout.controller import RolloutState
+from badgergap.rollout.analysis import BLOCK_S, MIN_BLOCKS
+from badgergap.rollout.plan import MEMBER_MEASURES, InvalidPlan, Plan, plan_to_json, cumulative_stages
+from badgergap.rollout.service import RolloutService
 
 Arguments = Mapping[str, Any]
 
 
-class Calls:
+class RolloutCommands:
     """Raises Refused, in words, for what cannot be done."""
 
-    def __init__(self, room: StagedRoom) -> None:
-        self.room = room
-        self.known: dict[str, Callable[[Arguments], Awaitable[Any]]] = {
+    def __init__(self, service: RolloutService) -> None:
+        self.service = service
+        self.handlers: dict[str, Callable[[Arguments], Awaitable[Any]]] = {
             "change_check": self.check,
             "change_start": self.start,
             "change_status": self.status,
@@ -38,11 +38,11 @@
 
     @property
     def group(self) -> GroupService:
-        return self.room.group
+        return self.service.group
 
     async def call(self, op: str, arguments: Arguments) -> Any:
         try:
-            return await self.known[op](arguments)
+            return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError, msgspec.MsgspecError) as error:
             raise Refused(f"the call {op} lacks something: {error}") from None
 
@@ -59,145 +59,155 @@
 
     async def check(self, arguments: Arguments) -> Any:
         plan, body, older, newer = self._read(arguments)
-        why = await self._against(body, older, newer)
+        why = await self._objections(body, older, newer)
         try:
-            stages = stages_of(plan, self.room.seats())
-        except BadPlan as error:
+            stages = cumulative_stages(plan, self.service.placements())
+        except InvalidPlan as error:
             raise Refused(str(error)) from None
-        asked = self._asked()
+        request_rates = self._request_rates()
         return {
             "why": why,
-            "split": self._split(older, newer) if why else [],
+            "split": self._split_advice(older, newer) if why else [],
             "differs": contradictions(older, newer),
             "stages": [
-                {"members": list(names), "least_s": self._least_s(plan, names, asked)} for names in stages
+                {"members": list(names), "least_s": self._min_stage_s(plan, names, request_rates)}
+                for names in stages
             ],
-            "blind": self._blind(plan, stages, asked),
-            "plan": shown(plan),
+            "blind": self._blind_guards(plan, stages, request_rates),
+            "plan": plan_to_json(plan),
         }
 
-    async def _against(self, body: str, older: Mapping[str, Any], newer: Mapping[str, Any]) -> list[str]:
+    async def _objections(self, body: str, older: Mapping[str, Any], newer: Mapping[str, Any]) -> list[str]:
         member = self.group.member
         if member is not None and body == member.state.newest.settings:
             return ["the group acts on these settings already"]
-        apart = compatibility.apart(older, newer)
-        if apart:
-            return apart
+        conflicts = compatibility.conflicts(older, newer)
+        if conflicts:
+            return conflicts
         try:
             await asyncio.to_thread(self.group.loader.examine, newer)
         except ConfigError as error:
             return [f"they cannot be loaded here: {error}"]
         return []
 
-    def _split(self, older: Mapping[str, Any], newer: Mapping[str, Any]) -> list[str]:
-        apart = compatibility.apart(older, newer)
-        if not apart:
+    def _split_advice(self, older: Mapping[str, Any], newer: Mapping[str, Any]) -> list[str]:
+        conflicts = compatibility.conflicts(older, newer)
+        if not conflicts:
             return []
-        wide = compatibility.split(older, newer)
-        if wide is None:
+        staged = compatibility.split(older, newer)
+        if staged is None:
             return ["nothing of it may live side by side: publish it (`settings publish`)"]
         return [
-            f"first, by stages, without: {'; '.join(apart)}",
+            f"first, by stages, without: {'; '.join(conflicts)}",
             "then the rest with `settings publish`: in force only once all know it",
         ]
 
-    def _asked(self) -> dict[str, float]:
+    def _request_rates(self) -> dict[str, float]:
         """Requests a second of this gateway's classes, over the last blocks."""
-        blocks = list(self.room.blocks)[-6:] or self.room.past[1][-6:]
+        blocks = list(self.service.blocks)[-6:] or self.service.baseline[1][-6:]
         found: dict[str, float] = {}
         for block in blocks:
             for name, counts in block.classes.items():
-                found[name] = found.get(name, 0.0) + counts.asked / (len(blocks) * BLOCK_S)
+                found[name] = found.get(name, 0.0) + counts.requests / (len(blocks) * BLOCK_S)
         return found
 
-    def _least_s(self, plan: Plan, names: tuple[str, ...], asked: Mapping[str, float]) -> float:
+    def _min_stage_s(self, plan: Plan, names: tuple[str, ...], request_rates: Mapping[str, float]) -> float:
         """How long a stage takes at the least: each member as busy as this one."""
-        rate = sum(asked.values()) * len(names)
+        rate = sum(request_rates.values()) * len(names)
         enough_s = plan.requests / rate if rate else float("inf")
-        return min(plan.longest_us / 1e6, max(plan.least_us / 1e6, enough_s, BLOCKS_LEAST * BLOCK_S))
+        return min(plan.max_stage_us / 1e6, max(plan.min_stage_us / 1e6, enough_s, MIN_BLOCKS * BLOCK_S))
 
-    def _blind(
-        self, plan: Plan, stages: tuple[tuple[str, ...], ...], asked: Mapping[str, float]
+    def _blind_guards(
+        self, plan: Plan, stages: tuple[tuple[str, ...], ...], request_rates: Mapping[str, float]
     ) -> list[str]:
         """Guards that could not say anything in `longest` at today's load."""
         found = []
         for number, names in enumerate(stages):
             for guard in plan.guards:
-                if guard.measure in MEMBER:
+                if guard.measure in MEMBER_MEASURES:
                     continue
-                rate = sum(asked.values()) if not guard.klass else asked.get(guard.klass, 0.0)
-                seen = rate * len(names) * plan.longest_us / 1e6
+                rate = (
+                    sum(request_rates.values())
+                    if not guard.request_class
+                    else request_rates.get(guard.request_class, 0.0)
+                )
+                seen = rate * len(names) * plan.max_stage_us / 1e6
                 if seen < plan.requests:
-                    must = "the stage would pause" if guard.must else "it would stop nothing"
-                    found.append(f"stage {number + 1}: {guard.name} would see {seen:.0f} requests: {must}")
+                    effect = "the stage would pause" if guard.required else "it would stop nothing"
+                    found.append(f"stage {number + 1}: {guard.name} would see {seen:.0f} requests: {effect}")
         return found
 
     async def start(self, arguments: Arguments) -> Any:
         plan, body, older, newer = self._read(arguments)
-        why = await self._against(body, older, newer)
+        why = await self._objections(body, older, newer)
         if why:
-            raise Refused("; ".join([*why, *self._split(older, newer)]))
+            raise Refused("; ".join([*why, *self._split_advice(older, newer)]))
         member = self.group.member
         assert member is not None
         base = member.state.newest.settings_at
         id = str(arguments.get("id") or uuid.uuid4().hex)
         reason = str(arguments.get("reason") or "")
-        await self.room.begin(id, plan, str(arguments["by"]), reason, base, body)
+        await self.service.begin(id, plan, str(arguments["by"]), reason, base, body)
         return {"id": id, "name": plan.name}
 
     async def steer(self, arguments: Arguments) -> Any:
-        run = self.room.run
-        if run is None:
+        rollout = self.service.rollout
+        if rollout is None:
             raise Refused("there is no change")
-        await self.room.steer(run.id, str(arguments["do"]), str(arguments["by"]), uuid.uuid4().hex)
-        return {"id": run.id, "name": run.plan.name}
+        await self.service.send_command(
+            rollout.id, str(arguments["do"]), str(arguments["by"]), uuid.uuid4().hex
+        )
+        return {"id": rollout.id, "name": rollout.plan.name}
 
     async def status(self, arguments: Arguments) -> Any:
-        run = self.room.run
-        stand = self.room.stand()
+        rollout = self.service.rollout
+        status = self.service.status()
         return {
-            "ok": not self.room.problems(),
-            "me": self.room.name,
-            "leader": self.room.leader(),
-            "treated": stand.treated,
-            "why": self.room.unknown or stand.failed,
-            "change": of_run(run) if run is not None else None,
+            "ok": not self.service.problems(),
+            "me": self.service.name,
+            "leader": self.service.leader(),
+            "treated": status.treated,
+            "why": self.service.unreadable or status.failed,
+            "change": rollout_to_json(rollout) if rollout is not None else None,
             "stands": {
                 name: {"treated": each.treated, "failed": each.failed}
-                for name, (each, _) in sorted(self.room.stands.items())
+                for name, (each, _) in sorted(self.service.statuses.items())
             }
-            if self.room.led
+            if self.service.is_leading
             else {},
-            "readings": [msgspec.structs.asdict(each) for each in self.room.verdict.readings]
-            if self.room.verdict is not None
+            "readings": [msgspec.structs.asdict(each) for each in self.service.verdict.readings]
+            if self.service.verdict is not None
             else [],
         }
 
     async def history(self, arguments: Arguments) -> Any:
-        runs = [*self.room.kept.history, *([self.room.run] if self.room.run is not None else [])]
-        return {"changes": [of_run(run) for run in runs]}
+        runs = [
+            *self.service.stored.history,
+            *([self.service.rollout] if self.service.rollout is not None else []),
+        ]
+        return {"changes": [rollout_to_json(rollout) for rollout in runs]}
 
 
-def of_run(run: Run) -> dict[str, Any]:
+def rollout_to_json(rollout: RolloutState) -> dict[str, Any]:
     return {
-        "id": run.id,
-        "name": run.plan.name,
-        "by": run.by,
-        "reason": run.reason,
-        "phase": run.phase,
-        "under_way": run.under_way,
-        "stage": run.stage + 1,
-        "stages": [list(stage) for stage in run.stages],
-        "told": list(run.told),
-        "why": run.why,
-        "plan": shown(run.plan),
-        "events": [[event.at, event.text] for event in run.events],
+        "id": rollout.id,
+        "name": rollout.plan.name,
+        "by": rollout.by,
+        "reason": rollout.reason,
+        "phase": rollout.phase,
+        "under_way": rollout.in_progress,
+        "stage": rollout.stage + 1,
+        "stages": [list(stage) for stage in rollout.stages],
+        "told": list(rollout.treated_members),
+        "why": rollout.why,
+        "plan": plan_to_json(rollout.plan),
+        "events": [[event.at, event.text] for event in rollout.events],
         "judged": [
             {
                 "stage": each.stage + 1,
                 "seconds": each.seconds,
                 "readings": [msgspec.structs.asdict(reading) for reading in each.readings],
             }
-            for each in run.judged
+            for each in rollout.judged
         ],
     }
--- a/badgergap/rollout/compatibility.py
+++ b/badgergap/rollout/compatibility.py
@@ -22,37 +22,39 @@
 from badgergap.consensus.compatibility import DEFAULTS, measure, named
 
 Tables = Mapping[str, Any]
-KNOWN = ("limits", "fleet", "class", "route", "pool", "box")
+KNOWN_SECTIONS = ("limits", "fleet", "class", "route", "pool", "box")
 # Of a route that keeps keys: what says neither where a request with a key goes nor which requests are its.
-SOFT = frozenset(("between_bytes", "failing", "join", "upload_limit", "answer_within", "whole_within"))
-BOX_FIXED = ("address", "pool", "protocol")
+UNRESTRICTED_ROUTE_KEYS = frozenset(
+    ("between_bytes", "failing", "join", "upload_limit", "answer_within", "whole_within")
+)
+FIXED_BOX_KEYS = ("address", "pool", "protocol")
 
 
-def apart(older: Tables, newer: Tables) -> list[str]:
+def conflicts(older: Tables, newer: Tables) -> list[str]:
     """Why they must not stand side by side, in words; nothing where they may."""
     found = [
         f"{section} has changed, which this program does not know"
-        for section in sorted((older.keys() | newer.keys()) - set(KNOWN))
+        for section in sorted((older.keys() | newer.keys()) - set(KNOWN_SECTIONS))
         if older.get(section) != newer.get(section)
     ]
-    found += _boxes(older, newer)
-    found += _routes(older, newer)
+    found += _box_conflicts(older, newer)
+    found += _route_conflicts(older, newer)
     return found
 
 
-def _boxes(older: Tables, newer: Tables) -> list[str]:
+def _box_conflicts(older: Tables, newer: Tables) -> list[str]:
     before, after = named(older.get("box")), named(newer.get("box"))
     found = [f"box {name} is gone" for name in before if name not in after]
     for name in before.keys() & after.keys():
         found += [
             f"box {name}: {key} goes from {before[name].get(key)!r} to {after[name].get(key)!r}"
-            for key in BOX_FIXED
+            for key in FIXED_BOX_KEYS
             if before[name].get(key) != after[name].get(key)
         ]
     return sorted(found)
 
 
-def _routes(older: Tables, newer: Tables) -> list[str]:
+def _route_conflicts(older: Tables, newer: Tables) -> list[str]:
     before, after = named(older.get("route")), named(newer.get("route"))
     found: list[str] = []
     for name in [*before, *(name for name in after if name not in before)]:
@@ -65,8 +67,8 @@
             continue
         if keeps[0] != keeps[1] or (measure(new.get("once")) or 0) < (measure(old.get("once")) or 0):
             found.append(f"route {name}: once goes from {old.get('once')!r} to {new.get('once')!r}")
-        found += [f"route {name}, which keeps keys: {key} has changed" for key in _changed(old, new)]
-        if _ahead(older, name) != _ahead(newer, name):
+        found += [f"route {name}, which keeps keys: {key} has changed" for key in _changed_keys(old, new)]
+        if _routes_before(older, name) != _routes_before(newer, name):
             found.append(f"other routes stand before {name}, which keeps keys")
     classes_before, classes_after = named(older.get("class")), named(newer.get("class"))
     keyed = {str(t.get("class")) for t in (*before.values(), *after.values()) if t.get("once")}
@@ -77,12 +79,12 @@
     return found
 
 
-def _changed(old: Tables, new: Tables) -> list[str]:
-    keys = (old.keys() | new.keys()) - SOFT - {"once", "name"}
+def _changed_keys(old: Tables, new: Tables) -> list[str]:
+    keys = (old.keys() | new.keys()) - UNRESTRICTED_ROUTE_KEYS - {"once", "name"}
     return [key for key in sorted(keys) if old.get(key) != new.get(key)]
 
 
-def _ahead(tables: Tables, name: str) -> list[str]:
+def _routes_before(tables: Tables, name: str) -> list[str]:
     names = list(named(tables.get("route")))
     return names[: names.index(name)]
 
@@ -92,26 +94,26 @@
 
     It may stand beside both: the older ones, and those that are published behind it.
     """
-    wide: dict[str, Any] = {key: newer[key] for key in newer if key in KNOWN}
-    for section in (older.keys() | newer.keys()) - set(KNOWN):
+    staged: dict[str, Any] = {key: newer[key] for key in newer if key in KNOWN_SECTIONS}
+    for section in (older.keys() | newer.keys()) - set(KNOWN_SECTIONS):
         if section in older:
-            wide[section] = older[section]
+            staged[section] = older[section]
     before, after = named(older.get("box")), named(newer.get("box"))
     boxes = [
-        {**table, **{key: before[name][key] for key in BOX_FIXED if key in before[name]}}
-        if name in before and any(before[name].get(key) != table.get(key) for key in BOX_FIXED)
+        {**table, **{key: before[name][key] for key in FIXED_BOX_KEYS if key in before[name]}}
+        if name in before and any(before[name].get(key) != table.get(key) for key in FIXED_BOX_KEYS)
         else table
         for name, table in after.items()
     ]
-    wide["box"] = boxes + [table for name, table in before.items() if name not in after]
-    if _routes(older, newer):  # what belongs to whom hangs on all of them, and on their order
+    staged["box"] = boxes + [table for name, table in before.items() if name not in after]
+    if _route_conflicts(older, newer):  # what belongs to whom hangs on all of them, and on their order
         for section in ("route", "class"):
             if section in older:
-                wide[section] = older[section]
-        pools = named(wide.get("pool"))
-        gone = [table for name, table in named(older.get("pool")).items() if name not in pools]
-        if pools or gone:
-            wide["pool"] = [*pools.values(), *gone]
-    if not wide["box"]:
-        del wide["box"]
-    return None if wide == dict(older) else wide
+                staged[section] = older[section]
+        pools = named(staged.get("pool"))
+        removed = [table for name, table in named(older.get("pool")).items() if name not in pools]
+        if pools or removed:
+            staged["pool"] = [*pools.values(), *removed]
+    if not staged["box"]:
+        del staged["box"]
+    return None if staged == dict(older) else staged
--- a/badgergap/rollout/controller.py
+++ b/badgergap/rollout/controller.py
@@ -37,19 +37,19 @@
 
 import msgspec
 
-from badgergap.rollout.analysis import Reading, Verdict
-from badgergap.rollout.plan import Plan, Seat, stages_of
+from badgergap.rollout.analysis import GuardReading, Verdict
+from badgergap.rollout.plan import Plan, MemberPlacement, cumulative_stages
 
 FORMAT = 1
-BEAT_US = 500_000  # between two words of the leader to each member
-STALE_US = 3_000_000  # without one a member goes back to the old settings by itself
-GONE_BACK_US = 8_000_000  # by then a member that is not heard has: STALE_US, a lease, and time to load
-TAKE_US = 60_000_000  # for a member that is heard to act as it is told
-EVENTS_MOST = 120
-JUDGED_MOST = 40
-HISTORY_MOST = 20
-UNDER_WAY = frozenset(("taking", "settling", "judging", "paused", "finishing", "undoing", "stuck"))
-GOES_FORWARD = frozenset(("taking", "settling", "judging", "paused"))
+HEARTBEAT_INTERVAL_US = 500_000  # between two words of the leader to each member
+HEARTBEAT_TIMEOUT_US = 3_000_000  # without one a member goes back to the old settings by itself
+REVERT_TIMEOUT_US = 8_000_000  # by then a member that is not heard has: STALE_US, a lease, and time to load
+APPLY_TIMEOUT_US = 60_000_000  # for a member that is heard to act as it is told
+MAX_EVENTS = 120
+MAX_STAGE_RESULTS = 40
+MAX_HISTORY = 20
+IN_PROGRESS_PHASES = frozenset(("taking", "settling", "judging", "paused", "finishing", "undoing", "stuck"))
+FORWARD_PHASES = frozenset(("taking", "settling", "judging", "paused"))
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
@@ -59,48 +59,48 @@
     text: str
 
 
-class Judged(msgspec.Struct, frozen=True, array_like=True):
+class StageResult(msgspec.Struct, frozen=True, array_like=True):
     """What the guards said when a stage ended, or paused, or was stopped."""
 
     stage: int
     seconds: float
-    readings: tuple[Reading, ...]
+    readings: tuple[GuardReading, ...]
 
 
-class Run(msgspec.Struct, frozen=True, array_like=True):
+class RolloutState(msgspec.Struct, frozen=True, array_like=True):
     id: str
     by: str
     reason: str
     plan: Plan
-    base: int  # the version whose settings are the old ones
+    base_version: int  # the version whose settings are the old ones
     stages: tuple[tuple[str, ...], ...]
     phase: str = "taking"
     stage: int = 0
-    told: tuple[str, ...] = ()
+    treated_members: tuple[str, ...] = ()
     why: str = ""
-    hurry: bool = False  # undone at once, whatever the plan says
+    urgent: bool = False  # undone at once, whatever the plan says
     events: tuple[Event, ...] = ()
-    judged: tuple[Judged, ...] = ()
+    judged: tuple[StageResult, ...] = ()
 
     @property
-    def under_way(self) -> bool:
-        return self.phase in UNDER_WAY
+    def in_progress(self) -> bool:
+        return self.phase in IN_PROGRESS_PHASES
 
     @property
-    def before(self) -> tuple[str, ...]:
+    def previously_treated(self) -> tuple[str, ...]:
         """Whom earlier stages have judged."""
         return self.stages[self.stage - 1] if self.stage else ()
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class StoredRollouts(msgspec.Struct, frozen=True, array_like=True):
     """The word in the group's log: the change under way or the last one, and those before it."""
 
     format: int = FORMAT
-    run: Run | None = None
-    history: tuple[Run, ...] = ()
+    rollout: RolloutState | None = None
+    history: tuple[RolloutState, ...] = ()
 
 
-class Stand(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+class MemberStatus(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """A member's word on a beat. `number`: of the log's word that it acts by; `failed`: why it cannot.
 
     `moving`: it is about to act on other settings than it does, so what it acts on says nothing yet.
@@ -114,13 +114,15 @@
 
 
 @dataclass(slots=True)
-class View:
+class LeaderView:
     """What a leader sees. Times by its own clock."""
 
     now_us: int
     since_us: int  # when it saw this step first, or began to lead
-    seats: Sequence[Seat]  # the members of the group
-    stands: Mapping[str, tuple[Stand, int]] = field(default_factory=dict)  # and when it was heard last
+    placements: Sequence[MemberPlacement]  # the members of the group
+    statuses: Mapping[str, tuple[MemberStatus, int]] = field(
+        default_factory=dict
+    )  # and when it was heard last
     verdict: Verdict | None = None
     newest: int = 0  # the version that last changed the settings
     finished: bool = False  # its settings are the new ones
@@ -129,207 +131,241 @@
     wall: float = 0.0
 
     @property
-    def here(self) -> set[str]:
-        return {seat.name for seat in self.seats}
+    def member_names(self) -> set[str]:
+        return {placement.name for placement in self.placements}
 
-    def away_us(self, name: str) -> int:
+    def silent_us(self, name: str) -> int:
         """For how long a member was not heard, as far as this leader can say."""
-        heard = self.stands[name][1] if name in self.stands else 0
-        return self.now_us - max(heard, self.since_us)
+        heard_us = self.statuses[name][1] if name in self.statuses else 0
+        return self.now_us - max(heard_us, self.since_us)
 
-    def stand(self, name: str, id: str) -> Stand | None:
+    def recent_status(self, name: str, id: str) -> MemberStatus | None:
         """What a member said of this change lately."""
-        if name not in self.stands or self.now_us - self.stands[name][1] > STALE_US:
+        if name not in self.statuses or self.now_us - self.statuses[name][1] > HEARTBEAT_TIMEOUT_US:
             return None
-        stand = self.stands[name][0]
-        return stand if stand.id == id else None
-
-
-def begin(id: str, by: str, reason: str, plan: Plan, base: int, seats: Sequence[Seat], wall: float) -> Run:
+        recent_status = self.statuses[name][0]
+        return recent_status if recent_status.id == id else None
+
+
+def start_rollout(
+    id: str,
+    by: str,
+    reason: str,
+    plan: Plan,
+    base_version: int,
+    placements: Sequence[MemberPlacement],
+    wall: float,
+) -> RolloutState:
     """Raises BadPlan."""
-    run = Run(id, by, reason, plan, base, stages_of(plan, seats))
-    return said(run, wall, f"begun by {by}: {plan.name}")
+    rollout = RolloutState(id, by, reason, plan, base_version, cumulative_stages(plan, placements))
+    return with_event(rollout, wall, f"begun by {by}: {plan.name}")
 
 
-def said(run: Run, wall: float, text: str, **to: object) -> Run:
-    events = (*run.events, Event(wall, text))[-EVENTS_MOST:]
-    return msgspec.structs.replace(run, events=events, **to)
+def with_event(rollout: RolloutState, wall: float, text: str, **to: object) -> RolloutState:
+    events = (*rollout.events, Event(wall, text))[-MAX_EVENTS:]
+    return msgspec.structs.replace(rollout, events=events, **to)
 
 
-def decide(run: Run, view: View) -> Run | None:
+def decide(rollout: RolloutState, view: LeaderView) -> RolloutState | None:
     """The next step, or None while there is none to take."""
-    if not run.under_way:
+    if not rollout.in_progress:
         return None
-    run_here = _without_gone(run, view)
-    if run_here is not run:
+    run_here = _with_current_members(rollout, view)
+    if run_here is not rollout:
         return run_here
-    if run.phase in GOES_FORWARD:
-        wrong = _wrong(run, view)
+    if rollout.phase in FORWARD_PHASES:
+        wrong = _abort_reason(rollout, view)
         if wrong:
-            return undo(run, view.wall, wrong, hurry=True)
-    match run.phase:
+            return undo(rollout, view.wall, wrong, urgent=True)
+    match rollout.phase:
         case "taking":
-            return _take(run, view)
+            return _decide_applying(rollout, view)
         case "settling":
-            if view.now_us - view.since_us >= run.plan.settle_us and not _waits(run, view):
-                return said(run, view.wall, f"stage {run.stage + 1} is judged", phase="judging")
+            if view.now_us - view.since_us >= rollout.plan.settle_us and not _is_waiting(rollout, view):
+                return with_event(rollout, view.wall, f"stage {rollout.stage + 1} is judged", phase="judging")
         case "judging":
-            return _judged(run, view)
+            return _decide_judging(rollout, view)
         case "finishing":
-            return _finish(run, view)
+            return _decide_publishing(rollout, view)
         case "undoing":
-            return _undo(run, view)
+            return _decide_undoing(rollout, view)
     return None
 
 
-def undo(run: Run, wall: float, why: str, hurry: bool = False) -> Run:
-    return said(run, wall, f"undone: {why}", phase="undoing", why=why, hurry=run.hurry or hurry)
+def undo(rollout: RolloutState, wall: float, why: str, urgent: bool = False) -> RolloutState:
+    return with_event(
+        rollout, wall, f"undone: {why}", phase="undoing", why=why, urgent=rollout.urgent or urgent
+    )
 
 
-def wished(run: Run, wish: str, by: str, wall: float) -> Run | str:
+def apply_command(rollout: RolloutState, command: str, by: str, wall: float) -> RolloutState | str:
     """What a person wants of it: the next step, or why not."""
-    if not run.under_way:
-        return f"the change {run.plan.name} has ended: {run.phase}"
-    match wish:
-        case "pause" if run.phase in ("taking", "settling", "judging"):
-            return said(run, wall, f"paused by {by}", phase="paused", why=f"by {by}")
-        case "resume" if run.phase == "paused":
-            return said(run, wall, f"resumed by {by}", phase="taking", why="")
-        case "stop" if run.phase in GOES_FORWARD or run.phase in ("undoing", "stuck"):
-            return undo(run, wall, f"stopped by {by}", hurry=True)
-        case "undo" if run.phase in GOES_FORWARD or run.phase == "stuck":
-            return undo(run, wall, f"by {by}")
-    return f"it is {run.phase}: that cannot be done now"
-
-
-def _without_gone(run: Run, view: View) -> Run:
+    if not rollout.in_progress:
+        return f"the change {rollout.plan.name} has ended: {rollout.phase}"
+    match command:
+        case "pause" if rollout.phase in ("taking", "settling", "judging"):
+            return with_event(rollout, wall, f"paused by {by}", phase="paused", why=f"by {by}")
+        case "resume" if rollout.phase == "paused":
+            return with_event(rollout, wall, f"resumed by {by}", phase="taking", why="")
+        case "stop" if rollout.phase in FORWARD_PHASES or rollout.phase in ("undoing", "stuck"):
+            return undo(rollout, wall, f"stopped by {by}", urgent=True)
+        case "undo" if rollout.phase in FORWARD_PHASES or rollout.phase == "stuck":
+            return undo(rollout, wall, f"by {by}")
+    return f"it is {rollout.phase}: that cannot be done now"
+
+
+def _with_current_members(rollout: RolloutState, view: LeaderView) -> RolloutState:
     """Members that were taken out of the group are forgotten; the last stage takes those that have joined."""
-    here = view.here
-    stages = [tuple(name for name in stage if name in here) for stage in run.stages]
-    if run.phase in GOES_FORWARD:
-        joined = [seat.name for seat in view.seats if seat.name not in stages[-1]]
+    member_names = view.member_names
+    stages = [tuple(name for name in stage if name in member_names) for stage in rollout.stages]
+    if rollout.phase in FORWARD_PHASES:
+        joined = [placement.name for placement in view.placements if placement.name not in stages[-1]]
         stages[-1] = (*stages[-1], *sorted(joined))
-    told = tuple(name for name in run.told if name in here)
-    if tuple(stages) == run.stages and told == run.told:
-        return run
-    return msgspec.structs.replace(run, stages=tuple(stages), told=told)
+    treated_members = tuple(name for name in rollout.treated_members if name in member_names)
+    if tuple(stages) == rollout.stages and treated_members == rollout.treated_members:
+        return rollout
+    return msgspec.structs.replace(rollout, stages=tuple(stages), treated_members=treated_members)
 
 
-def _wrong(run: Run, view: View) -> str:
+def _abort_reason(rollout: RolloutState, view: LeaderView) -> str:
     """What ends a change in any phase that goes forward; or nothing."""
-    if view.newest != run.base:
+    if view.newest != rollout.base_version:
         return f"version {view.newest} of the settings was published meanwhile"
-    for name in run.told:
-        stand = view.stand(name, run.id)
-        if stand is not None and stand.failed:
-            return f"{name} cannot act on it: {stand.failed}"
-    away = [name for name in run.told if view.away_us(name) > run.plan.away_us]
-    others = [name for name in view.here if name not in run.told]
-    gone = sum(view.away_us(name) > run.plan.away_us for name in others)
-    to_blame = len(away) * len(others) > 2 * gone * len(run.told) if others else 2 * len(away) > len(run.told)
-    if len(away) > passed_over(run) and to_blame:
+    for name in rollout.treated_members:
+        recent_status = view.recent_status(name, rollout.id)
+        if recent_status is not None and recent_status.failed:
+            return f"{name} cannot act on it: {recent_status.failed}"
+    away = [name for name in rollout.treated_members if view.silent_us(name) > rollout.plan.unreachable_us]
+    others = [name for name in view.member_names if name not in rollout.treated_members]
+    unreachable_others = sum(view.silent_us(name) > rollout.plan.unreachable_us for name in others)
+    to_blame = (
+        len(away) * len(others) > 2 * unreachable_others * len(rollout.treated_members)
+        if others
+        else 2 * len(away) > len(rollout.treated_members)
+    )
+    if len(away) > tolerated_unreachable(rollout) and to_blame:
         return f"{', '.join(away)} cannot be reached since they were told"
-    slow = [name for name in run.told if _is_slow(run, view, name)]
-    if run.phase == "taking" and slow:
+    slow = [name for name in rollout.treated_members if _is_slow(rollout, view, name)]
+    if rollout.phase == "taking" and slow:
         return f"{', '.join(slow)} was told and does not act on it"
     return ""
 
 
-def _is_slow(run: Run, view: View, name: str) -> bool:
-    stand = view.stand(name, run.id)
-    return stand is not None and not stand.treated and view.now_us - view.since_us > TAKE_US
+def _is_slow(rollout: RolloutState, view: LeaderView, name: str) -> bool:
+    recent_status = view.recent_status(name, rollout.id)
+    return (
+        recent_status is not None
+        and not recent_status.treated
+        and view.now_us - view.since_us > APPLY_TIMEOUT_US
+    )
 
 
-def _waits(run: Run, view: View) -> bool:
+def _is_waiting(rollout: RolloutState, view: LeaderView) -> bool:
     """Whether those that are told are not all at it yet, but for one that is passed over."""
-    waited = [name for name in run.told if not _acts(run, view, name, True)]
-    away = [name for name in waited if view.away_us(name) > run.plan.away_us]
-    return len(waited) > len(away) or len(away) > passed_over(run)
+    waiting = [name for name in rollout.treated_members if not _has_applied(rollout, view, name, True)]
+    away = [name for name in waiting if view.silent_us(name) > rollout.plan.unreachable_us]
+    return len(waiting) > len(away) or len(away) > tolerated_unreachable(rollout)
 
 
-def passed_over(run: Run) -> int:
+def tolerated_unreachable(rollout: RolloutState) -> int:
     """So many that are told may be away while the change goes on."""
-    return max(1, len(run.told) // 20)
+    return max(1, len(rollout.treated_members) // 20)
 
 
-def _acts(run: Run, view: View, name: str, treated: bool) -> bool:
-    stand = view.stand(name, run.id)
-    if stand is None or stand.moving or stand.number < view.number:
+def _has_applied(rollout: RolloutState, view: LeaderView, name: str, treated: bool) -> bool:
+    recent_status = view.recent_status(name, rollout.id)
+    if recent_status is None or recent_status.moving or recent_status.number < view.number:
         return False
-    return stand.treated is treated and not stand.failed
+    return recent_status.treated is treated and not recent_status.failed
 
 
-def _take(run: Run, view: View) -> Run | None:
-    if _waits(run, view):
+def _decide_applying(rollout: RolloutState, view: LeaderView) -> RolloutState | None:
+    if _is_waiting(rollout, view):
         return None
-    left = [name for name in run.stages[run.stage] if name not in run.told]
+    left = [name for name in rollout.stages[rollout.stage] if name not in rollout.treated_members]
     if not left:
-        return said(
-            run, view.wall, f"stage {run.stage + 1}: {len(run.told)} members act on it", phase="settling"
+        return with_event(
+            rollout,
+            view.wall,
+            f"stage {rollout.stage + 1}: {len(rollout.treated_members)} members act on it",
+            phase="settling",
         )
-    zones = {seat.name: seat.zone for seat in view.seats}
-    batch = [name for name in left if zones.get(name) == zones.get(left[0])][: run.plan.at_once]
-    text = f"stage {run.stage + 1}: {', '.join(batch)} told"
-    return said(run, view.wall, text, told=(*run.told, *batch))
+    zones = {placement.name: placement.zone for placement in view.placements}
+    batch = [name for name in left if zones.get(name) == zones.get(left[0])][: rollout.plan.at_once]
+    text = f"stage {rollout.stage + 1}: {', '.join(batch)} told"
+    return with_event(rollout, view.wall, text, treated_members=(*rollout.treated_members, *batch))
 
 
-def _judged(run: Run, view: View) -> Run | None:
+def _decide_judging(rollout: RolloutState, view: LeaderView) -> RolloutState | None:
     verdict, spent_us = view.verdict, view.now_us - view.since_us
     if verdict is None:
         return None
-    step = _after(run, view, verdict, spent_us)
+    step = _apply_verdict(rollout, view, verdict, spent_us)
     if step is None:
         return None
-    judged = (*run.judged, Judged(run.stage, spent_us / 1e6, verdict.readings))[-JUDGED_MOST:]
+    judged = (*rollout.judged, StageResult(rollout.stage, spent_us / 1e6, verdict.readings))[
+        -MAX_STAGE_RESULTS:
+    ]
     return msgspec.structs.replace(step, judged=judged)
 
 
-def _after(run: Run, view: View, verdict: Verdict, spent_us: int) -> Run | None:
+def _apply_verdict(
+    rollout: RolloutState, view: LeaderView, verdict: Verdict, spent_us: int
+) -> RolloutState | None:
     if verdict.verdict == "worse":
-        return undo(run, view.wall, verdict.why, hurry=True)
-    if verdict.verdict == "good" and spent_us >= run.plan.least_us and not _waits(run, view):
-        if run.stage + 1 < len(run.stages):
-            text = f"stage {run.stage + 1} is good"
-            return said(run, view.wall, text, phase="taking", stage=run.stage + 1)
-        return said(run, view.wall, "all stages are good: it becomes a version", phase="finishing")
-    if spent_us >= run.plan.longest_us:
+        return undo(rollout, view.wall, verdict.why, urgent=True)
+    if verdict.verdict == "good" and spent_us >= rollout.plan.min_stage_us and not _is_waiting(rollout, view):
+        if rollout.stage + 1 < len(rollout.stages):
+            text = f"stage {rollout.stage + 1} is good"
+            return with_event(rollout, view.wall, text, phase="taking", stage=rollout.stage + 1)
+        return with_event(rollout, view.wall, "all stages are good: it becomes a version", phase="finishing")
+    if spent_us >= rollout.plan.max_stage_us:
         why = verdict.why or "not all members are there"
-        return said(run, view.wall, f"paused: {why}", phase="paused", why=why)
+        return with_event(rollout, view.wall, f"paused: {why}", phase="paused", why=why)
     return None
 
 
-def _finish(run: Run, view: View) -> Run | None:
+def _decide_publishing(rollout: RolloutState, view: LeaderView) -> RolloutState | None:
     if view.finished:
-        return said(run, view.wall, f"done: version {view.newest}", phase="done", told=())
-    if view.refused or view.newest != run.base:
+        return with_event(
+            rollout, view.wall, f"done: version {view.newest}", phase="done", treated_members=()
+        )
+    if view.refused or view.newest != rollout.base_version:
         why = view.refused or f"version {view.newest} of the settings was published meanwhile"
-        return undo(run, view.wall, why)
+        return undo(rollout, view.wall, why)
     return None
 
 
-def _undo(run: Run, view: View) -> Run | None:
-    back = [name for name in view.here if name not in run.told]
-    waited = [name for name in back if not _is_back(run, view, name)]
-    slow = [name for name in waited if view.stand(name, run.id) is not None]
-    if slow and view.now_us - view.since_us > TAKE_US:
+def _decide_undoing(rollout: RolloutState, view: LeaderView) -> RolloutState | None:
+    untreated = [name for name in view.member_names if name not in rollout.treated_members]
+    waiting = [name for name in untreated if not _has_reverted(rollout, view, name)]
+    slow = [name for name in waiting if view.recent_status(name, rollout.id) is not None]
+    if slow and view.now_us - view.since_us > APPLY_TIMEOUT_US:
         why = "; ".join(
-            f"{name} still acts on the stopped settings: {_failed(run, view, name)}" for name in slow
+            f"{name} still acts on the stopped settings: {_failure_of(rollout, view, name)}" for name in slow
         )
-        return said(run, view.wall, f"STUCK: {why}", phase="stuck", why=why)
-    if waited and not (run.hurry and run.told):
+        return with_event(rollout, view.wall, f"STUCK: {why}", phase="stuck", why=why)
+    if waiting and not (rollout.urgent and rollout.treated_members):
         return None
-    if not run.told:
-        return said(run, view.wall, "all act on the old settings", phase="undone")
-    if run.hurry or run.plan.undo == "at-once":
-        return said(run, view.wall, f"{', '.join(run.told)} told to go back", told=())
-    batch = run.told[-run.plan.at_once :]
-    return said(run, view.wall, f"{', '.join(batch)} told to go back", told=run.told[: -len(batch)])
+    if not rollout.treated_members:
+        return with_event(rollout, view.wall, "all act on the old settings", phase="undone")
+    if rollout.urgent or rollout.plan.undo == "at-once":
+        return with_event(
+            rollout, view.wall, f"{', '.join(rollout.treated_members)} told to go back", treated_members=()
+        )
+    batch = rollout.treated_members[-rollout.plan.at_once :]
+    return with_event(
+        rollout,
+        view.wall,
+        f"{', '.join(batch)} told to go back",
+        treated_members=rollout.treated_members[: -len(batch)],
+    )
 
 
-def _is_back(run: Run, view: View, name: str) -> bool:
-    return _acts(run, view, name, False) or view.away_us(name) > GONE_BACK_US
+def _has_reverted(rollout: RolloutState, view: LeaderView, name: str) -> bool:
+    return _has_applied(rollout, view, name, False) or view.silent_us(name) > REVERT_TIMEOUT_US
 
 
-def _failed(run: Run, view: View, name: str) -> str:
-    stand = view.stand(name, run.id)
-    return (stand.failed if stand is not None else "") or "it says nothing of why"
+def _failure_of(rollout: RolloutState, view: LeaderView, name: str) -> str:
+    recent_status = view.recent_status(name, rollout.id)
+    return (recent_status.failed if recent_status is not None else "") or "it says nothing of why"
--- a/badgergap/rollout/messages.py
+++ b/badgergap/rollout/messages.py
@@ -4,71 +4,80 @@
 
 import msgspec
 
-from badgergap.rollout.controller import Stand
-from badgergap.rollout.analysis import Block
+from badgergap.rollout.controller import MemberStatus
+from badgergap.rollout.analysis import MetricsBlock
 from badgergap.rollout.plan import Plan
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
     """From the leader, every BEAT_US: that the word of this number is the newest."""
 
     number: int
 
 
-class Did(msgspec.Struct, frozen=True, array_like=True, tag="d"):
+class BlockReport(msgspec.Struct, frozen=True, array_like=True, tag="d"):
     """To the leader, once a block is over."""
 
-    block: Block
+    block: MetricsBlock
 
 
-class Past(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+class HistoryReport(msgspec.Struct, frozen=True, array_like=True, tag="p"):
     """To a leader that asks: what this member did before the change of this id began."""
 
     id: str
-    blocks: list[Block]
+    blocks: list[MetricsBlock]
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class HistoryRequest(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """What did you do before it began?"""
 
     id: str
 
 
-class Begin(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+class StartRollout(msgspec.Struct, frozen=True, array_like=True, tag="n"):
     """To the leader: begin a change; or say why not, by `Begun`."""
 
     id: str
     by: str
     reason: str
     plan: Plan
-    base: int
-    body: str
+    base_version: int
+    settings: str
 
 
-class Steer(msgspec.Struct, frozen=True, array_like=True, tag="t"):
+class OperatorCommand(msgspec.Struct, frozen=True, array_like=True, tag="t"):
     """To the leader: what a person wants of the change of this id."""
 
-    wish: str  # its own id
+    command_id: str  # its own id
     id: str
-    do: str
+    action: str
     by: str
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
     """To `Begin` or `Steer`, by the id of either."""
 
     id: str
     why: str  # not; empty: it is done
 
 
-Word = Beat | Stand | Did | Past | Want | Begin | Steer | Answer
-_words: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+Message = (
+    Heartbeat
+    | MemberStatus
+    | BlockReport
+    | HistoryReport
+    | HistoryRequest
+    | StartRollout
+    | OperatorCommand
+    | CommandReply
+)
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-def encode(word: Word) -> bytes:
-    return msgspec.msgpack.encode(word)
+def encode(message: Message) -> bytes:
+    return msgspec.msgpack.encode(message)
 
 
-def decode(data: bytes) -> Word:
+def decode(data: bytes) -> Message:
     """Raises MsgspecError."""
-    return _words.decode(data)
+    return _decoder.decode(data)
--- a/badgergap/rollout/plan.py
+++ b/badgergap/rollout/plan.py
@@ -17,38 +17,43 @@
 
 Measure = Literal["service", "failed", "refused", "late", "latency", "tries", "memory", "cpu", "crashes"]
 # Differences are of shares, in points of one; the others are ratios.
-POINTS = frozenset(("service", "failed", "refused", "late"))
-MEMBER = frozenset(("memory", "crashes"))  # of a gateway as a whole, never of a class
-STAGES_MOST = 20
-GUARDS_MOST = 32
+SHARE_MEASURES = frozenset(("service", "failed", "refused", "late"))
+MEMBER_MEASURES = frozenset(("memory", "crashes"))  # of a gateway as a whole, never of a class
+MAX_STAGES = 20
+MAX_GUARDS = 32
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Stage = int | str | list[str]
 
 
-class BadPlan(ValueError):
+class InvalidPlan(ValueError):
     """In words, with the key."""
 
 
-class Guard(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"klass": "class"}):
+class Guard(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"request_class": "class", "required": "must"},
+):
     """`worse_by`: the least difference that matters; `hard`: one that stops at once.
 
     `must`: a stage is not good before this guard has seen enough to say so.
     """
 
     measure: Measure
-    klass: str = ""  # "": all
+    request_class: str = ""  # "": all
     worse_by: Annotated[float, msgspec.Meta(gt=0.0)] = 0.0
     hard: Annotated[float, msgspec.Meta(gt=0.0)] = 0.0
-    must: bool = True
+    required: bool = True
 
     @property
     def name(self) -> str:
-        return f"{self.measure} of {self.klass}" if self.klass else self.measure
+        return f"{self.measure} of {self.request_class}" if self.request_class else self.measure
 
 
 # By measure: (worse_by, hard). Shares in points of one; ratios to the untouched members.
-USUAL: dict[str, tuple[float, float]] = {
+DEFAULT_LIMITS: dict[str, tuple[float, float]] = {
     "service": (0.01, 0.2),
     "failed": (0.01, 0.2),
     "refused": (0.01, 0.2),
@@ -59,15 +64,15 @@
     "cpu": (1.3, 4.0),
     "crashes": (1.0, 2.0),  # restarts of one member that is treated, within a stage
 }
-USUAL_GUARDS: tuple[Measure, ...] = ("service", "latency", "tries", "memory", "cpu", "crashes")
-MUST: frozenset[str] = frozenset(("service",))
+DEFAULT_GUARDS: tuple[Measure, ...] = ("service", "latency", "tries", "memory", "cpu", "crashes")
+REQUIRED_MEASURES: frozenset[str] = frozenset(("service",))
 
 
 class ChangeFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     name: Text
     settings: Text  # an operator file; its own tables are left
     reason: Annotated[str, msgspec.Meta(max_length=1000)] = ""
-    stages: Annotated[list[Stage], msgspec.Meta(min_length=1, max_length=STAGES_MOST)] = msgspec.field(
+    stages: Annotated[list[Stage], msgspec.Meta(min_length=1, max_length=MAX_STAGES)] = msgspec.field(
         default_factory=lambda: [1, "half", "all"]
     )
     least: Duration = Duration(120_000_000)
@@ -75,9 +80,9 @@
     requests: Annotated[int, msgspec.Meta(ge=1, le=10_000_000)] = 300
     at_once: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
     settle: Duration = Duration(5_000_000)
-    away: Duration = Duration(30_000_000)
+    unreachable_after: Duration = msgspec.field(name="away", default=Duration(30_000_000))
     undo: Literal["reverse", "at-once"] = "at-once"
-    guards: Annotated[list[Guard], msgspec.Meta(max_length=GUARDS_MOST)] = msgspec.field(
+    guards: Annotated[list[Guard], msgspec.Meta(max_length=MAX_GUARDS)] = msgspec.field(
         name="guard", default_factory=list
     )
 
@@ -87,17 +92,17 @@
 
     name: str
     stages: tuple[str, ...]  # as `spelt` writes them
-    least_us: int
-    longest_us: int
+    min_stage_us: int
+    max_stage_us: int
     requests: int
     at_once: int
     settle_us: int
-    away_us: int
+    unreachable_us: int
     undo: str
     guards: tuple[Guard, ...]
 
 
-class Seat(msgspec.Struct, frozen=True, array_like=True):
+class MemberPlacement(msgspec.Struct, frozen=True, array_like=True):
     name: str
     zone: str = ""
 
@@ -106,33 +111,33 @@
     """Raises BadPlan, which names the file and the key."""
     try:
         raw = tomllib.loads(text)
-        found = msgspec.convert(raw, ChangeFile, dec_hook=decode)
+        change_file = msgspec.convert(raw, ChangeFile, dec_hook=decode)
     except tomllib.TOMLDecodeError as error:
-        raise BadPlan(f"{file}: no TOML: {error}") from None
+        raise InvalidPlan(f"{file}: no TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise BadPlan(f"{file}: {error}") from None
-    for key, why in _contradictions(found):
-        raise BadPlan(f"{file}: {key}: {why}")
-    return to_plan(found), found
+        raise InvalidPlan(f"{file}: {error}") from None
+    for key, why in _contradictions(change_file):
+        raise InvalidPlan(f"{file}: {key}: {why}")
+    return to_plan(change_file), change_file
 
 
-def _contradictions(found: ChangeFile) -> Iterable[tuple[str, str]]:
-    for number, stage in enumerate(found.stages):
-        why = _why_no_stage(stage)
+def _contradictions(change_file: ChangeFile) -> Iterable[tuple[str, str]]:
+    for number, stage in enumerate(change_file.stages):
+        why = _stage_error(stage)
         if why:
             yield f"stages[{number}]", why
-    if found.stages[-1] != "all":
+    if change_file.stages[-1] != "all":
         yield "stages", 'the last one is "all": a change that stays half way has no end'
-    if not 1_000_000 <= found.least <= 86_400_000_000:
+    if not 1_000_000 <= change_file.least <= 86_400_000_000:
         yield "least", 'allowed: from "1s" to "24h"'
-    if found.longest < found.least:
+    if change_file.longest < change_file.least:
         yield "longest", "is before least"
-    if not 1_000_000 <= found.away <= 3_600_000_000:
+    if not 1_000_000 <= change_file.unreachable_after <= 3_600_000_000:
         yield "away", 'allowed: from "1s" to "1h"'
-    for number, guard in enumerate(found.guards):
-        if guard.klass and guard.measure in MEMBER:
+    for number, guard in enumerate(change_file.guards):
+        if guard.request_class and guard.measure in MEMBER_MEASURES:
             yield f"guard[{number}].class", f"{guard.measure} is of a gateway as a whole"
-        points = guard.measure in POINTS
+        points = guard.measure in SHARE_MEASURES
         for key, value in (("worse_by", guard.worse_by), ("hard", guard.hard)):
             if value and points and value > 1.0:
                 yield f"guard[{number}].{key}", "allowed: a share of the requests, such as 0.01"
@@ -140,7 +145,7 @@
                 yield f"guard[{number}].{key}", "allowed: a ratio above 1, such as 1.25"
 
 
-def _why_no_stage(stage: Stage) -> str:
+def _stage_error(stage: Stage) -> str:
     if isinstance(stage, bool):
         return "allowed: a count, a share, names"
     if isinstance(stage, int):
@@ -155,77 +160,86 @@
     return f'found "{stage}"; allowed: a count, "10%", "half", "all", or a list of names'
 
 
-def to_plan(found: ChangeFile) -> Plan:
-    guards = found.guards or [Guard(measure, must=measure in MUST) for measure in USUAL_GUARDS]
+def to_plan(change_file: ChangeFile) -> Plan:
+    guards = change_file.guards or [
+        Guard(measure, required=measure in REQUIRED_MEASURES) for measure in DEFAULT_GUARDS
+    ]
     return Plan(
-        found.name,
-        tuple(",".join(stage) if isinstance(stage, list) else str(stage) for stage in found.stages),
-        int(found.least),
-        int(found.longest),
-        found.requests,
-        found.at_once,
-        int(found.settle),
-        int(found.away),
-        found.undo,
-        tuple(_with_usual(guard) for guard in guards),
+        change_file.name,
+        tuple(",".join(stage) if isinstance(stage, list) else str(stage) for stage in change_file.stages),
+        int(change_file.least),
+        int(change_file.longest),
+        change_file.requests,
+        change_file.at_once,
+        int(change_file.settle),
+        int(change_file.unreachable_after),
+        change_file.undo,
+        tuple(_with_default_limits(guard) for guard in guards),
     )
 
 
-def _with_usual(guard: Guard) -> Guard:
-    worse_by, hard = USUAL[guard.measure]
+def _with_default_limits(guard: Guard) -> Guard:
+    worse_by, hard = DEFAULT_LIMITS[guard.measure]
     return msgspec.structs.replace(guard, worse_by=guard.worse_by or worse_by, hard=guard.hard or hard)
 
 
-def order(seats: Iterable[Seat]) -> list[Seat]:
+def interleave_zones(placements: Iterable[MemberPlacement]) -> list[MemberPlacement]:
     """One of each zone in turn, so that each stage stands beside untouched members of its zones."""
-    zones: dict[str, list[Seat]] = {}
-    for seat in sorted(seats, key=lambda seat: seat.name):
-        zones.setdefault(seat.zone, []).append(seat)
+    zones: dict[str, list[MemberPlacement]] = {}
+    for placement in sorted(placements, key=lambda placement: placement.name):
+        zones.setdefault(placement.zone, []).append(placement)
     rows = zip_longest(*(zones[zone] for zone in sorted(zones)))
-    return [seat for row in rows for seat in row if seat is not None]
+    return [placement for row in rows for placement in row if placement is not None]
 
 
-def stages_of(plan: Plan, seats: Sequence[Seat]) -> tuple[tuple[str, ...], ...]:
+def cumulative_stages(plan: Plan, placements: Sequence[MemberPlacement]) -> tuple[tuple[str, ...], ...]:
     """Who is treated at the end of each stage, in the order of taking. Raises BadPlan for unknown names.
 
     Before the last stage no zone of two or more is treated whole, as far as a stage does not name who is.
     """
-    ordered, stages = order(seats), []
-    known = {seat.name for seat in ordered}
-    taken: list[str] = []
+    ordered, stages = interleave_zones(placements), []
+    member_names = {placement.name for placement in ordered}
+    treated: list[str] = []
     for number, stage in enumerate(plan.stages):
         if number == len(plan.stages) - 1:
-            taken += [seat.name for seat in ordered if seat.name not in taken]
+            treated += [placement.name for placement in ordered if placement.name not in treated]
         elif stage not in ("half", "all") and not stage[0].isdigit():
             names = stage.split(",")
-            unknown = [name for name in names if name not in known]
+            unknown = [name for name in names if name not in member_names]
             if unknown:
-                raise BadPlan(f"stages[{number}]: no member is called {', '.join(unknown)}")
-            taken += [name for name in names if name not in taken]
+                raise InvalidPlan(f"stages[{number}]: no member is called {', '.join(unknown)}")
+            treated += [name for name in names if name not in treated]
         else:
-            wanted = count_of(stage, len(ordered))
-            for seat in ordered:
-                if len(taken) >= wanted:
+            target_size = stage_size(stage, len(ordered))
+            for placement in ordered:
+                if len(treated) >= target_size:
                     break
-                if seat.name not in taken and not _last_of_zone(seat, ordered, taken):
-                    taken.append(seat.name)
-        stages.append(tuple(taken))
+                if placement.name not in treated and not _last_of_zone(placement, ordered, treated):
+                    treated.append(placement.name)
+        stages.append(tuple(treated))
     return tuple(stages)
 
 
-def count_of(stage: str, members: int) -> int:
+def stage_size(stage: str, members: int) -> int:
     if stage == "all":
         return members
     share = 0.5 if stage == "half" else float(stage.removesuffix("%")) / 100 if "%" in stage else 0.0
     return max(1, math.ceil(share * members)) if share else min(int(stage), members)
 
 
-def _last_of_zone(seat: Seat, seats: Sequence[Seat], taken: Sequence[str]) -> bool:
-    there = [other.name for other in seats if other.zone == seat.zone]
-    return len(there) > 1 and all(name in taken for name in there if name != seat.name)
+def _last_of_zone(
+    placement: MemberPlacement, placements: Sequence[MemberPlacement], treated: Sequence[str]
+) -> bool:
+    there = [other.name for other in placements if other.zone == placement.zone]
+    return len(there) > 1 and all(name in treated for name in there if name != placement.name)
 
 
-def shown(plan: Plan) -> dict[str, Any]:
-    found: dict[str, Any] = msgspec.structs.asdict(plan)
-    found["guards"] = [guard.name for guard in plan.guards]
-    return found
+# Plan attributes whose key in the JSON of the admin socket is older than their name.
+_JSON_KEYS = {"min_stage_us": "least_us", "max_stage_us": "longest_us", "unreachable_us": "away_us"}
+
+
+def plan_to_json(plan: Plan) -> dict[str, Any]:
+    """Return the plan as the admin socket shows it; guards are given by name only."""
+    fields = {_JSON_KEYS.get(key, key): value for key, value in msgspec.structs.asdict(plan).items()}
+    fields["guards"] = [guard.name for guard in plan.guards]
+    return fields
--- a/benchmarks/staged_judging.py
+++ b/benchmarks/staged_judging.py
@@ -20,8 +20,8 @@
 
 import numpy as np
 
-from badgergap.rollout.analysis import BLOCK_S, PAST_BLOCKS, Block, Counts, Judge
-from badgergap.rollout.plan import ChangeFile, Guard, Plan, Seat, stages_of, to_plan
+from badgergap.rollout.analysis import BLOCK_S, BASELINE_BLOCKS, MetricsBlock, RequestCounts, RolloutAnalysis
+from badgergap.rollout.plan import ChangeFile, Guard, Plan, MemberPlacement, cumulative_stages, to_plan
 
 CLASSES = {"pages": (0.89, 0.985, 40.0), "slips": (0.10, 0.99, 120.0), "rare": (0.01, 0.98, 300.0)}
 RATES = (5.0, 20.0, 100.0, 500.0)
@@ -39,7 +39,7 @@
     latency: float = 1.0
     only: str = ""  # class
     after_s: float = 0.0  # since a member was taken
-    tries: float = 1.0
+    attempts: float = 1.0
     harm: float = 0.0  # service that all others lose at a whole treated fleet
     leak: float = 0.0  # share of its memory that a member gains a minute
     cpu: float = 1.0
@@ -57,7 +57,7 @@
     Planted("only one class of 1 %, -20 points", service=0.20, only="rare"),
     Planted("after two minutes, -5 points", service=0.05, after_s=120),
     Planted("refuses 5 points more, and is faster", refused=0.05, latency=0.8),
-    Planted("half again as many tries, others -5 points", tries=1.5, harm=0.05),
+    Planted("half again as many tries, others -5 points", attempts=1.5, harm=0.05),
     Planted("memory grows by a tenth a minute", leak=0.10),
     Planted("CPU a request 1.5 times", cpu=1.5),
 )
@@ -81,7 +81,7 @@
         self.speed = np.exp(c.normal(0, 0.1, n))
         self.drift = np.zeros(n)
         self.slow = np.zeros(n)
-        self.rss = c.uniform(60, 90, n) * 1e6
+        self.rss_bytes = c.uniform(60, 90, n) * 1e6
         self.taken_at = np.full(n, np.inf)
         self.zone_bad = np.zeros(3)
         self.zone_left = np.zeros(3)
@@ -115,7 +115,7 @@
         own = hiccup * c.uniform(0.05, 0.4, self.members) * c.uniform(0.2, 1.0, self.members)
         return np.asarray(self.zone_bad[self.zones] + own + self.all_bad)
 
-    def block(self) -> list[Block]:
+    def block(self) -> list[MetricsBlock]:
         c, n, p = self.chance, self.members, self.planted
         self.now += BLOCK_S
         lost = self.events()
@@ -125,35 +125,39 @@
         share = float(np.mean(self.now > self.taken_at))
         lost = lost + p.harm * share
         load = self.load * self.burst * np.exp(c.normal(0, 0.05, n))
-        found = [Block(classes={}, life=1) for _ in range(n)]
+        found = [MetricsBlock(classes={}, incarnation=1) for _ in range(n)]
         total = np.zeros(n)
         for name, (part, good, took) in CLASSES.items():
             mine = on if p.only in ("", name) else np.zeros(n, bool)
-            asked = c.poisson(load * part * BLOCK_S)
-            total += asked
+            requests = c.poisson(load * part * BLOCK_S)
+            total += requests
             bad = np.clip(1 - good + lost - self.offset - self.drift, 0.0005, 0.9)
-            refused = c.binomial(asked, np.clip(bad * 0.3 + mine * p.refused, 0, 0.95))
-            failed = c.binomial(asked - refused, np.clip(bad * 0.3 + mine * p.service, 0, 0.95))
-            late = c.binomial(asked - refused - failed, np.clip(bad * 0.4, 0, 0.95))
+            refused = c.binomial(requests, np.clip(bad * 0.3 + mine * p.refused, 0, 0.95))
+            failed = c.binomial(requests - refused, np.clip(bad * 0.3 + mine * p.service, 0, 0.95))
+            late = c.binomial(requests - refused - failed, np.clip(bad * 0.4, 0, 0.95))
             slower = self.speed * np.exp(self.slow) * (1 + 2 * lost) * np.where(mine, p.latency, 1.0)
-            answered = asked - refused - failed
+            answered = requests - refused - failed
             # The mean of answers that scatter as widely as they are long.
             mean = took * slower * (1 + c.normal(0, 1, n) / np.sqrt(np.maximum(answered, 1)))
             for i in range(n):
-                if asked[i]:
-                    found[i].classes[name] = Counts(
-                        int(asked[i]),
+                if requests[i]:
+                    found[i].classes[name] = RequestCounts(
+                        int(requests[i]),
                         int(answered[i] - late[i]),
                         int(late[i]),
                         int(refused[i]),
                         int(failed[i]),
                         float(max(0.1, mean[i]) * answered[i]),
                     )
-        tries = total * (1.02 + lost) * np.where(on, p.tries, 1.0) * np.exp(c.normal(0, 0.01, n))
+        attempts = total * (1.02 + lost) * np.where(on, p.attempts, 1.0) * np.exp(c.normal(0, 0.01, n))
         cpu = (total * 400 * np.where(on, p.cpu, 1.0) + 60_000 * BLOCK_S / 10) * np.exp(c.normal(0, 0.05, n))
-        self.rss *= np.exp(c.normal(0, 0.002, n)) * np.where(on, 1 + p.leak * BLOCK_S / 60, 1.0)
+        self.rss_bytes *= np.exp(c.normal(0, 0.002, n)) * np.where(on, 1 + p.leak * BLOCK_S / 60, 1.0)
         for i, block in enumerate(found):
-            block.tries, block.cpu_us, block.rss = int(tries[i]), int(cpu[i]), int(self.rss[i])
+            block.attempts, block.cpu_us, block.rss_bytes = (
+                int(attempts[i]),
+                int(cpu[i]),
+                int(self.rss_bytes[i]),
+            )
         return found
 
 
@@ -175,13 +179,13 @@
 
 GUARDS = [
     Guard("service"),
-    Guard("service", "slips", must=False),
-    Guard("service", "rare", worse_by=0.05, must=False),
-    Guard("latency", must=False),
-    Guard("tries", must=False),
-    Guard("memory", must=False),
-    Guard("cpu", must=False),
-    Guard("crashes", must=False),
+    Guard("service", "slips", required=False),
+    Guard("service", "rare", worse_by=0.05, required=False),
+    Guard("latency", required=False),
+    Guard("tries", required=False),
+    Guard("memory", required=False),
+    Guard("cpu", required=False),
+    Guard("crashes", required=False),
 ]
 
 
@@ -195,38 +199,38 @@
     rate = rate or float(chance.choice(RATES))
     wanted = plan()
     fleet = Fleet(chance, members, rate, planted)
-    seats = [Seat(f"g{n:03}", f"z{fleet.zones[n]}") for n in range(members)]
-    place = {seat.name: n for n, seat in enumerate(seats)}
-    judge = Judge(wanted, len(wanted.stages))
-    past = [fleet.block() for _ in range(PAST_BLOCKS)]
-    for n, seat in enumerate(seats):
-        judge.past(seat.name, seat.zone, [blocks[n] for blocks in past])
+    placements = [MemberPlacement(f"g{n:03}", f"z{fleet.zones[n]}") for n in range(members)]
+    place = {placement.name: n for n, placement in enumerate(placements)}
+    judge = RolloutAnalysis(wanted, len(wanted.stages))
+    set_baseline = [fleet.block() for _ in range(BASELINE_BLOCKS)]
+    for n, placement in enumerate(placements):
+        judge.set_baseline(placement.name, placement.zone, [blocks[n] for blocks in set_baseline])
     requests, number, began = 0, 0, fleet.now
     before: tuple[str, ...] = ()
-    for stage, names in enumerate(stages_of(wanted, seats)):
+    for stage, names in enumerate(cumulative_stages(wanted, placements)):
         for name in names:
             fleet.taken_at[place[name]] = min(fleet.taken_at[place[name]], fleet.now)
         for _ in range(SETTLE_BLOCKS):
             fleet.block()
-        judge.begin(names, before)
+        judge.begin_stage(names, before)
         before = names
         since = fleet.now
         while True:
             number += 1
-            for seat, block in zip(seats, fleet.block(), strict=True):
-                judge.hear(seat.name, number, block)
-                if seat.name in names:
-                    requests += sum(counts.asked for counts in block.classes.values())
-            judge.close(number)
+            for placement, block in zip(placements, fleet.block(), strict=True):
+                judge.add_block(placement.name, number, block)
+                if placement.name in names:
+                    requests += sum(counts.requests for counts in block.classes.values())
+            judge.close_block(number)
             verdict = judge.verdict()
             spent = fleet.now - since
 
-            late = spent >= wanted.longest_us / 1e6
+            late = spent >= wanted.max_stage_us / 1e6
             if verdict.verdict == "worse" or (verdict.verdict == "more" and late):
                 how = "stopped" if verdict.verdict == "worse" else "undecided"
                 taken = fleet.now - began
                 return Ended(how, verdict.why, stage, len(names), requests, taken, rate, members)
-            if verdict.verdict == "good" and spent >= wanted.least_us / 1e6:
+            if verdict.verdict == "good" and spent >= wanted.min_stage_us / 1e6:
                 break
     return Ended("done", "", len(wanted.stages), members, requests, fleet.now - began, rate, members)
 
--- a/tests/rollout/simulation.py
+++ b/tests/rollout/simulation.py
@@ -16,9 +16,16 @@
 
 from badgergap.site.schema import Duration
 from badgergap.rollout import controller
-from badgergap.rollout.controller import GONE_BACK_US, STALE_US, Kept, Run, Stand, View
+from badgergap.rollout.controller import (
+    REVERT_TIMEOUT_US,
+    HEARTBEAT_TIMEOUT_US,
+    StoredRollouts,
+    RolloutState,
+    MemberStatus,
+    LeaderView,
+)
 from badgergap.rollout.analysis import Verdict
-from badgergap.rollout.plan import ChangeFile, Plan, Seat, to_plan
+from badgergap.rollout.plan import ChangeFile, Plan, MemberPlacement, to_plan
 
 MS, S = 1_000, 1_000_000
 TICK_US = 100 * MS
@@ -30,12 +37,12 @@
 
 @dataclass(eq=False)
 class Node:
-    seat: Seat
+    placement: MemberPlacement
     up: bool = True
     cut: bool = False
     number: int = 0  # of the word that it has
-    kept: Kept = field(default_factory=Kept)
-    beaten_us: int = -STALE_US
+    stored: StoredRollouts = field(default_factory=StoredRollouts)
+    heartbeat_us: int = -HEARTBEAT_TIMEOUT_US
     treated: bool = False
     changes_at: int = 0  # until then what it acts on stays: it is loading
     broken: str = ""  # cannot load the new settings
@@ -43,13 +50,18 @@
     # As leader
     since_us: int = 0
     seen: int = 0
-    stands: dict[str, tuple[Stand, int]] = field(default_factory=dict)
+    statuses: dict[str, tuple[MemberStatus, int]] = field(default_factory=dict)
 
     def wanted(self, now_us: int) -> bool:
-        run = self.kept.run
-        if run is None or not run.under_way or self.seat.name not in run.told or self.broken:
+        run = self.stored.rollout
+        if (
+            run is None
+            or not run.in_progress
+            or self.placement.name not in run.treated_members
+            or self.broken
+        ):
             return False
-        return now_us - self.beaten_us <= STALE_US
+        return now_us - self.heartbeat_us <= HEARTBEAT_TIMEOUT_US
 
 
 class World:
@@ -61,13 +73,13 @@
         members: int = 6,
         plan: Plan | None = None,
         verdicts: Callable[[int], str] = lambda stage: "good",
-        decide: Callable[[Run, View], Run | None] = controller.decide,
+        decide: Callable[[RolloutState, LeaderView], RolloutState | None] = controller.decide,
     ) -> None:
         self.seed, self.random = seed, random.Random(seed)
         self.decide, self.verdicts = decide, verdicts
         self.now = 100 * S
         self.log: list[bytes] = []
-        self.nodes = {f"g{n}": Node(Seat(f"g{n}", f"z{n % 3}")) for n in range(members)}
+        self.nodes = {f"g{n}": Node(MemberPlacement(f"g{n}", f"z{n % 3}")) for n in range(members)}
         self.leader = "g0"
         self.newest, self.finished, self.refuses = 1, False, ""
         self.plan = plan or to_plan(
@@ -77,23 +89,23 @@
                 least=Duration(20 * S),
                 longest=Duration(300 * S),
                 settle=Duration(2 * S),
-                away=Duration(10 * S),
+                unreachable_after=Duration(10 * S),
             )
         )
-        run = controller.begin("c1", "anna", "", self.plan, 1, self.seats, 0.0)
-        self.log.append(msgspec.msgpack.encode(Kept(run=run)))
+        run = controller.start_rollout("c1", "anna", "", self.plan, 1, self.placements, 0.0)
+        self.log.append(msgspec.msgpack.encode(StoredRollouts(rollout=run)))
         self.stages_seen: list[int] = []
         self.told_us: dict[str, int] = {}  # when a member that acts on the new ones was last told to
 
     @property
-    def seats(self) -> list[Seat]:
-        return [node.seat for node in self.nodes.values()]
+    def placements(self) -> list[MemberPlacement]:
+        return [node.placement for node in self.nodes.values()]
 
     @property
-    def run(self) -> Run:
-        kept: Kept = msgspec.msgpack.decode(self.log[-1], type=Kept)
-        assert kept.run is not None
-        return kept.run
+    def run(self) -> RolloutState:
+        stored: StoredRollouts = msgspec.msgpack.decode(self.log[-1], type=StoredRollouts)
+        assert stored.rollout is not None
+        return stored.rollout
 
     def fail(self, text: str) -> None:
         raise Violation(f"seed {self.seed}, at {self.now / S:.1f} s: {text}")
@@ -107,9 +119,9 @@
         if len(there) * 2 > len(self.nodes):
             if self.nodes[self.leader] not in there:
                 if self.random.random() < 0.1:  # about a second without one
-                    self.leader = self.random.choice(there).seat.name
+                    self.leader = self.random.choice(there).placement.name
                     new = self.nodes[self.leader]
-                    new.since_us, new.stands, new.seen = self.now, {}, 0
+                    new.since_us, new.statuses, new.seen = self.now, {}, 0
             else:
                 self.lead(self.nodes[self.leader], there)
         for node in self.nodes.values():
@@ -119,35 +131,40 @@
     def lead(self, leader: Node, there: list[Node]) -> None:
         for node in there:
             if self.random.random() < 0.8:  # what the log says comes a moment late
-                node.number, node.kept = len(self.log), msgspec.msgpack.decode(self.log[-1], type=Kept)
+                node.number, node.stored = (
+                    len(self.log),
+                    msgspec.msgpack.decode(self.log[-1], type=StoredRollouts),
+                )
             if self.now % (500 * MS) == 0 and self.random.random() < 0.95:
                 if node.number == len(self.log):
-                    node.beaten_us = self.now
-                run = node.kept.run
+                    node.heartbeat_us = self.now
+                run = node.stored.rollout
                 id = run.id if run is not None else ""
                 if self.random.random() < 0.95:
-                    failed = node.broken if run is not None and node.seat.name in run.told else ""
+                    failed = (
+                        node.broken if run is not None and node.placement.name in run.treated_members else ""
+                    )
                     moving = bool(node.changes_at) or node.wanted(self.now) != node.treated
-                    stand = Stand(node.number, id, node.treated, failed, moving)
-                    leader.stands[node.seat.name] = (stand, self.now)
+                    status = MemberStatus(node.number, id, node.treated, failed, moving)
+                    leader.statuses[node.placement.name] = (status, self.now)
         if leader.number != len(self.log):
             return
         if leader.seen != leader.number:
             leader.seen, leader.since_us = leader.number, self.now
-        run = leader.kept.run
-        if run is None or not run.under_way:
+        run = leader.stored.rollout
+        if run is None or not run.in_progress:
             return
         verdict = None
         if run.phase == "judging":
-            said = self.verdicts(run.stage)
-            verdict = Verdict(said, "planted" if said == "worse" else "")
+            verdict_name = self.verdicts(run.stage)
+            verdict = Verdict(verdict_name, "planted" if verdict_name == "worse" else "")
         if run.phase == "finishing" and not self.refuses and self.random.random() < 0.05:
             self.newest, self.finished = self.newest + 1, True
-        view = View(
+        view = LeaderView(
             self.now,
             leader.since_us,
-            self.seats,
-            leader.stands,
+            self.placements,
+            leader.statuses,
             verdict,
             self.newest,
             self.finished,
@@ -156,22 +173,22 @@
         )
         step = self.decide(run, view)
         if step is not None and self.random.random() < 0.9:  # a proposal may be lost
-            self.append(leader.number + 1, Kept(run=step))
+            self.append(leader.number + 1, StoredRollouts(rollout=step))
 
-    def append(self, number: int, kept: Kept) -> None:
+    def append(self, number: int, stored: StoredRollouts) -> None:
         if number == len(self.log) + 1:
-            before, after = self.run, kept.run
+            before, after = self.run, stored.rollout
             assert after is not None
             if after.stage > before.stage:
                 self.stages_seen.append(after.stage)
                 waits = [
                     name
-                    for name in before.told
+                    for name in before.treated_members
                     if not self.nodes[name].treated and self.nodes[name] in self.reachable()
                 ]
                 if before.phase != "judging" or len(waits) > 1:
                     self.fail(f"stage {after.stage} begins out of {before.phase}, {waits} not at it")
-            self.log.append(msgspec.msgpack.encode(kept))
+            self.log.append(msgspec.msgpack.encode(stored))
 
     def follow(self, node: Node) -> None:
         if not node.up:
@@ -191,11 +208,11 @@
     def check(self) -> None:
         run = self.run
         for name, node in self.nodes.items():
-            if name in run.told and run.under_way:
+            if name in run.treated_members and run.in_progress:
                 self.told_us[name] = self.now
             if node.treated and not node.stubborn and not self.finished:
-                late = self.now - self.told_us.get(name, -GONE_BACK_US)
-                if late > GONE_BACK_US:
+                late = self.now - self.told_us.get(name, -REVERT_TIMEOUT_US)
+                if late > REVERT_TIMEOUT_US:
                     self.fail(
                         f"{name} acts on the new settings {late / S:.1f} s after it was told to go back"
                     )
@@ -206,7 +223,7 @@
 
     def play(self, for_s: float) -> str:
         until = self.now + int(for_s * S)
-        while self.now < until and self.run.under_way:
+        while self.now < until and self.run.in_progress:
             self.tick()
         return self.run.phase
 
@@ -217,28 +234,33 @@
         begun = self.now
         match self.random.randrange(4):
             case 0:
-                node.up, node.number, node.kept, node.beaten_us = False, 0, Kept(), -STALE_US
-                while self.now < begun + lasts and self.run.under_way:
+                node.up, node.number, node.stored, node.heartbeat_us = (
+                    False,
+                    0,
+                    StoredRollouts(),
+                    -HEARTBEAT_TIMEOUT_US,
+                )
+                while self.now < begun + lasts and self.run.in_progress:
                     self.tick()
                 node.up = True
             case 1:
                 node.cut = True
-                while self.now < begun + lasts and self.run.under_way:
+                while self.now < begun + lasts and self.run.in_progress:
                     self.tick()
                 node.cut = False
             case 2:
-                away = self.random.sample(list(self.nodes.values()), len(self.nodes) // 2)
-                for each in away:
+                unreachable_after = self.random.sample(list(self.nodes.values()), len(self.nodes) // 2)
+                for each in unreachable_after:
                     each.cut = True
-                while self.now < begun + lasts and self.run.under_way:
+                while self.now < begun + lasts and self.run.in_progress:
                     self.tick()
-                for each in away:
+                for each in unreachable_after:
                     each.cut = False
             case _:
                 self.leader = ""
-                self.leader = self.random.choice(self.reachable() or list(self.nodes.values())).seat.name
+                self.leader = self.random.choice(self.reachable() or list(self.nodes.values())).placement.name
                 new = self.nodes[self.leader]
-                new.since_us, new.stands, new.seen = self.now, {}, 0
+                new.since_us, new.statuses, new.seen = self.now, {}, 0
 
 
 def schedule(seed: int, **more: object) -> World:
@@ -248,20 +270,20 @@
         world.play(world.random.uniform(0.2, 15.0))
         world.trouble()
         if world.random.random() < 0.1:
-            wish = world.random.choice(("pause", "resume", "stop", "undo"))
-            step = controller.wished(world.run, wish, "bert", 0.0)
+            command = world.random.choice(("pause", "resume", "stop", "undo"))
+            step = controller.apply_command(world.run, command, "bert", 0.0)
             if not isinstance(step, str):
-                world.append(len(world.log) + 1, Kept(run=step))
+                world.append(len(world.log) + 1, StoredRollouts(rollout=step))
     for node in world.nodes.values():
         node.up, node.cut = True, False
     world.play(1200)
     if world.run.phase == "paused":
-        step = controller.wished(world.run, "undo", "bert", 0.0)
+        step = controller.apply_command(world.run, "undo", "bert", 0.0)
         assert not isinstance(step, str)
-        world.append(len(world.log) + 1, Kept(run=step))
+        world.append(len(world.log) + 1, StoredRollouts(rollout=step))
         world.play(1200)
-    if world.run.under_way and world.run.phase != "stuck":
-        world.fail(f"no end: {world.run.phase}, told {world.run.told}")
+    if world.run.in_progress and world.run.phase != "stuck":
+        world.fail(f"no end: {world.run.phase}, told {world.run.treated_members}")
     return world
 
 
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -7,9 +7,10 @@
 import msgspec
 import pytest
 
+from badgergap.site.schema import Duration
 from badgergap.rollout import controller
-from badgergap.rollout.controller import Run, View, wished
-from badgergap.rollout.plan import ChangeFile, Seat, to_plan
+from badgergap.rollout.controller import RolloutState, LeaderView, apply_command
+from badgergap.rollout.plan import ChangeFile, MemberPlacement, to_plan
 from tests.rollout.simulation import S, Violation, World, ends, schedule
 
 
@@ -44,27 +45,36 @@
 def test_one_that_is_away_is_passed_over_and_two_stop_it() -> None:
     """Of the treated alone: where others are away as well, nothing is concluded."""
     plan = to_plan(
-        ChangeFile(name="x", settings="x", stages=[2, 4, "all"], least=20 * S, settle=2 * S, away=10 * S)  # type: ignore[arg-type]
+        ChangeFile(
+            name="x",
+            settings="x",
+            stages=[2, 4, "all"],
+            least=Duration(20 * S),
+            settle=Duration(2 * S),
+            unreachable_after=Duration(10 * S),
+        )
     )
     one = World(3, 9, plan)
     one.leader = "g8"
-    while len(one.run.told) < 2:
+    while len(one.run.treated_members) < 2:
         one.tick()
-    one.nodes[one.run.told[0]].cut = True
+    one.nodes[one.run.treated_members[0]].cut = True
     assert one.play(600) == "done"
     both = World(3, 9, plan)
     both.leader = "g8"
     while both.run.phase != "judging":
         both.tick()
-    for name in both.run.told:
+    for name in both.run.treated_members:
         both.nodes[name].up = False
     assert both.play(600) == "undone" and "cannot be reached since they were told" in both.run.why
     all_alike = World(3, 9, plan)
     all_alike.leader = "g8"
     while all_alike.run.phase != "judging" or all_alike.run.stage != 1:
         all_alike.tick()
-    untouched = [name for name in all_alike.nodes if name not in all_alike.run.told and name != "g8"]
-    for name in [*all_alike.run.told[:2], *untouched[:2]]:
+    untouched = [
+        name for name in all_alike.nodes if name not in all_alike.run.treated_members and name != "g8"
+    ]
+    for name in [*all_alike.run.treated_members[:2], *untouched[:2]]:
         all_alike.nodes[name].cut = True
     assert all_alike.play(100) == "judging" and all_alike.run.stage == 1
 
@@ -91,9 +101,9 @@
     assert world.play(600) == "stuck" or world.run.phase == "stuck"
     assert "g0 still acts on the stopped settings" in world.run.why
     world.nodes["g0"].stubborn, world.told_us["g0"] = False, world.now
-    step = wished(world.run, "undo", "bert", 0.0)
-    assert isinstance(step, Run)
-    world.append(len(world.log) + 1, controller.Kept(run=step))
+    step = apply_command(world.run, "undo", "bert", 0.0)
+    assert isinstance(step, RolloutState)
+    world.append(len(world.log) + 1, controller.StoredRollouts(rollout=step))
     assert world.play(100) == "undone"
 
 
@@ -101,7 +111,7 @@
     world = World(7)
     while world.run.stage < 1:
         world.tick()
-    world.nodes["g9"] = type(world.nodes["g0"])(Seat("g9", "z0"))
+    world.nodes["g9"] = type(world.nodes["g0"])(MemberPlacement("g9", "z0"))
     world.nodes.pop("g5")
     assert world.play(600) == "done"
     assert "g9" in world.run.stages[-1] and all("g5" not in stage for stage in world.run.stages)
@@ -115,13 +125,13 @@
     world = World(8, plan=plan)
     while world.run.phase != "judging":
         world.tick()
-    told = world.run.told
-    step = wished(world.run, "undo", "bert", 0.0)
-    assert isinstance(step, Run)
-    world.append(len(world.log) + 1, controller.Kept(run=step))
+    treated_members = world.run.treated_members
+    step = apply_command(world.run, "undo", "bert", 0.0)
+    assert isinstance(step, RolloutState)
+    world.append(len(world.log) + 1, controller.StoredRollouts(rollout=step))
     assert world.play(100) == "undone"
     back = [event.text.split()[0] for event in world.run.events if "told to go back" in event.text]
-    assert back == list(reversed(told))
+    assert back == list(reversed(treated_members))
 
 
 @pytest.mark.parametrize("wish", ["pause", "resume", "stop", "undo"])
@@ -138,29 +148,29 @@
         "done": set(),
     }
     for phase, wishes in allowed.items():
-        found = wished(msgspec.structs.replace(run, phase=phase), wish, "bert", 0.0)
-        assert isinstance(found, Run) is (wish in wishes), phase
+        found = apply_command(msgspec.structs.replace(run, phase=phase), wish, "bert", 0.0)
+        assert isinstance(found, RolloutState) is (wish in wishes), phase
 
 
 # Each guard of the controller, taken out, is found by a schedule.
 
 
-def no_wait(run: Run, view: View) -> Run | None:
+def no_wait(run: RolloutState, view: LeaderView) -> RolloutState | None:
     """The next stage begins though those that were told are not at it."""
-    if run.phase == "taking" and run.told:
-        left = [name for name in run.stages[run.stage] if name not in run.told]
+    if run.phase == "taking" and run.treated_members:
+        left = [name for name in run.stages[run.stage] if name not in run.treated_members]
         if not left:
-            return controller.said(run, 0.0, "x", phase="judging")
-        return controller.said(run, 0.0, "x", told=(*run.told, *left))
+            return controller.with_event(run, 0.0, "x", phase="judging")
+        return controller.with_event(run, 0.0, "x", treated_members=(*run.treated_members, *left))
     if run.phase == "judging" and run.stage + 1 < len(run.stages):
-        return controller.said(run, 0.0, "x", phase="taking", stage=run.stage + 1)
+        return controller.with_event(run, 0.0, "x", phase="taking", stage=run.stage + 1)
     return controller.decide(run, view)
 
 
-def undone_at_once(run: Run, view: View) -> Run | None:
+def undone_at_once(run: RolloutState, view: LeaderView) -> RolloutState | None:
     """It is called undone before all are back."""
     if run.phase == "undoing":
-        return controller.said(run, 0.0, "x", phase="undone", told=())
+        return controller.with_event(run, 0.0, "x", phase="undone", treated_members=())
     return controller.decide(run, view)
 
 
--- a/tests/rollout/test_pure.py
+++ b/tests/rollout/test_pure.py
@@ -8,11 +8,20 @@
 
 import pytest
 
-from badgergap.rollout.analysis import Block, Counts, Judge
-from badgergap.rollout.plan import BadPlan, ChangeFile, Guard, Plan, Seat, read_plan, stages_of, to_plan
-from badgergap.rollout.compatibility import apart, split
+from badgergap.rollout.analysis import MetricsBlock, RequestCounts, RolloutAnalysis
+from badgergap.rollout.plan import (
+    InvalidPlan,
+    ChangeFile,
+    Guard,
+    Plan,
+    MemberPlacement,
+    read_plan,
+    cumulative_stages,
+    to_plan,
+)
+from badgergap.rollout.compatibility import conflicts, split
 
-SEATS = [Seat(f"g{n}", f"z{n % 3}") for n in range(9)]
+SEATS = [MemberPlacement(f"g{n}", f"z{n % 3}") for n in range(9)]
 FILE = 'name = "x"\nsettings = "y"\n'
 
 
@@ -21,19 +30,22 @@
 
 
 def test_stages_grow_over_zones_and_leave_each_zone_somebody() -> None:
-    assert stages_of(plan(1, "half"), SEATS) == (
+    assert cumulative_stages(plan(1, "half"), SEATS) == (
         ("g0",),
         ("g0", "g1", "g2", "g3", "g4"),
         tuple(f"g{n}" for n in range(9)),
     )
-    assert stages_of(plan(["g7"], 2), SEATS)[:2] == (("g7",), ("g7", "g0"))
-    whole = stages_of(plan(8), SEATS)[0]
+    assert cumulative_stages(plan(["g7"], 2), SEATS)[:2] == (("g7",), ("g7", "g0"))
+    whole = cumulative_stages(plan(8), SEATS)[0]
     assert all(
-        any(seat.zone == zone and seat.name not in whole for seat in SEATS) for zone in ("z0", "z1", "z2")
+        any(placement.zone == zone and placement.name not in whole for placement in SEATS)
+        for zone in ("z0", "z1", "z2")
     )
-    assert stages_of(plan("10%"), SEATS)[0] == ("g0",) and stages_of(plan("10%"), SEATS[:1])[0] == ("g0",)
-    with pytest.raises(BadPlan, match="no member is called gx, gy"):
-        stages_of(plan(["gx", "g1", "gy"]), SEATS)
+    assert cumulative_stages(plan("10%"), SEATS)[0] == ("g0",) and cumulative_stages(plan("10%"), SEATS[:1])[
+        0
+    ] == ("g0",)
+    with pytest.raises(InvalidPlan, match="no member is called gx, gy"):
+        cumulative_stages(plan(["gx", "g1", "gy"]), SEATS)
 
 
 @pytest.mark.parametrize(
@@ -59,7 +71,7 @@
     ],
 )
 def test_a_wrong_change_file_is_one_error_that_names_the_place(text: str, says: str) -> None:
-    with pytest.raises(BadPlan) as error:
+    with pytest.raises(InvalidPlan) as error:
         read_plan(FILE + text, "change.toml")
     assert str(error.value).startswith("change.toml: ") and says in str(error.value)
 
@@ -104,7 +116,7 @@
         changed("route/slips", answer_within="9s"),
         changed("class/d", repeats="safe"),
     ):
-        assert apart(OLD, fine) == [], fine
+        assert conflicts(OLD, fine) == [], fine
     first = {**OLD, "route": [{"name": "new", "class": "d"}, *OLD["route"]]}
     for wrong, says in (
         (changed("box/a", address="h:9"), "box a: address"),
@@ -120,10 +132,10 @@
         ({**OLD, "route": OLD["route"][1:]}, "route slips, which keeps keys, is gone"),
         ({**OLD, "strange": 1}, "strange has changed"),
     ):
-        assert says in "; ".join(apart(OLD, wrong)), wrong
+        assert says in "; ".join(conflicts(OLD, wrong)), wrong
         wide = split(OLD, wrong)
         # The first half lives beside both.
-        assert wide is None or (apart(OLD, wide) == [] and wide != OLD)
+        assert wide is None or (conflicts(OLD, wide) == [] and wide != OLD)
 
 
 def test_a_split_leaves_what_may_go_by_stages() -> None:
@@ -131,37 +143,41 @@
     wide = split(OLD, new)
     assert wide is not None and wide["limits"] == {"open_requests": 5}
     assert sorted(box["address"] for box in wide["box"]) == ["h:1", "h:2"]
-    assert apart(OLD, wide) == []
+    assert conflicts(OLD, wide) == []
 
 
 # The judge
 
 
-def member(chance: random.Random, rate: int, bad: float, took: float = 20.0, rss: int = 50) -> Block:
+def member(
+    chance: random.Random, rate: int, bad: float, took: float = 20.0, rss_bytes: int = 50
+) -> MetricsBlock:
     failed = sum(chance.random() < bad for _ in range(rate))
-    counts = Counts(rate, rate - failed, 0, 0, failed, took * (rate - failed) * chance.uniform(0.97, 1.03))
-    return Block({"c": counts}, rate, rate * 300, rss, 1)
+    counts = RequestCounts(
+        rate, rate - failed, 0, 0, failed, took * (rate - failed) * chance.uniform(0.97, 1.03)
+    )
+    return MetricsBlock({"c": counts}, rate, rate * 300, rss_bytes, 1)
 
 
 def judged(
     guards: tuple[Guard, ...],
-    treated: Callable[[random.Random, int], Block],
-    rest: Callable[[random.Random, int], Block],
+    treated: Callable[[random.Random, int], MetricsBlock],
+    rest: Callable[[random.Random, int], MetricsBlock],
     blocks: int = 24,
     rate: int = 200,
 ) -> list[str]:
     """The verdicts, block by block: g0 and g1 of nine are treated."""
     chance = random.Random(7)
-    judge = Judge(plan(2, guards=guards), 2)
-    for seat in SEATS:
-        judge.past(seat.name, seat.zone, [member(chance, rate, 0.01) for _ in range(30)])
-    judge.begin(("g0", "g1"))
+    judge = RolloutAnalysis(plan(2, guards=guards), 2)
+    for placement in SEATS:
+        judge.set_baseline(placement.name, placement.zone, [member(chance, rate, 0.01) for _ in range(30)])
+    judge.begin_stage(("g0", "g1"))
     found = []
     for number in range(blocks):
-        for seat in SEATS:
-            side = treated if seat.name in ("g0", "g1") else rest
-            judge.hear(seat.name, number, side(chance, number))
-        judge.close(number)
+        for placement in SEATS:
+            side = treated if placement.name in ("g0", "g1") else rest
+            judge.add_block(placement.name, number, side(chance, number))
+        judge.close_block(number)
         found.append(judge.verdict().verdict)
     return found
 
@@ -169,13 +185,13 @@
 def test_the_judge_tells_a_bad_change_from_a_bad_day() -> None:
     service = (Guard("service"),)
 
-    def well(chance: random.Random, number: int) -> Block:
+    def well(chance: random.Random, number: int) -> MetricsBlock:
         return member(chance, 200, 0.01)
 
-    def badly(chance: random.Random, number: int) -> Block:
+    def badly(chance: random.Random, number: int) -> MetricsBlock:
         return member(chance, 200, 0.05)
 
-    def storm(chance: random.Random, number: int) -> Block:
+    def storm(chance: random.Random, number: int) -> MetricsBlock:
         return member(chance, 200, 0.3 if 5 < number < 15 else 0.01)
 
     assert set(judged(service, well, well)) == {"more", "good"} and judged(service, well, well)[-1] == "good"
@@ -187,21 +203,23 @@
 
 
 def test_each_guard_sees_its_own() -> None:
-    def well(chance: random.Random, number: int) -> Block:
+    def well(chance: random.Random, number: int) -> MetricsBlock:
         return member(chance, 200, 0.01)
 
     late = (Guard("latency"),)
     assert "worse" in judged(late, lambda c, n: member(c, 200, 0.01, took=40.0), well)
     leak = (Guard("memory"),)
-    assert "worse" in judged(leak, lambda c, n: member(c, 200, 0.01, rss=50 + 10 * n), well)
+    assert "worse" in judged(leak, lambda c, n: member(c, 200, 0.01, rss_bytes=50 + 10 * n), well)
     assert "worse" not in judged(leak, well, well)
     again = (Guard("crashes"),)
-    restarts = judged(again, lambda c, n: Block(member(c, 200, 0.01).classes, life=1 + n // 5), well)
+    restarts = judged(
+        again, lambda c, n: MetricsBlock(member(c, 200, 0.01).classes, incarnation=1 + n // 5), well
+    )
     assert "worse" in restarts
     # Faster because it refuses more: the service guard has the refusals.
     refuses = judged(
-        (Guard("service"), Guard("latency", must=False)),
-        lambda c, n: Block({"c": Counts(200, 180, 0, 20, 0, 180 * 5.0)}, 200, 60_000, 50, 1),
+        (Guard("service"), Guard("latency", required=False)),
+        lambda c, n: MetricsBlock({"c": RequestCounts(200, 180, 0, 20, 0, 180 * 5.0)}, 200, 60_000, 50, 1),
         well,
     )
     assert "worse" in refuses
