--- a/badgergap/rollout/messages.py
+++ b/badgergap/rollout/messages.py
@@ -1,74 +1,84 @@
-"""What members of a group say to each other about a change, beside the group's log."""
+"""The messages that members exchange about a rollout, beside the group's log."""
 
 from __future__ import annotations
 
 import msgspec
 
-from badgergap.rollout.controller import Stand
-from badgergap.rollout.analysis import Block
+from badgergap.rollout.controller import MemberStatus
+from badgergap.rollout.blocks import MetricsBlock
 from badgergap.rollout.plan import Plan
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """From the leader, every BEAT_US: that the word of this number is the newest."""
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
+    """From the leader, every HEARTBEAT_INTERVAL_US: the newest record in the log has this number."""
 
     number: int
 
 
-class Did(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """To the leader, once a block is over."""
+class BlockReport(msgspec.Struct, frozen=True, array_like=True, tag="d"):
+    """To the leader, at the end of each block."""
 
-    block: Block
+    block: MetricsBlock
 
 
-class Past(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """To a leader that asks: what this member did before the change of this id began."""
+class HistoryReport(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+    """To the leader: the blocks of this member before the rollout of this id began."""
 
     id: str
-    blocks: list[Block]
+    blocks: list[MetricsBlock]
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """What did you do before it began?"""
+class HistoryRequest(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+    """From the leader: which blocks did you record before this rollout began?"""
 
     id: str
 
 
-class Begin(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """To the leader: begin a change; or say why not, by `Begun`."""
+class StartRollout(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+    """To the leader: start a rollout of `settings` over version `base_version`."""
 
     id: str
     by: str
     reason: str
     plan: Plan
-    base: int
-    body: str
+    base_version: int
+    settings: str
 
 
-class Steer(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """To the leader: what a person wants of the change of this id."""
+class OperatorCommand(msgspec.Struct, frozen=True, array_like=True, tag="t"):
+    """To the leader: pause, resume, stop or undo the rollout `id`."""
 
-    wish: str  # its own id
+    command_id: str  # its own id
     id: str
-    do: str
+    action: str
     by: str
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """To `Begin` or `Steer`, by the id of either."""
+class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+    """The reply to `StartRollout` or `OperatorCommand`, by the id of either. `why` is empty on success."""
 
     id: str
     why: str  # not; empty: it is done
 
 
-Word = Beat | Stand | Did | Past | Want | Begin | Steer | Answer
-_words: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+Message = (
+    Heartbeat
+    | MemberStatus
+    | BlockReport
+    | HistoryReport
+    | HistoryRequest
+    | StartRollout
+    | OperatorCommand
+    | CommandReply
+)
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-def encode(word: Word) -> bytes:
-    return msgspec.msgpack.encode(word)
+def encode(message: Message) -> bytes:
+    """Encode a message as MessagePack."""
+    return msgspec.msgpack.encode(message)
 
 
-def decode(data: bytes) -> Word:
-    """Raises MsgspecError."""
-    return _words.decode(data)
+def decode(data: bytes) -> Message:
+    """Decode a message. Raises msgspec.MsgspecError."""
+    return _decoder.decode(data)
