--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import gc
 import signal
 import sys
 
@@ -9,9 +10,13 @@
 
 
 def main() -> int:
+    """Run the gateway; return its exit code."""
     # Before all else, which takes its time: until somebody heeds it, the signal would end the process.
     signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
 
+    # The imports make tens of thousands of objects that stay: the collector would search them again and again.
+    gc.disable()
+
     import os
     from functools import partial
 
--- a/badgergap/balancing/balancer.py
+++ b/badgergap/balancing/balancer.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from badgergap.balancing.actions import Action, EndpointView
 from badgergap.balancing.admission import MAX_SHED_FRACTION, AdmissionControl
@@ -36,7 +37,9 @@
 from badgergap.balancing.retry_policy import MAX_RETRY_TOKENS
 from badgergap.balancing.settings import RequestClass, Settings
 from badgergap.balancing.slow_start import SlowStart
-from badgergap.balancing.snapshot import LearnedState, decode_snapshot, encode_snapshot
+
+if TYPE_CHECKING:
+    from badgergap.balancing.snapshot import LearnedState
 
 
 class Balancer:
@@ -161,6 +164,8 @@
 
     def snapshot(self) -> dict[str, object]:
         """Return what was learnt, as data that JSON can hold. Times are readings of the clock."""
+        from badgergap.balancing.snapshot import encode_snapshot  # only a hand-over needs it
+
         return encode_snapshot(self._learned_state(), self.table.by_id.values(), self.table.reinstated)
 
     def restore(self, now_us: int, raw: Mapping[str, object]) -> None:
@@ -171,6 +176,8 @@
         """
         self.context.now_us = max(now_us, self.context.now_us)
         class_count = len(self.settings.classes)
+        from badgergap.balancing.snapshot import decode_snapshot
+
         learned, restored = decode_snapshot(raw, class_count, self.table.by_id, self.context.now_us)
         self._apply_learned_state(learned)
         self.table.replace([each.endpoint for each in restored])
@@ -178,6 +185,8 @@
 
     def _learned_state(self) -> LearnedState:
         latency, admission = self.latency, self.admission
+        from badgergap.balancing.snapshot import LearnedState
+
         return LearnedState(
             smoothed_us=latency.smoothed_us,
             baseline_us=latency.baseline_us,
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -217,6 +217,7 @@
 ) -> int:
     """Serve until a signal to stop; return the exit code. `hung_up`: SIGHUPs that came during the start."""
     gc.freeze()  # the objects of the imports are never garbage
+    gc.enable()  # `__main__` has it off while it imports
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, read_again, components, observer, hung_up, succeed))
