--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -14,7 +14,7 @@
     # Before all else, which takes its time: until somebody heeds it, the signal would end the process.
     signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
 
-    # The imports make tens of thousands of objects that stay: the collector would search them again and again.
+    # What the imports make stays: the collector would search it again and again.
     gc.disable()
 
     import os
--- a/badgergap/balancing/balancer.py
+++ b/badgergap/balancing/balancer.py
@@ -174,19 +174,19 @@
         The endpoints are listed already, and nothing has been sent to them. Raises SnapshotError, a
         ValueError, for what is no snapshot of a balancer with these classes, and has then changed nothing.
         """
-        self.context.now_us = max(now_us, self.context.now_us)
-        class_count = len(self.settings.classes)
         from badgergap.balancing.snapshot import decode_snapshot
 
+        self.context.now_us = max(now_us, self.context.now_us)
+        class_count = len(self.settings.classes)
         learned, restored = decode_snapshot(raw, class_count, self.table.by_id, self.context.now_us)
         self._apply_learned_state(learned)
         self.table.replace([each.endpoint for each in restored])
         self.table.reinstated += [each.endpoint for each in restored if each.is_awaited]
 
     def _learned_state(self) -> LearnedState:
-        latency, admission = self.latency, self.admission
         from badgergap.balancing.snapshot import LearnedState
 
+        latency, admission = self.latency, self.admission
         return LearnedState(
             smoothed_us=latency.smoothed_us,
             baseline_us=latency.baseline_us,
