--- a/badgergap/admin/actions.py
+++ b/badgergap/admin/actions.py
@@ -14,7 +14,7 @@
 VOID = "void"  # of a wish that was asked for before it came, and given up
 
 
-class Refused(Exception):
+class CommandRefusedError(Exception):
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
         self.failure = Failure(code=code, text=text)
@@ -25,12 +25,15 @@
         self.done: OrderedDict[str, ActionResult] = OrderedDict()
 
     def earlier(self, action: str, do: str, box: str) -> ActionResult | None:
-        """What became of this wish if it was sent before. Raises Refused for another under its name."""
+        """What became of this wish if it was sent before.
+
+        Raises CommandRefusedError for another under its name.
+        """
         result = self.done.get(action)
         if result is not None and result.do == VOID:
-            raise Refused("conflict", f"action {action} was given up before it came")
+            raise CommandRefusedError("conflict", f"action {action} was given up before it came")
         if result is not None and (result.do, result.box) != (do, box):
-            raise Refused("conflict", f"action {action} was to {result.do} {result.box}")
+            raise CommandRefusedError("conflict", f"action {action} was to {result.do} {result.box}")
         return result
 
     def remember(self, result: ActionResult) -> None:
@@ -40,7 +43,7 @@
             self.done.popitem(last=False)
 
     def result(self, action: str, void: bool = False) -> ActionResult:
-        """Raises Refused for a wish that has not been carried out, or was so long ago.
+        """Raises CommandRefusedError for a wish that has not been carried out, or was so long ago.
 
         `void`: then it never will be, should it still be on its way on another connection.
         """
@@ -48,5 +51,5 @@
         if result is None and void:
             self.remember(ActionResult(action=action, do=VOID, box="", by="", at_us=0, changed=False))
         if result is None or result.do == VOID:
-            raise Refused("unknown-action", f"no action {action} has been carried out of late")
+            raise CommandRefusedError("unknown-action", f"no action {action} has been carried out of late")
         return result
--- a/badgergap/admin/boxes.py
+++ b/badgergap/admin/boxes.py
@@ -10,9 +10,9 @@
 
 from badgergap.admin.figures import Figures
 from badgergap.admin.protocol import BoxView, Said
-from badgergap.proxy.lifecycle.config import Names
-from badgergap.proxy.endpoints.registry import MergedEndpoint
 from badgergap.balancing.interface import EndpointStatus, EndpointView
+from badgergap.proxy.endpoints.registry import MergedEndpoint
+from badgergap.proxy.lifecycle.config import Names
 
 GONE_SHOWN_US = 300_000_000  # how long a box that is gone is still shown
 # Boxes that a snapshot names; of a larger fleet those drained by hand first. What a look costs grows with it.
--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -21,7 +21,7 @@
 
 import badgergap
 from badgergap.admin import protocol
-from badgergap.admin.actions import Actions, Refused
+from badgergap.admin.actions import Actions, CommandRefusedError
 from badgergap.admin.boxes import ABLE, GONE_SHOWN_US, SHOWN, Boxes, is_last_able
 from badgergap.admin.figures import Figures
 from badgergap.admin.paths import PATH_LIMIT, prepare_folder
@@ -36,11 +36,11 @@
     Undrain,
 )
 from badgergap.admin.story import Story
+from badgergap.balancing.interface import EndpointView
+from badgergap.proxy.endpoints.registry import EndpointRegistryError, ManualDrain, MergedEndpoint
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import ManualDrain, MergedEndpoint, EndpointRegistryError
-from badgergap.balancing.interface import EndpointView
 
 log = logging.getLogger(__name__)
 
@@ -367,7 +367,7 @@
                     self.ask_group(connection, request)
                 case Drain() | Undrain():
                     self.wish(connection, request)
-        except Refused as refused:
+        except CommandRefusedError as refused:
             connection.write(protocol.failure(request.id, refused.failure))
         except Exception:
             log.exception("failed on a request at the admin socket: %.300r", line)
@@ -375,7 +375,7 @@
 
     def subscribe(self, connection: Connection, number: str) -> None:
         if connection not in self.subscribers and len(self.subscribers) >= SUBSCRIBERS:
-            raise Refused("too-many", f"{SUBSCRIBERS} consoles are connected already")
+            raise CommandRefusedError("too-many", f"{SUBSCRIBERS} consoles are connected already")
         self.subscribers.add(connection)
         connection.write(protocol.reply(number, {"every_ms": int(TICK_S * 1000)}))
         self.newest = protocol.push(self.snapshot(self.views()))
@@ -383,9 +383,9 @@
 
     def ask_group(self, connection: Connection, request: protocol.AskGroup) -> None:
         if self.group is None:
-            raise Refused("unknown-call", "this gateway is in no group")
+            raise CommandRefusedError("unknown-call", "this gateway is in no group")
         if connection.pending >= PENDING:
-            raise Refused("busy", f"{PENDING} calls of this connection are under way")
+            raise CommandRefusedError("busy", f"{PENDING} calls of this connection are under way")
         self._spawn(self._reply_of_group(connection, request, self.group))
 
     async def _reply_of_group(self, connection: Connection, request: protocol.AskGroup, group: Group) -> None:
@@ -406,7 +406,7 @@
         """In effect before this returns; only the reply waits for the disk."""
         do = "drain" if isinstance(request, Drain) else "undrain"
         if connection.pending >= PENDING:
-            raise Refused("busy", f"{PENDING} wishes of this connection wait for the disk")
+            raise CommandRefusedError("busy", f"{PENDING} wishes of this connection wait for the disk")
         result = self.actions.earlier(request.action, do, request.box)
         if result is None:
             result = self._carry_out(request, do)
@@ -423,14 +423,18 @@
             and self._hosts() <= SHOWN
             and is_last_able(self.views(), box)
         ):
-            raise Refused("last-box", f"{box} is the last box that serves; nothing would be served")
+            raise CommandRefusedError(
+                "last-box", f"{box} is the last box that serves; nothing would be served"
+            )
         try:
             if isinstance(request, Drain):
                 proxy.directory.drain(box, by, request.action)
             else:
                 proxy.directory.undrain(box, by)
         except EndpointRegistryError as error:
-            raise Refused("unknown-box" if "no box" in str(error) else "too-many", str(error)) from None
+            raise CommandRefusedError(
+                "unknown-box" if "no box" in str(error) else "too-many", str(error)
+            ) from None
         changed = was_drained is not isinstance(request, Drain)
         result = self._result(request.action, do, box, by, changed, False)
         self.actions.remember(result)
--- a/badgergap/balancing/actions.py
+++ b/badgergap/balancing/actions.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not done, and trying again is harmless, best after `retry_after_us` (0: no advice)."""
+    """Final answer: not done, and trying again is harmless, best after `retry_after_us` (0: no time)."""
 
     request_id: str
     retry_after_us: int = 0
@@ -66,26 +66,26 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Ask for the whole endpoint list once."""
+    """Ask for the whole endpoint list once. Not yielded by this balancer."""
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheck:
-    """Ask an endpoint how it does; only where Settings.may_probe."""
+    """Ask an endpoint how it does; only where `ProxySettings.may_probe`. Not yielded by this balancer."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close this proxy's idle connections to an endpoint."""
+    """Close this proxy's idle connections to an endpoint. Not yielded by this balancer."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Up to 256 bytes to one proxy, or to all (None); only where Settings.may_message."""
+    """Up to 256 bytes to one proxy, or to all (None); where `ProxySettings.may_message`. Not yielded yet."""
 
     data: bytes
     proxy: int | None = None
--- a/badgergap/balancing/balancer.py
+++ b/badgergap/balancing/balancer.py
@@ -91,7 +91,10 @@
         self.selector.is_standby = value
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event at clock reading `now_us`; return what to do, in order."""
+        """Take one event at clock reading `now_us`; return what to do, in order.
+
+        HealthCheckEnded and PeerMessage are accepted, and no decision uses them.
+        """
         context, lifecycle = self.context, self.lifecycle
         self.admission.advance(context.begin(now_us))
         if isinstance(event, AttemptEnded):
--- a/badgergap/balancing/request_lifecycle.py
+++ b/badgergap/balancing/request_lifecycle.py
@@ -76,7 +76,7 @@
             self._answer_unserved(request)
 
     def register(self, event: RequestArrived, rules: RequestClass) -> Request:
-        """Enter a request, and what its arrival says about its class."""
+        """Record a request; learn its class's usual timeout and work from it."""
         now_us = self._context.now_us
         used_us = self._latency.time_used_us(event, rules, self._settings.clients_mark_retries)
         is_first_try = not event.is_retry and used_us == 0
@@ -125,9 +125,10 @@
     # Ordered requests
 
     def _wait_for_key(self, request: Request) -> bool:
-        """Let a request wait behind the earlier ones of its key; False if it may go at once.
+        """Whether the request is dealt with: it waits behind the earlier ones of its key, or was rejected.
 
-        One that can't run in time any more is rejected while its client can still try again.
+        One that can't run in time any more is rejected while its client can still try again. False: it is
+        to be sent now.
         """
         queue = self.ordering.join(request)
         now_us = self._context.now_us
--- a/badgergap/balancing/settings.py
+++ b/badgergap/balancing/settings.py
@@ -112,7 +112,7 @@
     sticky_keys: bool = False  # an endpoint that met a key lately serves it for less work
     endpoint_list_is_pushed: bool = True  # False: changes come only after WatchEndpoints
     max_poll_interval_us: int = 10_000_000  # longest silence towards the list service without a subscription
-    max_retry_after_us: int = 1_000_000  # 0: clients get no Retry-After
+    max_retry_after_us: int = 1_000_000  # 0: the proxy names a second itself
     cold_capacity: float = 1.0  # an endpoint that starts can do at least this share of its work
     warm_up_us: int = 0  # and all of it after this
     overload_multiple: float = 1.0  # sent more than this times its present capacity
--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -7,16 +7,16 @@
 from typing import Any
 
 from badgergap.admin import CallRefused
-from badgergap.consensus.errors import Refused
-from badgergap.consensus.service import GroupService
 from badgergap.cli.group import Asked
 from badgergap.cli.setup import Setup
+from badgergap.consensus.errors import CommandRefusedError
+from badgergap.consensus.service import GroupService
+from badgergap.proxy.lifecycle.config import ConfigError
+from badgergap.replication.acceptor import Bounds
 from badgergap.replication.commands import ReplicationCommands
 from badgergap.replication.idempotency_filter import IdempotencyFilter
 from badgergap.replication.options import Options
-from badgergap.replication.acceptor import Bounds
 from badgergap.replication.service import ReplicationService
-from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import Site
 
 LEAST_US = 600_000_000  # for which a loss is remembered, whatever the routes say
@@ -76,7 +76,7 @@
             return await super().call(op, given)
         try:
             return await self.copies.call(op, given)
-        except Refused as refused:
+        except CommandRefusedError as refused:
             raise CallRefused(str(refused)) from None
 
     def line(self) -> str:
--- a/badgergap/cli/demo.py
+++ b/badgergap/cli/demo.py
@@ -20,8 +20,8 @@
 
 from badgergap.admin import AdminError, NoAnswer, NoGateway, Snapshot, call, default_socket
 from badgergap.admin.protocol import VERSION, AskSnapshot, ProtocolError
-from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.console.words import percent, summary
+from badgergap.proxy.lifecycle.config import ConfigError
 
 START_S = 15.0
 END_S = 6.0
--- a/badgergap/cli/etcd.py
+++ b/badgergap/cli/etcd.py
@@ -7,8 +7,8 @@
 from functools import partial
 from pathlib import Path
 
-from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.proxy.lifecycle.component import Component
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import EtcdTable
 
 
--- a/badgergap/cli/group.py
+++ b/badgergap/cli/group.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from badgergap.admin import CallRefused
+from badgergap.cli.setup import Setup
 from badgergap.consensus.commands import GroupCommands
-from badgergap.consensus.errors import ConsensusError, Refused
+from badgergap.consensus.errors import CommandRefusedError, ConsensusError
 from badgergap.consensus.framing import KEY_MIN_BYTES
 from badgergap.consensus.options import Options
 from badgergap.consensus.service import GroupService
 from badgergap.consensus.settings import KnownMember, MemberSettings
-from badgergap.cli.setup import Setup
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.site.schema import GroupTable
 
@@ -47,7 +47,7 @@
     async def call(self, op: str, given: Mapping[str, Any]) -> Any:
         try:
             return await self.calls.call(op, given)
-        except Refused as refused:
+        except CommandRefusedError as refused:
             raise CallRefused(str(refused)) from None
 
     async def agree_out(self, box: str, by: str, out: bool) -> str:
--- a/badgergap/cli/h3.py
+++ b/badgergap/cli/h3.py
@@ -7,8 +7,8 @@
 
 from badgergap.cli.setup import Setup
 from badgergap.cli.tls import ClientTls
-from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.ordinary.turn import Carry
+from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.proxy.upstream.stream_exchange import carry
 from badgergap.web.room import WebRoom
 
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -15,11 +15,11 @@
 from badgergap.admin import AdminRoom, Figures
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
+from badgergap.proxy.lifecycle.component import Component, Succeed
 from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.lifecycle.process import log_to_stderr, run
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Observer
-from badgergap.proxy.lifecycle.component import Component, Succeed
-from badgergap.proxy.lifecycle.process import log_to_stderr, run
 from badgergap.site import SiteRoom
 from badgergap.site.web import never
 
@@ -79,8 +79,8 @@
     handover = setup.site.site.handover
     if handover is None and (setup.config.console is None or setup.config.listen is None):
         return None
-    from badgergap.hot_restart.rendezvous import Rendezvous
     from badgergap.hot_restart.coordinator import HotRestartCoordinator, coordinator_from_environment
+    from badgergap.hot_restart.rendezvous import Rendezvous
 
     if handover is None:
         return partial(coordinator_from_environment, environ)
@@ -112,8 +112,8 @@
     assert group is not None  # the file was checked
     try:
         from badgergap.cli.copies import WithCopies, copies_room
-        from badgergap.replication.learned_state_service import LearnedStateService
         from badgergap.cli.group import Asked
+        from badgergap.replication.learned_state_service import LearnedStateService
     except ModuleNotFoundError as error:
         why = f"{error.name} is missing: pip install 'badgergap[copies]'"
         raise ConfigError(f"[copies] needs its extra, {why}") from None
--- a/badgergap/cli/staged.py
+++ b/badgergap/cli/staged.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from badgergap.admin import CallRefused, Figures
-from badgergap.consensus.errors import Refused
+from badgergap.consensus.errors import CommandRefusedError
 from badgergap.consensus.service import GroupService
 from badgergap.rollout.commands import RolloutCommands
 from badgergap.rollout.metrics import MetricsCollector
@@ -43,7 +43,7 @@
             return await self.asked.call(op, given)
         try:
             return await self.changes.call(op, given)
-        except Refused as refused:
+        except CommandRefusedError as refused:
             raise CallRefused(str(refused)) from None
 
     async def agree_out(self, box: str, by: str, out: bool) -> str:
--- a/badgergap/cli/web.py
+++ b/badgergap/cli/web.py
@@ -12,16 +12,16 @@
 
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
+from badgergap.ordinary.plan import Limits, RoutePlan, Variants, WebPlan
+from badgergap.ordinary.turn import Join
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.pools import PoolComponent, PoolPlan
 from badgergap.proxy.limits import eviction
+from badgergap.proxy.pools import PoolComponent, PoolPlan
 from badgergap.proxy.requests import Observer
 from badgergap.site import Site, SiteRoom
 from badgergap.site.convert import pool_config
 from badgergap.site.schema import PoolTable
 from badgergap.site.web import MAIN, REPEATABLE, UNSAFE, to_route
-from badgergap.ordinary.plan import Limits, RoutePlan, Variants, WebPlan
-from badgergap.ordinary.turn import Join
 from badgergap.web.room import WebRoom
 
 if TYPE_CHECKING:
--- a/badgergap/consensus/commands.py
+++ b/badgergap/consensus/commands.py
@@ -12,10 +12,10 @@
 
 from badgergap.consensus.clock import clock_us
 from badgergap.consensus.errors import (
+    CommandRefusedError,
     ConsensusError,
     MembershipChangeError,
     NotInForceError,
-    Refused,
 )
 from badgergap.consensus.member import Member
 from badgergap.consensus.member_messages import ChangeMembers, MemberStatus
@@ -42,7 +42,7 @@
 
 
 class GroupCommands:
-    """Raises Refused for what cannot be done."""
+    """Raises CommandRefusedError for what cannot be done."""
 
     def __init__(self, service: GroupService) -> None:
         self.service = service
@@ -64,11 +64,11 @@
     async def call(self, op: str, arguments: Arguments) -> Reply:
         """Carry out one command."""
         if op not in self.handlers:
-            raise Refused(f"no call of a group is named {op!r}")
+            raise CommandRefusedError(f"no call of a group is named {op!r}")
         try:
             return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError) as error:
-            raise Refused(f"the call {op} lacks something: {error}") from None
+            raise CommandRefusedError(f"the call {op} lacks something: {error}") from None
 
     # What is known
 
@@ -157,7 +157,7 @@
         """Propose settings."""
         tables = arguments["tables"]
         if not isinstance(tables, dict):
-            raise Refused("settings are tables")
+            raise CommandRefusedError("settings are tables")
         author, reason = str(arguments["by"]), str(arguments["reason"])
         return await self._publish(encode_tables(tables), author, reason, arguments)
 
@@ -170,15 +170,17 @@
     async def _publish(self, body: str, author: str, reason: str, arguments: Arguments) -> Reply:
         state = self._state()
         if body == state.newest.settings:
-            raise Refused(f"version {state.newest.settings_at} says the same already")
+            raise CommandRefusedError(f"version {state.newest.settings_at} says the same already")
         parent = int(arguments.get("parent", state.newest.settings_at))
         id = str(arguments.get("id") or uuid.uuid4().hex)
         proposal = ProposeVersion(id, "settings", body, author, reason, parent, True)
         outcome = await self.service.propose(proposal, PROPOSAL_TIMEOUT_S)
         if outcome is None:
-            raise Refused("no word from the group in time: it may still come into force (settings history)")
+            raise CommandRefusedError(
+                "no word from the group in time: it may still come into force (settings history)"
+            )
         if not outcome.version:
-            raise Refused(outcome.why + _conflicting_changes(state, parent, outcome.why))
+            raise CommandRefusedError(outcome.why + _conflicting_changes(state, parent, outcome.why))
         header = self._state().header(outcome.version)
         reason_not = await self._wait_in_force(outcome.version, _seconds(arguments, IN_FORCE_WAIT_S))
         return {
@@ -192,7 +194,7 @@
         """Wait until a version is in force."""
         number = int(arguments["version"])
         if number > self._state().newest.number:
-            raise Refused(f"there is no version {number} here")
+            raise CommandRefusedError(f"there is no version {number} here")
         reason_not = await self._wait_in_force(number, _seconds(arguments, WAIT_DEFAULT_S))
         return {"version": number, "in_force": not reason_not, "not": reason_not}
 
@@ -217,7 +219,7 @@
         try:
             await self.service.agree_out(host, author, out, _seconds(arguments, IN_FORCE_WAIT_S))
         except ConsensusError as error:
-            raise Refused(str(error)) from None
+            raise CommandRefusedError(str(error)) from None
         return {"host": host, "out": out}
 
     # Members
@@ -232,9 +234,9 @@
             await self._check_removal(name)
         outcome = await self._request_change(name, action, PROPOSAL_TIMEOUT_S)
         if outcome is None:
-            raise Refused("no leader has taken it up: see `group status`")
+            raise CommandRefusedError("no leader has taken it up: see `group status`")
         if outcome:
-            raise Refused(outcome)
+            raise CommandRefusedError(outcome)
         return await self._await_change(name, action)
 
     async def _request_change(self, name: str, action: str, within_s: float) -> str | None:
@@ -252,7 +254,7 @@
         components = self.service.components.values()
         objections = [component.removal_objection(name) for component in components]
         if any(objections):
-            raise Refused("; ".join(objection for objection in objections if objection))
+            raise CommandRefusedError("; ".join(objection for objection in objections if objection))
 
     async def _await_change(self, name: str, action: str) -> Reply:
         """Wait until the change is done.
@@ -272,31 +274,33 @@
             if statuses and is_done:
                 return {"done": True, "members": [status.name for status in statuses]}
             await asyncio.sleep(CHANGE_POLL_S)
-        raise Refused("it is under way and not done: see `group status`, and say it again")
+        raise CommandRefusedError("it is under way and not done: see `group status`, and say it again")
 
     async def force(self, arguments: Arguments) -> Reply:
         """Make this member the whole group, without the others."""
         member = self.service.member
         if member is None:
-            raise Refused("this gateway is no member at the moment")
+            raise CommandRefusedError("this gateway is no member at the moment")
         try:
             member.force_single_member(clock_us())
         except MembershipChangeError as error:
-            raise Refused(str(error)) from None
+            raise CommandRefusedError(str(error)) from None
         finally:
             self.service.settle()
         return {"done": True}
 
     def _state(self) -> GroupState:
         if self.service.member is None:
-            raise Refused("this gateway is no member of its group at the moment")
+            raise CommandRefusedError("this gateway is no member of its group at the moment")
         return self.service.member.state
 
     def _body(self, number: int) -> str:
         bodies = self._state().bodies
         if number not in bodies:
             kept = ", ".join(map(str, bodies)) or "none"
-            raise Refused(f"the settings of version {number} are not kept here; there are: {kept}")
+            raise CommandRefusedError(
+                f"the settings of version {number} are not kept here; there are: {kept}"
+            )
         return bodies[number]
 
 
--- a/badgergap/consensus/compatibility.py
+++ b/badgergap/consensus/compatibility.py
@@ -4,15 +4,15 @@
 one forbids, or sends a request elsewhere. By kind of setting:
 
 =====================  ==========================================================================
-contradicts            a route that is gone, new before others, or leads elsewhere (what it matches,
-                       pool, spare, class, tenant, rewriting, certificate); the share of a request's
-                       pools that falls to 0; a box that is gone, has another address, pool or
+contradicts            a route that is gone or new, stands in another order, or leads elsewhere (what
+                       it matches, pool, spare, class, tenant, rewriting, certificate); a pool whose
+                       share falls to 0 or rises from 0; a box that is gone, has another address, pool or
                        protocol; a limit that is lower (open requests, attempts, upload, times a
                        request may take); a class that may be repeated less, or for a shorter time;
                        keyed requests that are kept for a shorter time, or begin or cease to be; a host
                        that is out; a pool's authority or discovery; whatever this program does not know
 does not contradict    weights, worth, wanted times, comments, order of boxes; limits that are higher;
-                       a new class, pool or box; a host that is put back; a route behind all others
+                       a new class, pool or box; a host that is put back
 =====================  ==========================================================================
 
 The words are those of the operator file. Higher and lower are seen from the newer version, and steps that do
@@ -126,7 +126,7 @@
     order_after = [name for name in newer if name in older]
     if order_before != order_after:
         found.append("routes stand in another order")
-    # A new route takes requests that an older one took, unless nothing that was there could match them.
+    # A new route may take requests that an older one took.
     for name in newer.keys() - older.keys():
         found.append(f"route {name} is new and may take what another one took")
     return sorted(found)
--- a/badgergap/consensus/drain_agreement.py
+++ b/badgergap/consensus/drain_agreement.py
@@ -13,7 +13,7 @@
 from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S, REPEAT_S
 from badgergap.consensus.replicated_state import BACK_ALREADY, OUT_ALREADY
 from badgergap.consensus.versions import ANY_PARENT, Outcome, ProposeVersion, VersionContent
-from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, ManualDrain, EndpointRegistryError
+from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, EndpointRegistryError, ManualDrain
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
 
@@ -31,16 +31,16 @@
         self,
         tasks: BackgroundTasks,
         propose: Propose,
-        is_unknown: Callable[[str], bool],
+        is_not_drained: Callable[[str], bool],
         on_agreed: Callable[[], None],
         proxies: Callable[[], Mapping[str, Proxy]],
     ) -> None:
-        """`is_unknown`: whether the newest version that is known here does not drain an endpoint.
+        """`is_not_drained`: whether the newest version that is known here does not drain an endpoint.
 
         `on_agreed` has to have `follow` called with the versions that are known then.
         """
         self.tasks = tasks
-        self.is_unknown = is_unknown
+        self.is_not_drained = is_not_drained
         self.on_agreed = on_agreed
         self.propose = propose
         self.main: Proxy | None = None
@@ -110,7 +110,7 @@
         if waiting is None:
             return False
         waiting.cancel()
-        return self.is_unknown(name)  # the group never heard of it
+        return self.is_not_drained(name)  # the group never heard of it
 
     def _on_drained_here(self, name: str, by: str, out: bool) -> None:
         """An endpoint was drained at this gateway, by hand or by the group's agreement."""
--- a/badgergap/consensus/endpoint_list_source.py
+++ b/badgergap/consensus/endpoint_list_source.py
@@ -14,7 +14,7 @@
 from badgergap.consensus import endpoint_lists
 from badgergap.consensus.endpoint_lists import AgreedEndpoint, Endpoints, SourceList
 from badgergap.consensus.versions import ANY_PARENT, Outcome, ProposeVersion, VersionContent
-from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate, endpoint_id_of
+from badgergap.proxy.endpoints.sources import EndpointUpdate, Entry, endpoint_id_of
 from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
--- a/badgergap/consensus/errors.py
+++ b/badgergap/consensus/errors.py
@@ -33,5 +33,5 @@
     """A version is not in force at all members that act."""
 
 
-class Refused(ConsensusError):
+class CommandRefusedError(ConsensusError):
     """An operator's command cannot be carried out; the message is for the operator."""
--- a/badgergap/consensus/lease.py
+++ b/badgergap/consensus/lease.py
@@ -1,6 +1,6 @@
-"""Leases: who may act, and until when, at the member and at the leader. Pure; microseconds of each member's
-own
-clock.
+"""Leases: who may act, and until when, at the member and at the leader. Pure.
+
+Times are microseconds of each member's own clock.
 
 A member sends its leader a request that carries the time of its own clock, `sent_at_us`. The leader answers
 once it knows that it still was the leader after the request arrived (`Raft.confirmed_us`) and holds all
@@ -10,8 +10,9 @@
 was granted before; it takes every member to hold one for a whole duration from its election on, for no
 leader before it can have confirmed itself after that.
 
-A version that contradicts comes into force once each member has it, or its lease is over. So a member that is
-cut off acts on the version before for at most one duration after the others went on: the bound.
+The leader enforces a contradicting version once each member holds it or has no lease. One that holds it and
+has not heard that it is enforced, because it was cut off, acts on the version before until its lease ends:
+at most one duration longer than the others, which is less than the stated bound `contradiction_us`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-CLOCK_DRIFT = 0.01  # two clocks' rates differ by no more than this fraction, each from true time
+CLOCK_DRIFT = 0.01  # a clock's rate differs from true time by no more than this: two clocks' by twice that
 DURATION_FRACTION = 0.8  # of the stated time; the rest is for drift, stalls and the way to an endpoint
 REQUESTS_PER_LEASE = 8
 NEVER_US = -(1 << 60)
@@ -38,7 +39,7 @@
 
     duration_us: int
     end_us: int = NEVER_US
-    minimum_version: int = 0  # that must be in force here to act under this lease
+    minimum_version: int = 0  # that must be loaded here to act under this lease
 
     def extend(self, now_us: int, sent_at_us: int, minimum_version: int) -> None:
         """Take a grant that answers a request of `sent_at_us`."""
--- a/badgergap/consensus/proposals.py
+++ b/badgergap/consensus/proposals.py
@@ -68,7 +68,7 @@
         """Whether it contradicts the newest version. Raises ProposalError."""
         self.member.state.check_proposal(proposal)
         if len(self.open) >= OPEN_LIMIT:
-            raise ProposalError(f"{OPEN_LIMIT} publishes wait already")
+            raise ProposalError(f"{OPEN_LIMIT} proposals wait already")
         if proposal.kind == "back":
             return False
         if proposal.kind == "out":
@@ -114,7 +114,7 @@
         self.open.pop(id, None)
 
     def _close(self, id: str, opened: OpenProposal, now_us: int) -> None:
-        """All have said that they can load it, or their time is over: add it if a majority accepts it."""
+        """Add it if all who were asked accept it, or a majority has once their time is over."""
         member = self.member
         needed = majority(len(member.raft.log.voters))
         if opened.unanswered and opened.accepted < needed:
--- a/badgergap/consensus/raft_messages.py
+++ b/badgergap/consensus/raft_messages.py
@@ -56,7 +56,8 @@
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appd"):
     """`match_index`: up to where the follower's log on disk is the leader's; without success, where the
     leader
-    should look next. `sent_at_us` is that of the request."""
+    should look next. `sent_at_us` is that of the request.
+    """
 
     term: int
     success: bool
@@ -89,7 +90,8 @@
 class DisownMember(msgspec.Struct, frozen=True, array_like=True, tag="disown"):
     """The receiver acknowledged entries up to `acknowledged_index` and no longer has them: its disk was
     rolled
-    back."""
+    back.
+    """
 
     term: int
     acknowledged_index: int
--- a/badgergap/consensus/replicated_state.py
+++ b/badgergap/consensus/replicated_state.py
@@ -83,7 +83,7 @@
 
     @property
     def waiting(self) -> int:
-        """The newest version that contradicts what is in force; 0: none."""
+        """The newest version that contradicts its predecessor and is not enforced yet; 0: none."""
         return max((header.number for header in self.headers if self.is_waiting(header)), default=0)
 
     def is_waiting(self, header: VersionHeader) -> bool:
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -41,8 +41,8 @@
 from badgergap.consensus.transport import Transport
 from badgergap.consensus.version_loader import SettingsLoader, VersionLoader
 from badgergap.consensus.versions import Outcome, ProposeVersion, VersionContent
-from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.lifecycle.component import Reload
+from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.proxy import Proxy
 from badgergap.storage.errors import UnsupportedVersionError
 from badgergap.storage.log_session import LogSession
--- a/badgergap/consensus/version_loader.py
+++ b/badgergap/consensus/version_loader.py
@@ -13,8 +13,8 @@
 from badgergap.consensus.member import Member
 from badgergap.consensus.settings_text import decode_tables
 from badgergap.consensus.versions import VersionContent
-from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.lifecycle.component import Reload
+from badgergap.proxy.lifecycle.config import Config, ConfigError
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
         self.reload: Reload | None = None
         self.acting_on = VersionContent()
         self.body = ""  # the settings that are acted on: of a version, or what `overlay` puts in their place
-        self.epoch = 0  # the newest version that contradicted the one before it
+        self.epoch = 0  # the newest version whose loading contradicted what was acted on
         self.overlay: Callable[[str], str] = (
             lambda settings: settings
         )  # by a component, for this member alone
--- a/badgergap/console/app.py
+++ b/badgergap/console/app.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import select
 import sys
 import time
@@ -22,7 +23,6 @@
 from badgergap.admin.protocol import ActionResult, AskAction, Drain, ProtocolError, Undrain
 from badgergap.console.model import AskAgain, Break, Effect, Model, Quit, Wish
 from badgergap.console.view import render
-import contextlib
 
 REDRAW_S = 0.25  # for what the clock alone changes
 GONE = 129  # exit code of one whose terminal has gone, as of one that is ended by SIGHUP
--- a/badgergap/etcd/hosts.py
+++ b/badgergap/etcd/hosts.py
@@ -11,10 +11,10 @@
 from dataclasses import replace
 from itertools import islice
 
+from badgergap.balancing.interface import EndpointListKind, EndpointStatus
 from badgergap.etcd.follow import Change
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
-from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate
-from badgergap.balancing.interface import EndpointListKind, EndpointStatus
+from badgergap.proxy.endpoints.sources import EndpointUpdate, Entry
 
 SLICE = 25  # hosts that one piece of news names, of those that may wait
 URGENT_SLICE = 200  # and of those that may not: they cost less
--- a/badgergap/etcd/source.py
+++ b/badgergap/etcd/source.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
+from badgergap.balancing.interface import EndpointListKind
 from badgergap.etcd.client import Calls, Login
 from badgergap.etcd.follow import (
     Alarm,
@@ -31,10 +32,9 @@
 )
 from badgergap.etcd.hosts import Hosts
 from badgergap.etcd.values import Places
+from badgergap.proxy.endpoints.sources import EndpointUpdate, OnUpdate
 from badgergap.proxy.lifecycle.config import Address, Config
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.sources import EndpointUpdate, OnUpdate
-from badgergap.balancing.interface import EndpointListKind
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/etcd/values.py
+++ b/badgergap/etcd/values.py
@@ -19,10 +19,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgergap.proxy.lifecycle.config import Address
+from badgergap.balancing.interface import ListedEndpoint
 from badgergap.proxy.endpoints.endpoint_list import STATUSES
 from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
-from badgergap.balancing.interface import ListedEndpoint
+from badgergap.proxy.lifecycle.config import Address
 
 VALUE_LIMIT = 64 * 1024  # bytes of a value
 NAME_LIMIT = 256  # characters of a host's name
--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -37,15 +37,15 @@
     StreamReset,
 )
 
-from badgergap.proxy.requests import AttemptListener
+from badgergap.balancing.interface import Outcome
+from badgergap.h3.driver import Driver, Sender
+from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
+from badgergap.proxy.header_fields import ForwardedHead, InvalidHeadError, response_headers, trailers
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Endpoint, Upstream
 from badgergap.proxy.upstream.exchange import Answer
-from badgergap.h3.driver import Driver, Sender
-from badgergap.h3.library import ClientConnection, ClientHttp, Malformed, client_configuration
-from badgergap.balancing.interface import Outcome
-from badgergap.proxy.header_fields import BadHead, ForwardedHead, response_headers, trailers
-from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
+from badgergap.proxy.upstream.stream_attempt import NO_BODY, ExchangeSpec, StreamAttempt, outcome_of
 
 LINKS = 4
 TRIES = 1000
@@ -153,7 +153,7 @@
             self.link.soon()
 
     def on_headers(self, headers: Headers, ended: bool) -> None:
-        """Raises BadHead."""
+        """Raises InvalidHeadError."""
         self.progress_at = self.loop.time()
         if self.held is not None:
             self.whole_answer(trailers(headers))
@@ -163,7 +163,7 @@
         if status < 200:
             self.interim += 1
             if self.interim > INTERIM_LIMIT or status == 101:
-                raise BadHead("too many interim answers, or one that HTTP/3 does not have")
+                raise InvalidHeadError("too many interim answers, or one that HTTP/3 does not have")
             if status == 100:
                 self.on_continue()
             else:
@@ -171,7 +171,7 @@
             return
         lengths = {value for name, value in rest if name == b"content-length"}
         if len(lengths) > 1 or not all(value.isdigit() and len(value) < 19 for value in lengths):
-            raise BadHead("an answer of ambiguous length")
+            raise InvalidHeadError("an answer of ambiguous length")
         has_body = not (self.spec.is_head or status in NO_BODY)
         length = int(lengths.pop()) if lengths else (0 if ended and has_body else None)
         self.held = head = AnswerHead(status, response_headers(rest), length, has_body)
@@ -202,7 +202,7 @@
     def whole_answer(self, fields: Headers) -> None:
         head = self.held
         if head is not None and head.has_body and head.length is not None and head.length != self.got:
-            raise BadHead("an answer of another length than it says")
+            raise InvalidHeadError("an answer of another length than it says")
         self.response_complete = True
         if not self.response_started and self.answer is not None:
             self.answer.body = b"".join(self.chunks)
@@ -310,8 +310,8 @@
                 elif isinstance(what, DataReceived):
                     each.on_data(what.data, what.stream_ended)
                 elif isinstance(what, Malformed):
-                    raise BadHead("a malformed answer")
-            except BadHead:
+                    raise InvalidHeadError("a malformed answer")
+            except InvalidHeadError:
                 self.http.reset(each.stream, ErrorCode.H3_MESSAGE_ERROR)
                 each.lost()
         if isinstance(event, StreamReset | StopSendingReceived):
--- a/badgergap/h3/endpoint.py
+++ b/badgergap/h3/endpoint.py
@@ -34,7 +34,6 @@
 )
 from aioquic.quic.retry import QuicRetryTokenHandler
 
-from badgergap.proxy.lifecycle.config import Address
 from badgergap.h3 import beside
 from badgergap.h3.beside import Beside
 from badgergap.h3.driver import Driver, Sender
@@ -48,6 +47,7 @@
     stateless_reset,
 )
 from badgergap.h3.rules import RESETS, Budget, Opening, admit
+from badgergap.proxy.lifecycle.config import Address
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -15,19 +15,19 @@
 from aioquic.h3.events import DataReceived, HeadersReceived
 from aioquic.quic.events import ProtocolNegotiated, QuicEvent, StopSendingReceived, StreamReset
 
-from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.gateway_responses import plain
-from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
-from badgergap.proxy.upstream.exchange import Answer
+from badgergap.balancing.interface import Idempotency
 from badgergap.h3.endpoint import Link, User, address_of
 from badgergap.h3.library import CONNECTION_WINDOW, Http, Malformed
 from badgergap.h3.rules import CHURN, CHURN_BURST, Budget
-from badgergap.balancing.interface import Idempotency
-from badgergap.proxy.header_fields import BadHead, trailers
 from badgergap.ordinary.heads import Peer, answer_fields, is_trusted, own_answer
 from badgergap.ordinary.plan import Limits
 from badgergap.ordinary.turn import Turn
 from badgergap.ordinary.ways import Ways
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
+from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.header_fields import InvalidHeadError, trailers
+from badgergap.proxy.upstream.exchange import Answer
 
 log = logging.getLogger(__name__)
 
@@ -214,7 +214,7 @@
         turn, front = self.turn, self.front
         try:
             self.read(headers)
-        except BadHead as bad:
+        except InvalidHeadError as bad:
             self.answer(plain(bad.status, str(bad)))
             return
         if turn.length == 0:
@@ -237,16 +237,16 @@
         )
 
     def read(self, headers: Headers) -> None:
-        """Raises BadHead."""
+        """Raises InvalidHeadError."""
         turn = self.turn
         pseudo = {name: value for name, value in headers if name.startswith(b":")}
         if sum(len(name) + len(value) + 32 for name, value in headers) > HEAD_LIMIT:  # RFC 9114 section 4.2.2
-            raise BadHead("head too long", 431)
+            raise InvalidHeadError("head too long", 431)
         if b":protocol" in pseudo:
-            raise BadHead("extended CONNECT is not served here", 501)
+            raise InvalidHeadError("extended CONNECT is not served here", 501)
         turn.method, turn.target = pseudo[b":method"], pseudo.get(b":path", b"")
         if len(turn.target) > TARGET_LIMIT:
-            raise BadHead("target too long", 414)
+            raise InvalidHeadError("target too long", 414)
         for name, value in headers:
             if not name.startswith(b":"):
                 turn.add(name, value)
--- a/badgergap/h3/room.py
+++ b/badgergap/h3/room.py
@@ -8,14 +8,14 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 
-from badgergap.proxy.lifecycle.config import Address, Config
-from badgergap.proxy.unread_input import is_bound
-from badgergap.proxy.proxy import Proxy
 from badgergap.h3.endpoint import NO_ERROR, Endpoint, Link
 from badgergap.h3.front import Front3
 from badgergap.h3.library import Shown, Tickets
 from badgergap.ordinary.plan import Limits
 from badgergap.ordinary.ways import Ways
+from badgergap.proxy.lifecycle.config import Address, Config
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.unread_input import is_bound
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -10,11 +10,11 @@
    ask and die.
 3. From then on the predecessor accepts nothing, sends endpoints that are warming up nothing, and exports
    each client's connection once nothing is open on it, so that no byte of it is in either process.
-4. An operator's command at either is sent to the other at once, before it is answered.
+4. A manual drain, its end, or a lame-duck command at either goes to the other before it is answered.
 5. If the successor is lost, the predecessor takes clients again, unless it is ending. If the predecessor is
    lost, the successor goes on.
 6. Where an operator file sets the predecessor's standby time, the successor ends it after that; a successor
-   that is told to end before ends both.
+   that is told to end before that ends the predecessor too.
 7. The connections that the predecessor still holds count against the successor's limits; they are reported
    every `CONNECTION_COUNTS_S`, those of still older processes among them.
 """
@@ -50,10 +50,10 @@
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.downstream.listener import Downstream
 from badgergap.proxy.endpoints.manual_drains import DrainStore
-from badgergap.proxy.endpoints.registry import ManualDrain, EndpointRegistryError
+from badgergap.proxy.endpoints.registry import EndpointRegistryError, ManualDrain
 from badgergap.proxy.endpoints.sources import PLATFORM
-from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.lifecycle.component import Component, PoolOwner
+from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.pools import MAIN, proxy_of
 from badgergap.proxy.proxy import Proxy
 
@@ -97,7 +97,7 @@
         self.rendezvous = rendezvous
         self.config = config
         self.identity = GatewayIdentity(config.name, config.listen)
-        # Without a listener the state has an address that no request for it has: so it has always been sent.
+        # On the wire a gateway without a listener asks with no address, but its state has an empty one.
         self.state_identity = GatewayIdentity(config.name, config.listen or ("", 0))
         self.drain_store = drain_store
         self.standby_s = standby_s
@@ -480,7 +480,7 @@
         self._notify(messages.LameDuckChanged(lame))
 
     def end(self) -> None:
-        """This process was told to end; with it its predecessor, which would take clients again."""
+        """This process was told to end. With a standby time its predecessor ends too."""
         self.ending = True
         if self.standby_s is not None:
             self.end_predecessor()
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -14,15 +14,15 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
 
-from badgergap.proxy.gateway_responses import plain, refused
-from badgergap.proxy.proxy import Proxy, TRANSIT_US
-from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.proxy.upstream.stream_attempt import Client
-from badgergap.proxy.upstream.exchange import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.joining.group import Act, Do, Group, State
 from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
 from badgergap.ordinary.turn import Guide, Turn, Way
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.proxy import TRANSIT_US, Proxy
+from badgergap.proxy.upstream.exchange import Answer
+from badgergap.proxy.upstream.stream_attempt import Client
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/ordinary/heads.py
+++ b/badgergap/ordinary/heads.py
@@ -22,17 +22,17 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
+from badgergap.proxy.body_streams import AnswerHead, Headers
 from badgergap.proxy.header_fields import (
+    ALWAYS_KEPT,
     FORWARDED,
     HOP_BY_HOP,
-    ALWAYS_KEPT,
     REWRITTEN,
     TOKEN,
     VALUE,
-    BadHead,
     ForwardedHead,
+    InvalidHeadError,
 )
-from badgergap.proxy.body_streams import AnswerHead, Headers
 from badgergap.proxy.upstream.exchange import Answer
 
 STREAM_NEVER = (b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade")
@@ -58,42 +58,42 @@
     by_name: dict[bytes, bytes] = field(default_factory=dict)  # several of one name are joined by commas
 
     def add(self, name: bytes, value: bytes) -> None:
-        """Raises BadHead."""
+        """Raises InvalidHeadError."""
         value = value.strip(b" \t")
         if TOKEN.fullmatch(name) is None:
-            raise BadHead("a header's name is no token")
+            raise InvalidHeadError("a header's name is no token")
         if VALUE.fullmatch(value) is None:
-            raise BadHead("odd bytes in a header")
+            raise InvalidHeadError("odd bytes in a header")
         if b"_" in name:
             return
         name = name.lower()
         self.headers.append((name, value))
         if name in self.by_name:
             if name in (b"host", b"content-length", b"transfer-encoding", b"expect"):
-                raise BadHead("a header is repeated")
+                raise InvalidHeadError("a header is repeated")
             self.by_name[name] += (b"; " if name == b"cookie" else b", ") + value
         else:
             self.by_name[name] = value
 
     def read(self) -> None:
-        """What an HTTP/1.x head says of the message itself. Raises BadHead."""
+        """What an HTTP/1.x head says of the message itself. Raises InvalidHeadError."""
         named = self.by_name
         if self.version not in ("1.0", "1.1"):
-            raise BadHead("neither HTTP/1.0 nor HTTP/1.1", 505)
+            raise InvalidHeadError("neither HTTP/1.0 nor HTTP/1.1", 505)
         host = named.get(b"host")
         if host is None and self.version == "1.1":
-            raise BadHead("Host is missing")
+            raise InvalidHeadError("Host is missing")
         self.host = host or b""
         coding, length = named.get(b"transfer-encoding"), named.get(b"content-length")
         if coding is not None:
             if length is not None or self.version == "1.0":
-                raise BadHead("ambiguous length")
+                raise InvalidHeadError("ambiguous length")
             if coding.lower() != b"chunked":
-                raise BadHead("a transfer coding other than chunked", 501)
+                raise InvalidHeadError("a transfer coding other than chunked", 501)
             self.length = None
         elif length is not None:
             if not length.isdigit() or len(length) > 18:
-                raise BadHead("Content-Length is no number")
+                raise InvalidHeadError("Content-Length is no number")
             self.length = int(length)
         else:
             self.length = 0
@@ -111,20 +111,20 @@
     def read_stream(self, authority: bytes, ended: bool) -> None:
         """The same of a message that is a stream, whose end tells the length (RFC 9114 sections 4.2, 4.3).
 
-        `ended`: the stream ends with its head. Raises BadHead.
+        `ended`: the stream ends with its head. Raises InvalidHeadError.
         """
         named = self.by_name
         if any(name in named for name in STREAM_NEVER) or named.get(b"te", b"trailers") != b"trailers":
-            raise BadHead("a header that is for one connection")
+            raise InvalidHeadError("a header that is for one connection")
         host = named.get(b"host", authority)
         if not host or (authority and host != authority):
-            raise BadHead("Host is missing, or another than :authority")
+            raise InvalidHeadError("Host is missing, or another than :authority")
         self.host = host
         length = named.get(b"content-length")
         if length is None:
             self.length = 0 if ended else None
         elif not length.isdigit() or len(length) > 18 or (ended and int(length)):
-            raise BadHead("Content-Length is no number, or not the stream's")
+            raise InvalidHeadError("Content-Length is no number, or not the stream's")
         else:
             self.length = int(length)
         self._read_expectation()
@@ -132,7 +132,7 @@
     def _read_expectation(self) -> None:
         expect = self.by_name.get(b"expect", b"").lower()
         if expect and expect != b"100-continue":
-            raise BadHead("an expectation that nobody meets", 417)
+            raise InvalidHeadError("an expectation that nobody meets", 417)
         self.expects = bool(expect) and self.version != "1.0" and self.length != 0
 
 
--- a/badgergap/ordinary/plan.py
+++ b/badgergap/ordinary/plan.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from badgergap.ordinary.heads import Network, RequestHead
 from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy.pools import MAIN
 from badgergap.routes import Route, Table
-from badgergap.ordinary.heads import Network, RequestHead
 
 # RFC 9110 section 9.2.2: what a client, and so a gateway, may repeat by itself. TRACE is refused.
 REPEATABLE = frozenset((b"GET", b"HEAD", b"OPTIONS", b"PUT", b"DELETE"))
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
+from badgergap.proxy.body_streams import DownloadSource, Upload
 from badgergap.proxy.gateway_responses import plain
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
-from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt, ExchangeSpec, is_early
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.proxy.upstream.exchange import Exchange
-from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
+from badgergap.proxy.upstream.stream_attempt import Client, ExchangeSpec, StreamAttempt, is_early
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -9,15 +9,15 @@
 from dataclasses import replace
 from functools import partial
 
-from badgergap.proxy.pools import Pools
-from badgergap.proxy.gateway_responses import plain, refused
-from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.requests import Launch, RequestSpec
-from badgergap.proxy.upstream.exchange import Answer
 from badgergap.balancing.interface import Idempotency
 from badgergap.ordinary.heads import request_id
 from badgergap.ordinary.plan import WebPlan, choose, turns_to_spare
 from badgergap.ordinary.turn import Carry, Guard, Join, Turn, Way
+from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.pools import Pools
+from badgergap.proxy.proxy import Proxy
+from badgergap.proxy.requests import Launch, RequestSpec
+from badgergap.proxy.upstream.exchange import Answer
 from badgergap.routes import BadPath, read_host, read_target
 
 READS = (b"GET", b"HEAD", b"OPTIONS")
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -14,11 +14,11 @@
 from typing import cast
 
 from badgergap.proxy.commands.parsing import LINE_LIMIT, Command, CommandError, respond
-from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy.downstream.listener import Downstream
+from badgergap.proxy.endpoints.registry import EndpointRegistryError
+from badgergap.proxy.lifecycle.config import Address
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.registry import EndpointRegistryError
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -32,20 +32,16 @@
 from badgergap.proxy.downstream.http_connection import AFTER_FRAMING_LOST
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_reader import ReaderContext, RequestReader
-from badgergap.proxy.downstream.request_validation import BadRequest, RequestValidator
+from badgergap.proxy.downstream.request_validation import BadRequestError, RequestValidator
 from badgergap.proxy.downstream.response import complete_response, response_head
 from badgergap.proxy.downstream.response_writer import RespondedRequest
+from badgergap.proxy.gateway_responses import RETRY_AFTER, plain, refused
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.gateway_responses import RETRY_AFTER
-from badgergap.proxy.requests import Request
-from badgergap.proxy.gateway_responses import refused
-from badgergap.proxy.gateway_responses import plain
-from badgergap.proxy.requests import AttemptListener
+from badgergap.proxy.requests import AttemptListener, Request
 from badgergap.proxy.upstream.connection_pool import Upstream
-from badgergap.proxy.upstream.exchange import Answer
-from badgergap.proxy.upstream.exchange import Exchange
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 from badgergap.proxy.upstream.stream_attempt import is_early
 from badgergap.proxy.upstream.stream_exchange import carry
 
@@ -118,7 +114,7 @@
         elif request is not None:
             self.server.proxy.client_left(request)
 
-    def reject_and_close(self, refusal: BadRequest) -> None:
+    def reject_and_close(self, refusal: BadRequestError) -> None:
         """Answer the newest request with `refusal` in its turn, then close.
 
         For errors after which nobody knows where the next request begins.
@@ -166,7 +162,7 @@
             self.reset()  # within a response there is no place for another
             return
         self.abandon_current()
-        self.reject_and_close(BadRequest(400, "too many requests ahead of their turn"))
+        self.reject_and_close(BadRequestError(400, "too many requests ahead of their turn"))
 
     def start_next(self) -> None:
         """Start the next request unless one is being answered."""
@@ -174,7 +170,7 @@
             incoming = self.current = self.pipeline.popleft()
             try:
                 self.dispatch(incoming)
-            except BadRequest as refusal:
+            except BadRequestError as refusal:
                 # A client whose request is invalid may not have meant what follows as one.
                 incoming.rejection = refusal
                 incoming.keep_alive = False
@@ -185,7 +181,7 @@
                 self.send_response(incoming, plain(500, "internal error"))
 
     def dispatch(self, incoming: IncomingRequest) -> None:
-        """Answer a request here, or hand it to the proxy. Raises BadRequest."""
+        """Answer a request here, or hand it to the proxy. Raises BadRequestError."""
         if incoming.rejection is not None:
             raise incoming.rejection
         server, now = self.server, self.loop.time()
@@ -196,7 +192,7 @@
             self.send_response(incoming, plain(200, "ready") if ready else plain(503, "not ready"))
             return
         if self.over_limit:
-            raise BadRequest(503, "too many connections", (b"retry-after", RETRY_AFTER))
+            raise BadRequestError(503, "too many connections", (b"retry-after", RETRY_AFTER))
         if not server.lame_duck.accepts_requests(now):
             self.send_response(incoming, refused("this gateway sends its clients away"))
             return
@@ -373,11 +369,11 @@
             return
         elif self.is_receiving and not self.incoming.head_complete:
             if not self.has_open_requests and now - self.phase_began_at > request_reader.REQUEST_S:
-                self.reject_and_close(BadRequest(408, "the rest of the request has not come"))
+                self.reject_and_close(BadRequestError(408, "the rest of the request has not come"))
                 self.start_next()
         elif self.is_receiving:
             if not self.read_paused and now > self.due_at:
-                self.reject_and_close(BadRequest(408, "the rest of the request has not come"))
+                self.reject_and_close(BadRequestError(408, "the rest of the request has not come"))
                 self.start_next()
         elif (
             not self.has_open_requests
--- a/badgergap/proxy/downstream/connection_registry.py
+++ b/badgergap/proxy/downstream/connection_registry.py
@@ -9,10 +9,10 @@
 from badgergap.proxy.downstream.http_connection import HttpConnection
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.response import complete_response
+from badgergap.proxy.gateway_responses import refused
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import LARGEST, LEAST
-from badgergap.proxy.gateway_responses import refused
 from badgergap.proxy.proxy import Proxy
 
 IDLE_SHARE = 1 / 3  # of the connections that clients may have, those that may be between requests
--- a/badgergap/proxy/downstream/forwarding.py
+++ b/badgergap/proxy/downstream/forwarding.py
@@ -5,7 +5,7 @@
 from badgergap.proxy.body_streams import Headers
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.request_validation import BODY_LIMIT
-from badgergap.proxy.downstream.response_writer import ResponseWriter, ResponseConnection
+from badgergap.proxy.downstream.response_writer import ResponseConnection, ResponseWriter
 from badgergap.proxy.upstream.stream_attempt import ExchangeSpec
 
 
--- a/badgergap/proxy/downstream/incoming_request.py
+++ b/badgergap/proxy/downstream/incoming_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.downstream.request_validation import BadRequest, RequestHead
+from badgergap.proxy.downstream.request_validation import BadRequestError, RequestHead
 from badgergap.proxy.upstream.stream_attempt import StreamAttempt
 
 VERSIONS = ("1.0", "1.1")
@@ -28,7 +28,7 @@
     is_queued: bool = False  # it waits for its turn, or it has had it
     expects_continue: bool = False  # its client waits for 100 Continue
     keep_alive: bool = True
-    rejection: BadRequest | None = None  # its response, whatever the rest of it
+    rejection: BadRequestError | None = None  # its response, whatever the rest of it
     request_id: bytes = b""  # once it is reserved
     forwarded_head: bytes = b""  # its head as it is forwarded, but for the deadline and the length
     exchange: StreamAttempt | None = None  # the newest attempt
@@ -37,15 +37,15 @@
     is_last: bool = False  # the connection ends with its response
 
     def check_head(self, version: str) -> None:
-        """Check the head before any of the body has come. Raises BadRequest."""
+        """Check the head before any of the body has come. Raises BadRequestError."""
         if version not in VERSIONS:
-            raise BadRequest(505, "neither HTTP/1.0 nor HTTP/1.1")
+            raise BadRequestError(505, "neither HTTP/1.0 nor HTTP/1.1")
         self.version = version
         self.check_target()
         coding = self.headers.get(b"transfer-encoding")
         if coding is not None and (b"content-length" in self.headers or coding.lower() != b"chunked"):
-            raise BadRequest(400, "ambiguous length")
+            raise BadRequestError(400, "ambiguous length")
         self.check_length()
         if self.method == b"GET" and coding is not None:
-            raise BadRequest(400, "GET with a body")
+            raise BadRequestError(400, "GET with a body")
         self.length = int(self.headers.get(b"content-length", b"0")) if coding is None else None
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -16,7 +16,7 @@
 from badgergap.proxy.body_streams import Upload
 from badgergap.proxy.downstream.http_connection import AFTER_BEGIN, AFTER_END, IDLE, RECEIVING, HttpConnection
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
-from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequest
+from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT, BadRequestError
 from badgergap.proxy.limits.memory import Budget, ReadBuffer
 from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE
 
@@ -63,7 +63,7 @@
         """Start the next request unless one is being answered."""
         raise NotImplementedError
 
-    def reject_and_close(self, refusal: BadRequest) -> None:
+    def reject_and_close(self, refusal: BadRequestError) -> None:
         """Answer the newest request with `refusal` in its turn, then close."""
         raise NotImplementedError
 
@@ -103,7 +103,7 @@
         except httptools.HttpParserUpgrade:
             self.make_newest_last()  # the request is valid; what follows it is no HTTP
         except httptools.HttpParserError:
-            self.reject_and_close(BadRequest(400, "malformed request"))
+            self.reject_and_close(BadRequestError(400, "malformed request"))
         if self.state is RECEIVING:
             self.check_size()
         self.start_next()
@@ -113,11 +113,11 @@
         incoming = self.incoming
         if not incoming.head_complete:
             if incoming.raw_bytes > HEAD_LIMIT:
-                self.reject_and_close(BadRequest(431, "head too long"))
+                self.reject_and_close(BadRequestError(431, "head too long"))
             elif incoming.raw_bytes > ACCOUNTED_HEAD_BYTES:
                 self.account_memory()
         elif incoming.raw_bytes > RAW_LIMIT + FRAMING_SHARE * incoming.size:
-            self.reject_and_close(BadRequest(413, "request too long"))
+            self.reject_and_close(BadRequestError(413, "request too long"))
 
     def begin(self) -> None:
         """Handle the first byte of a request, also one that the parser skips."""
@@ -171,7 +171,7 @@
         incoming.size += len(name) + len(value) + 4
         try:
             incoming.add_header(name, value)
-        except BadRequest as refusal:
+        except BadRequestError as refusal:
             self.reject_and_close(refusal)
 
     def on_headers_complete(self) -> None:
@@ -182,9 +182,9 @@
             return
         try:
             if incoming.size + len(incoming.target) > HEAD_LIMIT:
-                raise BadRequest(431, "head too long")
+                raise BadRequestError(431, "head too long")
             incoming.check_head(self.parser.get_http_version())
-        except BadRequest as refusal:
+        except BadRequestError as refusal:
             self.reject_and_close(refusal)
             return
         incoming.head_complete, incoming.size = True, 0
@@ -202,7 +202,7 @@
         incoming = self.incoming
         incoming.size += len(body)
         if incoming.size > BODY_LIMIT:
-            self.reject_and_close(BadRequest(413, f"body over {BODY_LIMIT} bytes"))
+            self.reject_and_close(BadRequestError(413, f"body over {BODY_LIMIT} bytes"))
         elif self.state is RECEIVING and incoming.rejection is None:
             now = self.loop.time()
             self.due_at = max(
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -1,7 +1,7 @@
 """Validates requests of the platform's clients: head, class, bounds and id, whatever the transport.
 
-A transport fills a `RequestHead` field by field, and gets an `Asked` for the proxy or a `BadRequest` with
-the response. What is bounded per connection (raw bytes, time) is checked by the transport.
+A transport fills a `RequestHead` field by field, and gets a `RequestSpec` for the proxy or a
+`BadRequestError` with the response. It checks itself what is bounded per connection (raw bytes, time).
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs
 
-from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.gateway_responses import plain
-from badgergap.proxy.requests import Launch, RequestSpec
 from badgergap.balancing.interface import Idempotency
 from badgergap.errors import BadgergapError
+from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.requests import Launch, RequestSpec
 
 BODY_LIMIT = 32 * 1024 * 1024
 HEAD_LIMIT = 16 * 1024
@@ -55,7 +55,7 @@
 TARGET = re.compile(rb"/[\x21\x23-\x7e]*")  # no space, no quote, nothing beyond ASCII
 
 
-class BadRequest(BadgergapError):
+class BadRequestError(BadgergapError):
     """A request that is rejected; `answer` is the response."""
 
     def __init__(self, status: int, why: str, *headers: tuple[bytes, bytes]) -> None:
@@ -74,33 +74,33 @@
     )  # those that are forwarded or used, by lower-case name
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        """Add a field; those that nobody uses are dropped. Raises BadRequest."""
+        """Add a field; those that nobody uses are dropped. Raises BadRequestError."""
         name = name.lower()
         if name not in FORWARDED and name not in CONSUMED:
             return
         if VALUE.fullmatch(value) is None:
-            raise BadRequest(400, "odd bytes in a header")
+            raise BadRequestError(400, "odd bytes in a header")
         if name not in self.headers:
             self.headers[name] = value
         elif name in LIST_HEADERS:
             self.headers[name] += b", " + value
         else:
-            raise BadRequest(400, "a header is repeated")
+            raise BadRequestError(400, "a header is repeated")
 
     def check_target(self) -> None:
-        """Raises BadRequest for a target that is too long or holds invalid bytes."""
+        """Raises BadRequestError for a target that is too long or holds invalid bytes."""
         if len(self.target) > TARGET_LIMIT:
-            raise BadRequest(414, f"target over {TARGET_LIMIT} bytes")
+            raise BadRequestError(414, f"target over {TARGET_LIMIT} bytes")
         if TARGET.fullmatch(self.target) is None:
-            raise BadRequest(400, "odd bytes in the target")
+            raise BadRequestError(400, "odd bytes in the target")
 
     def check_length(self) -> None:
-        """Raises BadRequest for a Content-Length that is invalid or too large, or that a GET has."""
+        """Raises BadRequestError for a Content-Length that is invalid or too large, or that a GET has."""
         length = self.headers.get(b"content-length")
         if length is not None and (parse_number(length) is None or int(length) > BODY_LIMIT):
-            raise BadRequest(413, f"body over {BODY_LIMIT} bytes")
+            raise BadRequestError(413, f"body over {BODY_LIMIT} bytes")
         if self.method == b"GET" and int(length or 0) > 0:
-            raise BadRequest(400, "GET with a body")
+            raise BadRequestError(400, "GET with a body")
 
 
 class RequestValidator:
@@ -114,13 +114,13 @@
         self.open_ids: set[bytes] = set()  # Request-Id of each open request
 
     def reserve_id(self, head: RequestHead) -> bytes:
-        """Reserve a request's id until `release_id`, and return it. Raises BadRequest if it is in use.
+        """Reserve a request's id until `release_id`, and return it. Raises BadRequestError if it is in use.
 
         Guards against a client that uses the id of another's request: an endpoint takes both for one.
         """
         request_id = head.headers[b"request-id"]
         if request_id in self.open_ids:
-            raise BadRequest(409, "a request with this id is open")
+            raise BadRequestError(409, "a request with this id is open")
         self.open_ids.add(request_id)
         return request_id
 
@@ -129,7 +129,7 @@
         self.open_ids.discard(request_id)
 
     def validate(self, head: RequestHead, launch: Launch, waited_s: float) -> RequestSpec:
-        """Return the request as the proxy and the endpoints need it. Raises BadRequest.
+        """Return the request as the proxy and the endpoints need it. Raises BadRequestError.
 
         `launch` sends it to an endpoint. `waited_s`: seconds since its last byte came.
         """
@@ -138,18 +138,18 @@
         request_class = self.settings.classes[class_index]
         method = b"GET" if request_class.idempotency is Idempotency.SAFE else b"POST"
         if head.method != method:
-            raise BadRequest(405, "the class wants another method", (b"allow", method))
+            raise BadRequestError(405, "the class wants another method", (b"allow", method))
         if request_class.idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
-            raise BadRequest(400, "Idempotency-Key is missing")
+            raise BadRequestError(400, "Idempotency-Key is missing")
         request_id = headers.get(b"request-id", b"")
         if not 0 < len(request_id) <= ID_LIMIT or b" " in request_id or b"\t" in request_id:
-            raise BadRequest(400, "Request-Id is missing or malformed")
+            raise BadRequestError(400, "Request-Id is missing or malformed")
         timeout_ms = parse_number(headers.get(b"request-timeout-ms", b""))
         if timeout_ms is None or timeout_ms <= 0:
-            raise BadRequest(400, "Request-Timeout-Ms is missing or malformed")
+            raise BadRequestError(400, "Request-Timeout-Ms is missing or malformed")
         tenant = self.tenants.get(headers.get(b"tenant", b""), None if self.tenants else 0)
         if tenant is None:
-            raise BadRequest(400, "Tenant is missing or unknown")
+            raise BadRequestError(400, "Tenant is missing or unknown")
         work_us = parse_number(headers.get(b"work-hint", b""))
         # Bounded by the class: the figures of one client must not become typical, nor last for hours.
         return RequestSpec(
@@ -172,9 +172,9 @@
         first = target.partition(b"?")[0].split(b"/")[1:2]
         name = headers.get(b"request-class", b"")
         if not first or first[0] not in self.classes or name not in self.classes:
-            raise BadRequest(404, "unknown path or class")
+            raise BadRequestError(404, "unknown path or class")
         if first[0] != name:
-            raise BadRequest(400, "path and Request-Class name different classes")
+            raise BadRequestError(400, "path and Request-Class name different classes")
         return self.classes[name]
 
 
--- a/badgergap/proxy/endpoints/sources.py
+++ b/badgergap/proxy/endpoints/sources.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from badgergap.balancing.interface import EndpointList, EndpointListKind, ListedEndpoint
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, EndpointList
 
 PLATFORM = "platform"  # the name of the source that the platform's configuration sets
 
--- a/badgergap/proxy/header_fields.py
+++ b/badgergap/proxy/header_fields.py
@@ -55,7 +55,7 @@
 )
 
 
-class BadHead(BadgergapError, ValueError):
+class InvalidHeadError(BadgergapError, ValueError):
     """A head that cannot be forwarded so that all read it alike. `status` is that of the response."""
 
     def __init__(self, why: str, status: int = 400) -> None:
@@ -101,7 +101,7 @@
 
 
 def response_headers(fields: Headers) -> Headers:
-    """Return the fields of an endpoint's response that the client gets unchanged. Raises BadHead."""
+    """Return the fields of an endpoint's response that the client gets unchanged. Raises InvalidHeadError."""
     listed = {
         option.strip().lower()
         for name, value in fields
@@ -111,7 +111,7 @@
     kept: Headers = []
     for name, value in fields:
         if TOKEN.fullmatch(name) is None or VALUE.fullmatch(value) is None:
-            raise BadHead("a box's header that nobody can pass on")
+            raise InvalidHeadError("a box's header that nobody can pass on")
         if name in HOP_BY_HOP or name in (b"content-length", b"not-started", b"server-load"):
             continue
         if name in listed and name not in ALWAYS_KEPT:
--- a/badgergap/proxy/lifecycle/lame_duck.py
+++ b/badgergap/proxy/lifecycle/lame_duck.py
@@ -8,7 +8,7 @@
    REJECT_AFTER_S on at once.
 3. From REJECT_AFTER_S on a complete request is rejected at once: it might not be over in time.
 4. From REJECT_PARTIAL_AFTER_S on a request that has come in part is rejected, and its connection closed.
-5. Begun again, it goes on as of its first begin. At its end all is as before.
+5. A second begin changes nothing: times count from the first. At its end all is as before.
 """
 
 from __future__ import annotations
--- a/badgergap/proxy/lifecycle/proxy_settings.py
+++ b/badgergap/proxy/lifecycle/proxy_settings.py
@@ -40,7 +40,7 @@
 class ProxySettings:
     """Limits and times of the proxy. Times are microseconds; 0 means not stated where nothing else is said.
 
-    Raises ValueError for a field that is not finite or negative.
+    Raises ValueError for a field that is negative or not finite.
     """
 
     tenants: tuple[Tenant, ...] = ()  # whose names requests must carry; empty: the routes' affair
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -15,9 +15,9 @@
 from typing import Any, Protocol
 
 from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.limits.quotas import Quota
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Observer
-from badgergap.proxy.limits.quotas import Quota
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -124,13 +124,13 @@
         self.accepted_count = 0  # the last request's id
         # Set where several pools share one limit on open requests. None: the setting holds.
         self.may_admit: Callable[[], bool] | None = None
-        # Whether this gateway may act: the epoch of its rules, or -1. None: nobody else has a say in it.
+        # The version of the group's rules that this gateway acts on; -1: it may not act. None: no group.
         self.current_epoch: Callable[[], int] | None = None
         self.events: deque[Event] = deque()
         self.is_dispatching = False
 
     def set_epoch_source(self, current_epoch: Callable[[], int] | None) -> None:
-        """Call this before each request is admitted, and again before it is sent to an endpoint."""
+        """Set the function that `arrive` and `send` call for the present epoch."""
         self.current_epoch = current_epoch
         self.upstream.current_epoch = current_epoch
 
--- a/badgergap/proxy/requests.py
+++ b/badgergap/proxy/requests.py
@@ -5,8 +5,8 @@
 | a response passed on | an attempt's `AttemptListener.on_response_started` | the attempt, as it comes |
 | a complete response | an attempt that ended with success | `Request.reply` |
 | its endpoint's own failure | the balancer fails it, and `RequestSpec.passes_failures` | `Request.reply` |
-| 502 | the balancer fails it: it may have run | `Request.reply` |
-| 503 | the balancer rejects it, or it is not admitted: it never ran | `Request.reply` |
+| 502 | the balancer fails it, or its rules ended: a repeat may do harm | `Request.reply` |
+| 503 | it is rejected, not admitted, or its rules ended: a repeat does no harm | `Request.reply` |
 | another pool's answer | a rejected request that `RequestSpec.offer_elsewhere` had taken over | that pool |
 | 504 | nothing of this until just after its deadline | `Request.reply` |
 | 500 | a fault in this gateway | `Request.reply` |
--- a/badgergap/proxy/upstream/exchange.py
+++ b/badgergap/proxy/upstream/exchange.py
@@ -8,7 +8,8 @@
 | it is cancelled | CANCELLED | CANCELLED |
 | its endpoint drains, its request is over, no capacity | NEVER_SENT | |
 
-For a stream "written" means its first bytes: see `stream_attempt.py`.
+A stream may have run once any byte of it has left the process; with `ExchangeSpec.runs_when_complete`, as for
+the platform's requests, once the last one has. `Exchange.written` says so.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
         self._ended = ended
         self.connection: Carrier | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.written = False  # the last byte has left the process: from here on it may have run
+        self.written = False  # the endpoint may have run it: see the rule above
         self.done = False
         self.unwanted = False
 
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at a host, as a stream, whatever carries it there and whatever the client speaks."""
+"""One attempt of a request at an endpoint, as a stream, whatever protocol carries it or brought it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgergap.proxy.requests import AttemptListener
+from badgergap.balancing.interface import Outcome
 from badgergap.proxy.body_streams import AnswerHead, Download, Headers, Upload
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.exchange import Answer, Exchange
-from badgergap.balancing.interface import Outcome
 
 EXPECT_S = (
     1.0  # for an endpoint to say 100; some never do (RFC 9110 section 10.1.1), and the client is told anyway
@@ -30,7 +30,7 @@
 
 
 class RequestLines(Protocol):
-    """A request's head as an endpoint is to hear it: `ForBox`, or one whose lines are ready."""
+    """A request's head as it is sent to an endpoint: `EndpointHead`, or one of `header_fields`."""
 
     def lines(self) -> bytes:
         """As HTTP/1.1, without the final empty line."""
@@ -61,9 +61,10 @@
 class StreamAttempt(Exchange):
     """One attempt of a request at an endpoint, as a stream; a subclass for each protocol carries it.
 
-    The outcome tells whether the endpoint may have run the request: not if nothing of it has left this
-    process; else it may have, whatever became of the rest. Once the head of a response is passed on the
-    outcome is that of the stream: complete, broken off by the endpoint, or no longer wanted by the client.
+    The outcome tells whether the endpoint may have run the request: once any byte of it has left this
+    process, or with `ExchangeSpec.runs_when_complete` once the last one has. Once the head of a response is
+    passed on the outcome is that of the stream: complete, broken off by the endpoint, or no longer wanted by
+    the client.
     """
 
     __slots__ = (
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -17,16 +17,16 @@
 
 import httptools
 
-from badgergap.proxy.requests import AttemptListener
+from badgergap.balancing.interface import Outcome
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
+from badgergap.proxy.downstream.response_writer import last_chunk
+from badgergap.proxy.header_fields import InvalidHeadError, response_headers, trailers
+from badgergap.proxy.limits.memory import LEAST
+from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Endpoint, PooledConnection, Upstream
 from badgergap.proxy.upstream.exchange import HEAD_LIMIT, INTERIM_LIMIT, Answer, Exchange
-from badgergap.balancing.interface import Outcome
-from badgergap.proxy.limits.memory import LEAST
-from badgergap.proxy.downstream.response_writer import last_chunk
-from badgergap.proxy.header_fields import BadHead, response_headers, trailers
 from badgergap.proxy.upstream.response_state import ResponseState
-from badgergap.proxy.upstream.stream_attempt import NO_BODY, StreamAttempt, ExchangeSpec, outcome_of
+from badgergap.proxy.upstream.stream_attempt import NO_BODY, ExchangeSpec, StreamAttempt, outcome_of
 
 BUFFER = 64 * 1024  # bytes written to an endpoint and not yet sent, beyond which the client is not read
 LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
@@ -284,7 +284,7 @@
         ):
             try:
                 self.pass_held(exchange)
-            except BadHead:
+            except InvalidHeadError:
                 self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -409,15 +409,15 @@
         exchange.start_response(AnswerHead(101, kept, None, has_body=True, upgraded=True))
 
     def passed(self, head: AnswerHead) -> AnswerHead:
-        """A response's head as the client gets it. Raises BadHead."""
+        """A response's head as the client gets it. Raises InvalidHeadError."""
         return replace(head, headers=response_headers(head.headers))
 
     def read_head(self, spec: ExchangeSpec, status: int, headers: Headers) -> AnswerHead:
-        """The head, with its fields as they came, and what frames the body. Raises BadHead."""
+        """The head, with its fields as they came, and what frames the body. Raises InvalidHeadError."""
         lengths = {value for name, value in headers if name == b"content-length"}
         codings = [value.lower() for name, value in headers if name == b"transfer-encoding"]
         if (codings and (lengths or codings != [b"chunked"])) or len(lengths) > 1:
-            raise BadHead("an answer of ambiguous length")
+            raise InvalidHeadError("an answer of ambiguous length")
         length = int(lengths.pop()) if lengths else None  # the parser takes nothing but digits
         has_body = not (spec.is_head or status in NO_BODY)
         self.until_close = has_body and length is None and not codings
@@ -445,7 +445,7 @@
             self.pass_held(exchange)
 
     def pass_held(self, exchange: Http1Attempt) -> None:
-        """Pass on what is held of a response: from here on it is the final one. Raises BadHead."""
+        """Pass on what is held of a response: from here on it is the final one. Raises InvalidHeadError."""
         exchange.pass_held(self.passed(self.held_head), self.held_chunks)
         self.held_chunks = []
         self.count_held(0)
--- a/badgergap/replication/acceptor.py
+++ b/badgergap/replication/acceptor.py
@@ -26,8 +26,8 @@
 import xxhash
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.placement import PARTITIONS, partition_of
 from badgergap.replication.idempotency_record import Record
+from badgergap.replication.placement import PARTITIONS, partition_of
 
 Ballot = tuple[int, int, int, int]
 NO_BALLOT: Ballot = (0, 0, 0, 0)
--- a/badgergap/replication/anti_entropy.py
+++ b/badgergap/replication/anti_entropy.py
@@ -4,8 +4,8 @@
 each key, with the replicas that have spoken and the replica's own:
 
 - a majority of the sources hold the same: it is chosen, and is taken over as it is;
-- they do not, so it may or may not be: a change that leaves it as it is is made of it by a round, which
-  settles it. In a partition that is filled this is left for a second look, as it may just be under way.
+- they do not, so it may or may not be chosen: a round proposes the record unchanged, which settles it. In a
+  partition that is filled this waits for a second comparison, as a write may be under way.
 
 A partition is read once a majority of its sources has been compared with, and all that came of it is here.
 """
@@ -15,8 +15,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from badgergap.replication.placement import Replica, majority
 from badgergap.replication.acceptor import BUCKETS, NO_BALLOT, Ballot, RecordDigest
+from badgergap.replication.placement import Replica, majority
 
 WAIT_US = 1_000_000  # for the other replicas of a partition to speak
 GIVE_UP_US = 20_000_000  # until a look that comes no further is begun anew
--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from badgergap.consensus.errors import Refused
+from badgergap.consensus.errors import CommandRefusedError
 from badgergap.replication import idempotency_record as records
 from badgergap.replication.idempotency_filter import IdempotencyFilter
 from badgergap.replication.idempotency_record import Record
@@ -23,7 +23,7 @@
 
 
 class ReplicationCommands:
-    """Raises Refused for what cannot be done; the message says why."""
+    """Raises CommandRefusedError for what cannot be done; the message says why."""
 
     def __init__(
         self, service: ReplicationService, keyed: KeyedRoutes, idempotency_filter: IdempotencyFilter
@@ -42,13 +42,13 @@
         }
 
     async def call(self, op: str, arguments: Arguments) -> Any:
-        """Run the command of that name. Raises Refused."""
+        """Run the command of that name. Raises CommandRefusedError."""
         try:
             return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError) as error:
-            raise Refused(f"the call {op} lacks something: {error}") from None
+            raise CommandRefusedError(f"the call {op} lacks something: {error}") from None
         except OSError as error:
-            raise Refused(error.strerror or str(error)) from None
+            raise CommandRefusedError(error.strerror or str(error)) from None
 
     async def status(self, arguments: Arguments) -> Any:
         """How the group's replicas stand, and what this gateway has of its own."""
@@ -72,7 +72,7 @@
         for route, tenant, key in self._named_keys(arguments):
             result = await self.service.change(key, lambda there: None, CHANGE_S)
             if result.failure:
-                raise Refused(result.failure)
+                raise CommandRefusedError(result.failure)
             if result.record is not None:
                 found.append(self._describe(route, tenant, key, result.record))
         return {"key": str(arguments["key"]), "found": found}
@@ -93,11 +93,11 @@
             before = await self.service.change(key, lambda there: None, CHANGE_S)
             result = await self.service.change(key, change, CHANGE_S)
             if result.failure or before.failure:
-                raise Refused(result.failure or before.failure)
+                raise CommandRefusedError(result.failure or before.failure)
             if before.record is not None and before.record.state == "doubt" and result.record is not None:
                 settled.append(self._describe(route, tenant, key, result.record))
         if not settled:
-            raise Refused("no record of that key is in doubt: `copies find` shows what there is")
+            raise CommandRefusedError("no record of that key is in doubt: `copies find` shows what there is")
         return {"key": str(arguments["key"]), "found": settled}
 
     def _named_keys(self, arguments: Arguments) -> list[tuple[str, str, bytes]]:
@@ -105,7 +105,9 @@
         name = arguments.get("route")
         keyed = [(route, tenant) for route, tenant in self.keyed() if name in (None, route)]
         if not keyed:
-            raise Refused("no route keeps keys" if name is None else f"no route {name} keeps keys")
+            raise CommandRefusedError(
+                "no route keeps keys" if name is None else f"no route {name} keeps keys"
+            )
         return [(route, tenant, records.key_of(tenant, route, client_key)) for route, tenant in keyed]
 
     def _describe(self, route: str, tenant: str, key: bytes, record: Record) -> dict[str, Any]:
--- a/badgergap/replication/gateway_answers.py
+++ b/badgergap/replication/gateway_answers.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from badgergap.proxy.gateway_responses import plain
-from badgergap.proxy.gateway_responses import refused
+from badgergap.proxy.gateway_responses import plain, refused
 from badgergap.proxy.upstream.exchange import Answer
 from badgergap.replication.idempotency_record import Record
 from badgergap.replication.idempotent_request import End
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -6,9 +6,7 @@
 from __future__ import annotations
 
 from badgergap.ordinary.turn import Guide, Turn
-from badgergap.proxy.gateway_responses import plain
-from badgergap.proxy.gateway_responses import refused
-from badgergap.proxy.gateway_responses import OUT_OF_TOUCH
+from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
 from badgergap.proxy.upstream.stream_attempt import Client
 from badgergap.replication.keyed_request import KeyedRequest, KeyQueue
 from badgergap.replication.service import ReplicationService
--- a/badgergap/replication/idempotency_record.py
+++ b/badgergap/replication/idempotency_record.py
@@ -1,17 +1,16 @@
 """What is kept of one key, and who may make what of it. Pure.
 
-=========  ==================================================================  ====================== state
-what it says                                                        what may follow =========
-==================================================================  ====================== (nothing)  nobody
-has sent a request with this key to an endpoint                    begun begun      the claim's gateway may
-have sent it to `endpoints`                     begun, free, done, doubt free       that claim never ran, by
-the word of the gateway that made it       begun done       it ran, and this was the endpoint's answer
-nothing, until it expires doubt      it may have run; whoever knew has gone done, begun (endpoints know
-keys) ========= ==================================================================  ======================
+| state | what it says | what may follow |
+| --- | --- | --- |
+| (nothing) | nobody has sent a request with this key to an endpoint | begun |
+| begun | the claim's gateway may have sent it to `endpoints` | begun, free, done, doubt |
+| free | that claim never ran, says the gateway that made it | begun |
+| done | it ran, and this was the endpoint's answer | nothing, until it expires |
+| doubt | it may have run; whoever knew is gone | done; doubt; begun where endpoints know keys |
 
 `done` is final. Only the claim's own gateway says `free`, and only of a claim that it never sent; anybody
 may make `begun` a `doubt`, since that promises nothing; what is known later by the claim's gateway mends
-it. Times are of the group's clock (`clock.py`), microseconds.
+it. Times are of the group's clock (`group_clock.py`), microseconds.
 """
 
 from __future__ import annotations
--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -22,9 +22,9 @@
 from typing import Protocol
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.replica import ReplicaNode
-from badgergap.replication.proposer import ChangeFailure, PreparedBallot, Result
 from badgergap.replication.idempotency_record import Decision, Fields, Record, Repeats
+from badgergap.replication.proposer import ChangeFailure, PreparedBallot, Result
+from badgergap.replication.replica import ReplicaNode
 
 SEND_SHARE = 0.5  # of the time a key is kept, after which a claim is not sent any more
 KEEP_US = 30_000_000  # for which an outcome is tried to be kept, whoever still waits
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -10,8 +10,7 @@
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Upstream
-from badgergap.proxy.upstream.exchange import Answer
-from badgergap.proxy.upstream.exchange import Exchange
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 from badgergap.proxy.upstream.stream_attempt import StreamAttempt
 
 if TYPE_CHECKING:
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -17,13 +17,11 @@
 from badgergap.consensus.clock import clock_us
 from badgergap.ordinary.turn import Guide, Turn, Way
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
+from badgergap.proxy.gateway_responses import plain, refused
 from badgergap.proxy.proxy import TRANSIT_US
-from badgergap.proxy.gateway_responses import refused
-from badgergap.proxy.gateway_responses import plain
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Upstream
-from badgergap.proxy.upstream.exchange import Answer
-from badgergap.proxy.upstream.exchange import Exchange
+from badgergap.proxy.upstream.exchange import Answer, Exchange
 from badgergap.proxy.upstream.stream_attempt import Client, StreamAttempt
 from badgergap.replication import idempotency_record as records
 from badgergap.replication.gateway_answers import gateway_answer
--- a/badgergap/replication/learned_state.py
+++ b/badgergap/replication/learned_state.py
@@ -84,7 +84,7 @@
 
 
 def unpack(data: bytes) -> HealthSnapshot:
-    """Raises BadLesson."""
+    """Raises BadHealthSnapshotError."""
     try:
         if zstandard.get_frame_parameters(data).content_size > UNPACKED_BYTES:
             raise BadHealthSnapshotError("a lesson too long")
@@ -145,7 +145,7 @@
 
     Outcomes count less, the newest longest; weights go back towards 1; nothing is out any more. An open
     breaker stays open until its time, and is then on trial: that costs an endpoint that is well again little.
-    Raises BadLesson for what has no snapshot's form; `Balancer.restore` judges its figures.
+    Raises BadHealthSnapshotError for what has no snapshot's form; `Balancer.restore` judges its figures.
     """
     share = 0.5 ** (max(0, age_us) / HALF_LIFE_US)
     try:
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -14,19 +14,19 @@
 
 from badgergap.consensus.clock import clock_us
 from badgergap.consensus.service import GroupService
+from badgergap.proxy.lifecycle.config import Config
+from badgergap.proxy.proxy import Proxy
 from badgergap.replication import learned_state
 from badgergap.replication.learned_state import (
     BadHealthSnapshotError,
-    StoredSnapshot,
-    StoreSnapshot,
-    SnapshotStore,
     HealthSnapshot,
     QuerySnapshot,
+    SnapshotStore,
+    StoredSnapshot,
+    StoreSnapshot,
 )
 from badgergap.replication.placement import Replica
 from badgergap.replication.service import ReplicationService
-from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/replication/placement.py
+++ b/badgergap/replication/placement.py
@@ -123,7 +123,7 @@
 
 
 def decode(data: bytes) -> Placement:
-    """Raises Unreadable."""
+    """Raises UnreadablePlacementError."""
     if not data:
         return Placement()
     try:
@@ -192,7 +192,7 @@
 def _wanted(
     replicas: Sequence[Replica], offered: Mapping[str, Replica], members: Collection[str]
 ) -> tuple[Replica, ...]:
-    """replicas stay as long as their members are in the group, and are taken by whoever holds them now."""
+    """Replicas stay as long as their members are in the group, and are taken by whoever holds them now."""
     kept = {
         replica.name: offered.get(replica.name, replica) for replica in replicas if replica.name in members
     }
--- a/badgergap/replication/proposer.py
+++ b/badgergap/replication/proposer.py
@@ -13,10 +13,10 @@
 from enum import StrEnum
 
 from badgergap.replication import idempotency_record as records
-from badgergap.replication.placement import Placement, Replica, majority, partition_of
-from badgergap.replication.idempotency_record import Record
 from badgergap.replication.acceptor import NO_BALLOT, Ballot
+from badgergap.replication.idempotency_record import Record
 from badgergap.replication.messages import Accept, Accepted, Prepare, Promised
+from badgergap.replication.placement import Placement, Replica, majority, partition_of
 
 AGAIN_US = 150_000  # until replicas that said nothing are asked again
 ROUND_US = 2_000_000  # until a round that stands still begins anew
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -18,16 +18,16 @@
 import msgspec
 
 from badgergap.consensus.clock import clock_us
-from badgergap.consensus.errors import Refused
+from badgergap.consensus.errors import CommandRefusedError
 from badgergap.consensus.service import GroupService
+from badgergap.proxy.lifecycle.config import Config, ConfigError
+from badgergap.proxy.proxy import Proxy
 from badgergap.replication import messages
 from badgergap.replication.actions import Alert, Proposal, Save, Send
+from badgergap.replication.messages import Message
 from badgergap.replication.options import Options
-from badgergap.replication.replica import ReplicaNode
 from badgergap.replication.proposer import Change, PreparedBallot, Result
-from badgergap.replication.messages import Message
-from badgergap.proxy.lifecycle.config import Config, ConfigError
-from badgergap.proxy.proxy import Proxy
+from badgergap.replication.replica import ReplicaNode
 from badgergap.storage.errors import DamagedLogError, UnsupportedVersionError
 from badgergap.storage.files import SIZE_LIMIT
 from badgergap.storage.log_session import LogSession
@@ -321,9 +321,9 @@
         return await done
 
     def require_node(self) -> ReplicaNode:
-        """Raises Refused while the folder is not open."""
+        """Raises CommandRefusedError while the folder is not open."""
         if self.replica_node is None:
-            raise Refused("this gateway keeps no copies at the moment")
+            raise CommandRefusedError("this gateway keeps no copies at the moment")
         return self.replica_node
 
     async def query_reports(self) -> messages.ReportSummary | None:
--- a/badgergap/replication/snapshot_commands.py
+++ b/badgergap/replication/snapshot_commands.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from badgergap.consensus.errors import Refused
+from badgergap.consensus.errors import CommandRefusedError
 from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S
 from badgergap.consensus.versions import ProposeVersion
 from badgergap.replication import idempotency_record as records
@@ -30,7 +30,7 @@
 
 
 class SnapshotCommands:
-    """Raises Refused for what cannot be done; the message says why."""
+    """Raises CommandRefusedError for what cannot be done; the message says why."""
 
     def __init__(self, service: ReplicationService) -> None:
         self.service = service
@@ -40,10 +40,14 @@
         path = Path(str(arguments["path"]))
         it, group = self.service.require_node(), self.service.group.member
         if group is None or not path.is_absolute():
-            raise Refused("this gateway is in no group at the moment" if group is None else "no whole path")
+            raise CommandRefusedError(
+                "this gateway is in no group at the moment" if group is None else "no whole path"
+            )
         placement = it.placement
         if placement.before is not None or not placement.epoch:
-            raise Refused("seats are moving, or there are none yet: try again when they are settled")
+            raise CommandRefusedError(
+                "seats are moving, or there are none yet: try again when they are settled"
+            )
         taking = SnapshotTaker(self.service, placement)
         await taking.freeze()
         newest = group.state.newest
@@ -65,15 +69,15 @@
         try:
             found = await asyncio.to_thread(snapshot.verify, path)
         except snapshot.BadSnapshotError as error:
-            raise Refused(f"{path}: {error}") from None
+            raise CommandRefusedError(f"{path}: {error}") from None
         it, group = self.service.require_node(), self.service.group
         report_summary = await self.service.query_reports()
         if report_summary is None or it.placement.before is not None or not it.placement.epoch:
-            raise Refused("no leader is heard, or seats are moving: try again")
+            raise CommandRefusedError("no leader is heard, or seats are moving: try again")
         held = {name: report.records for name, report in report_summary.lines.items() if report.records}
         member = group.member
         if held or member is None or len(member.state.headers) > 1:
-            raise Refused(
+            raise CommandRefusedError(
                 "this group is alive: it has keys or versions of its own. Restore into a new one, whose "
                 "folders are empty"
             )
@@ -83,7 +87,7 @@
         return {"records": count, "of": found.count, "not": failed}
 
     async def _put_all(self, found: snapshot.Snapshot, now_us: int) -> int:
-        """How many records were restored. Raises Refused."""
+        """How many records were restored. Raises CommandRefusedError."""
         count = 0
         batch: list[tuple[bytes, Record]] = []
         for key, data in found.records():
@@ -111,7 +115,7 @@
         )
         for result in results:
             if result.failure:
-                raise Refused(
+                raise CommandRefusedError(
                     f"{result.failure}: what was restored so far stays; empty the folders and begin anew"
                 )
         return len(batch)
@@ -154,7 +158,7 @@
                         waits.set_result(message)
 
     async def freeze(self) -> None:
-        """Raises Refused.
+        """Raises CommandRefusedError.
 
         A moment comes in which a majority of each partition's replicas stand still together.
         """
@@ -177,7 +181,7 @@
                 self._send_to(replica, messages.Unfreeze(self.id, replica.disk_id))
             self.service.listeners.remove(self._on_message)
         if not whole:
-            raise Refused("too few seats could be held still at one moment: try again")
+            raise CommandRefusedError("too few seats could be held still at one moment: try again")
 
     async def collect(self) -> Iterator[tuple[bytes, bytes]]:
         """Of each partition what a majority of its replicas held, the newest of each key."""
@@ -211,7 +215,7 @@
                 await asyncio.wait({waits}, timeout=PAGE_S / 3)
                 if waits.done():
                     return waits.result()
-            raise Refused(f"{replica.name} has not told what it held: try again")
+            raise CommandRefusedError(f"{replica.name} has not told what it held: try again")
         finally:
             del self.pages[place]
 
--- a/badgergap/rollout/analysis.py
+++ b/badgergap/rollout/analysis.py
@@ -22,20 +22,20 @@
 import msgspec
 
 from badgergap.rollout.blocks import MetricsBlock, measure_block
+from badgergap.rollout.plan import MEMBER_MEASURES, SHARE_MEASURES, Guard, Plan
 from badgergap.rollout.statistics import (
     ComparisonPoint,
     WeightedMean,
-    usual_value,
-    scaled,
     counting_variance,
-    term,
-    weighted_mean,
-    signed_worse,
+    describe,
     estimate,
     radius,
-    describe,
+    scaled,
+    signed_worse,
+    term,
+    usual_value,
+    weighted_mean,
 )
-from badgergap.rollout.plan import MEMBER_MEASURES, SHARE_MEASURES, Guard, Plan
 
 BLOCK_S = 10
 BASELINE_BLOCKS = 60  # ten minutes before the change
--- a/badgergap/rollout/command_client.py
+++ b/badgergap/rollout/command_client.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from badgergap.consensus.errors import Refused
+from badgergap.consensus.errors import CommandRefusedError
 from badgergap.rollout.messages import CommandReply, Message, OperatorCommand, StartRollout
 from badgergap.rollout.plan import Plan
 
@@ -33,17 +33,17 @@
     async def start_rollout(
         self, id: str, plan: Plan, by: str, reason: str, base_version: int, settings: str
     ) -> None:
-        """Have the leader start a rollout. Safe to repeat with the same `id`. Raises Refused."""
+        """Have the leader start a rollout. Safe to repeat with the same `id`. Raises CommandRefusedError."""
         if len(settings.encode()) > MAX_SETTINGS_BYTES:
-            raise Refused(f"settings over {MAX_SETTINGS_BYTES} bytes cannot go by stages")
+            raise CommandRefusedError(f"settings over {MAX_SETTINGS_BYTES} bytes cannot go by stages")
         await self._await_reply(id, StartRollout(id, by, reason, plan, base_version, settings))
 
     async def send_command(self, id: str, action: str, by: str, command_id: str) -> None:
-        """Have the leader pause, resume, stop or undo the rollout `id`. Raises Refused."""
+        """Have the leader pause, resume, stop or undo the rollout `id`. Raises CommandRefusedError."""
         await self._await_reply(command_id, OperatorCommand(command_id, id, action, by))
 
     async def _await_reply(self, id: str, message: Message) -> None:
-        """Send the message until the leader, which may change meanwhile, replies. Raises Refused."""
+        """Send the message until the leader of the moment replies. Raises CommandRefusedError."""
         reply = self._pending.setdefault(id, asyncio.get_running_loop().create_future())
         deadline_s = time.monotonic() + COMMAND_TIMEOUT_S
         try:
@@ -55,6 +55,6 @@
         finally:
             self._pending.pop(id, None)
         if not reply.done():
-            raise Refused("no leader has taken it up in time: see `change status`")
+            raise CommandRefusedError("no leader has taken it up in time: see `change status`")
         if reply.result():
-            raise Refused(reply.result())
+            raise CommandRefusedError(reply.result())
--- a/badgergap/rollout/commands.py
+++ b/badgergap/rollout/commands.py
@@ -10,22 +10,22 @@
 import msgspec
 
 from badgergap.consensus.compatibility import contradictions
-from badgergap.consensus.errors import Refused
+from badgergap.consensus.errors import CommandRefusedError
 from badgergap.consensus.service import GroupService
 from badgergap.consensus.settings_text import decode_tables, encode_tables
 from badgergap.proxy.lifecycle.config import ConfigError
 from badgergap.rollout import compatibility
-from badgergap.rollout.controller import RolloutState
 from badgergap.rollout.analysis import BLOCK_S, MIN_BLOCKS
+from badgergap.rollout.controller import RolloutState
 from badgergap.rollout.errors import InvalidPlanError
-from badgergap.rollout.plan import MEMBER_MEASURES, Plan, plan_to_json, cumulative_stages
+from badgergap.rollout.plan import MEMBER_MEASURES, Plan, cumulative_stages, plan_to_json
 from badgergap.rollout.service import RolloutService
 
 Arguments = Mapping[str, Any]
 
 
 class RolloutCommands:
-    """Handlers by the name of the operation. They raise Refused for what cannot be done."""
+    """Handlers by the name of the operation. They raise CommandRefusedError for what cannot be done."""
 
     def __init__(self, service: RolloutService) -> None:
         self.service = service
@@ -43,21 +43,21 @@
         return self.service.group
 
     async def call(self, op: str, arguments: Arguments) -> Any:
-        """Run an operation. Raises Refused, also for arguments that are missing or invalid."""
+        """Run an operation. Raises CommandRefusedError, also for arguments that are missing or invalid."""
         try:
             return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError, msgspec.MsgspecError) as error:
-            raise Refused(f"the call {op} lacks something: {error}") from None
+            raise CommandRefusedError(f"the call {op} lacks something: {error}") from None
 
     def _read(self, arguments: Arguments) -> tuple[Plan, str, Mapping[str, Any], Mapping[str, Any]]:
         """The plan, the new settings as text, the old and the new tables."""
         member = self.group.member
         if member is None:
-            raise Refused("this gateway is no member of its group at the moment")
+            raise CommandRefusedError("this gateway is no member of its group at the moment")
         plan = msgspec.convert(arguments["plan"], Plan)
         tables = arguments["tables"]
         if not isinstance(tables, dict):
-            raise Refused("settings are tables")
+            raise CommandRefusedError("settings are tables")
         return plan, encode_tables(tables), decode_tables(member.state.newest.settings), tables
 
     async def check(self, arguments: Arguments) -> Any:
@@ -67,7 +67,7 @@
         try:
             stages = cumulative_stages(plan, self.service.placements())
         except InvalidPlanError as error:
-            raise Refused(str(error)) from None
+            raise CommandRefusedError(str(error)) from None
         request_rates = self._request_rates()
         return {
             "why": why,
@@ -148,7 +148,7 @@
         plan, body, older, newer = self._read(arguments)
         why = await self._objections(body, older, newer)
         if why:
-            raise Refused("; ".join([*why, *self._split_advice(older, newer)]))
+            raise CommandRefusedError("; ".join([*why, *self._split_advice(older, newer)]))
         member = self.group.member
         assert member is not None
         base = member.state.newest.settings_at
@@ -161,7 +161,7 @@
         """Pause, resume, stop or undo the current rollout."""
         rollout = self.service.rollout
         if rollout is None:
-            raise Refused("there is no change")
+            raise CommandRefusedError("there is no change")
         await self.service.commands.send_command(
             rollout.id, str(arguments["do"]), str(arguments["by"]), uuid.uuid4().hex
         )
--- a/badgergap/rollout/controller.py
+++ b/badgergap/rollout/controller.py
@@ -39,7 +39,7 @@
 
 from badgergap.rollout.analysis import GuardReading, Verdict
 from badgergap.rollout.errors import CommandNotAllowedError
-from badgergap.rollout.plan import Plan, MemberPlacement, cumulative_stages
+from badgergap.rollout.plan import MemberPlacement, Plan, cumulative_stages
 
 FORMAT = 1
 HEARTBEAT_INTERVAL_US = 500_000  # between two heartbeats of the leader
--- a/badgergap/rollout/messages.py
+++ b/badgergap/rollout/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from badgergap.rollout.controller import MemberStatus
 from badgergap.rollout.blocks import MetricsBlock
+from badgergap.rollout.controller import MemberStatus
 from badgergap.rollout.plan import Plan
 
 
--- a/badgergap/rollout/metrics.py
+++ b/badgergap/rollout/metrics.py
@@ -6,10 +6,10 @@
 import time
 from collections.abc import Mapping
 
-from badgergap.proxy.requests import Observer
 from badgergap.balancing.interface import Outcome
-from badgergap.rollout.blocks import MetricsBlock, RequestCounts
+from badgergap.proxy.requests import Observer
 from badgergap.rollout.analysis import MAX_CLASSES
+from badgergap.rollout.blocks import MetricsBlock, RequestCounts
 
 PAGE = resource.getpagesize()
 
--- a/badgergap/rollout/service.py
+++ b/badgergap/rollout/service.py
@@ -23,33 +23,32 @@
 from badgergap.consensus.versions import ProposeVersion
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Proxy
-from badgergap.site.schema import parse_duration
-from badgergap.rollout import controller
-from badgergap.rollout import messages
+from badgergap.rollout import controller, messages
+from badgergap.rollout.analysis import BASELINE_BLOCKS, BLOCK_S, RolloutAnalysis, Verdict
+from badgergap.rollout.blocks import MetricsBlock
 from badgergap.rollout.command_client import CommandClient
-from badgergap.rollout.leader_commands import COMPONENT, RETRY_US, SETTINGS_COMPONENT, LeaderCommands
 from badgergap.rollout.controller import (
     HEARTBEAT_INTERVAL_US,
     HEARTBEAT_TIMEOUT_US,
-    StoredRollouts,
-    RolloutState,
-    MemberStatus,
     LeaderView,
+    MemberStatus,
+    RolloutState,
+    StoredRollouts,
 )
-from badgergap.rollout.blocks import MetricsBlock
-from badgergap.rollout.analysis import BLOCK_S, BASELINE_BLOCKS, RolloutAnalysis, Verdict
-from badgergap.rollout.metrics import MetricsCollector
-from badgergap.rollout.plan import MemberPlacement
+from badgergap.rollout.leader_commands import COMPONENT, RETRY_US, SETTINGS_COMPONENT, LeaderCommands
 from badgergap.rollout.messages import (
+    BlockReport,
     CommandReply,
     Heartbeat,
-    StartRollout,
-    BlockReport,
     HistoryReport,
-    OperatorCommand,
     HistoryRequest,
     Message,
+    OperatorCommand,
+    StartRollout,
 )
+from badgergap.rollout.metrics import MetricsCollector
+from badgergap.rollout.plan import MemberPlacement
+from badgergap.site.schema import parse_duration
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/simulator/adapter.py
+++ b/badgergap/simulator/adapter.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from badgergap.balancing.interface import Event, ListedEndpoint, EndpointListKind, EndpointList
 from badgergap.balancing.balancer import Balancer
+from badgergap.balancing.interface import EndpointList, EndpointListKind, Event, ListedEndpoint
 from badgergap.simulator.codec import (
     LIST_KINDS,
     PARSERS,
@@ -52,9 +52,9 @@
 
     def run(self) -> None:
         """Read `source` to its end. Lines that cannot be read are reported and skipped."""
-        for line in self.source:
+        for raw_line in self.source:
             self.line_number += 1
-            line = line.rstrip("\r\n")
+            line = raw_line.rstrip("\r\n")
             try:
                 self.read_line(line)
             except KeyError as error:
--- a/badgergap/site/convert.py
+++ b/badgergap/site/convert.py
@@ -4,9 +4,9 @@
 
 from dataclasses import replace
 
-from badgergap.proxy.lifecycle.proxy_settings import ProxySettings
+from badgergap.balancing.interface import DeduplicationScope, Idempotency, Prices, RequestClass, Settings
 from badgergap.proxy.lifecycle.config import Config, ConfigError, Names
-from badgergap.balancing.interface import Idempotency, Prices, RequestClass, DeduplicationScope, Settings
+from badgergap.proxy.lifecycle.proxy_settings import ProxySettings
 from badgergap.site.schema import Address, ClassTable, PoolTable, Site
 from badgergap.site.web import REPEATABLE, UNSAFE
 
--- a/badgergap/site/source.py
+++ b/badgergap/site/source.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
+from badgergap.balancing.interface import EndpointListKind, ListedEndpoint
+from badgergap.proxy.endpoints.manual_drains import DrainStore
+from badgergap.proxy.endpoints.sources import EndpointUpdate, Entry, OnUpdate, endpoint_id_of
 from badgergap.proxy.lifecycle.config import Config, Names
 from badgergap.proxy.proxy import Proxy
-from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate, OnUpdate, endpoint_id_of
-from badgergap.balancing.interface import ListedEndpoint, EndpointListKind
-from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.site.schema import BoxTable, Site
 from badgergap.site.web import MAIN
 
--- a/badgergap/storage/background_writer.py
+++ b/badgergap/storage/background_writer.py
@@ -31,7 +31,8 @@
     """The thread that writes a log.
 
     `on_durable(token)` says that this task and all before it are durable, `on_failed(reason)` that the disk
-    failed; both are called on the loop. After `on_failed` nothing more is written.
+    failed; both are called on the loop. After a disk error nothing more is written. When too much is pending,
+    what is queued is still written, and `on_durable` may follow `on_failed`.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self._thread.start()
 
     def write(self, token: int, records: Sequence[bytes], replace_all: bool = False) -> None:
-        """Queue a task; returns at once. Tasks are done in their order; tokens must not fall."""
+        """Queue a task; call it on the loop. Tasks are done in their order; tokens must not fall."""
         # The owner holds the records of a rewrite in memory anyway: only appended ones can pile up
         # in front of a slow disk.
         size = 0 if replace_all else sum(len(record) for record in records)
@@ -71,7 +72,10 @@
             self._changed.notify()
 
     def close(self) -> None:
-        """Write what is queued and end the thread. Blocks for at most CLOSE_TIMEOUT_S."""
+        """Write what is queued and end the thread.
+
+        Blocks for at most CLOSE_TIMEOUT_S, and returns then although the thread may still be writing.
+        """
         with self._changed:
             self._closing = True
             self._changed.notify()
--- a/badgergap/storage/files.py
+++ b/badgergap/storage/files.py
@@ -1,4 +1,4 @@
-"""The system calls that a log makes on its files. Tests replace them by a disk that fails."""
+"""The system calls of a log that tests replace by a failing disk; `record_log` makes a few others itself."""
 
 from __future__ import annotations
 
--- a/badgergap/storage/log_session.py
+++ b/badgergap/storage/log_session.py
@@ -72,7 +72,7 @@
     def send_when_durable(self, after_token: int, message: Message) -> None:
         """Send a message, or hold it back until the write `after_token` is durable.
 
-        Messages that rely on a write keep their order; the others need not wait for them.
+        Held messages keep their order. One whose write is durable already is sent at once, ahead of them.
         """
         if after_token > self._durable_token:
             self._held.append((after_token, message))
--- a/badgergap/web/door.py
+++ b/badgergap/web/door.py
@@ -11,11 +11,11 @@
 from itertools import islice
 from typing import Any
 
-from badgergap.proxy.lifecycle.config import Address
-from badgergap.ordinary.ways import Ways
-from badgergap.web.front import Front
 from badgergap.ordinary.heads import Peer, is_trusted
 from badgergap.ordinary.plan import Limits, WebPlan
+from badgergap.ordinary.ways import Ways
+from badgergap.proxy.lifecycle.config import Address
+from badgergap.web.front import Front
 
 log = logging.getLogger(__name__)
 
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -17,7 +17,12 @@
 
 import httptools
 
+from badgergap.ordinary.heads import Peer, answer_fields, own_answer
+from badgergap.ordinary.plan import Limits
+from badgergap.ordinary.turn import Turn
+from badgergap.ordinary.ways import Ways
 from badgergap.proxy import unread_input
+from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
 from badgergap.proxy.downstream.http_connection import (
     AFTER_BEGIN,
     AFTER_END,
@@ -26,17 +31,11 @@
     RECEIVING,
     HttpConnection,
 )
-from badgergap.proxy.downstream.response_writer import REASONS, ResponseWriter, RespondedRequest
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.gateway_responses import refused
-from badgergap.proxy.gateway_responses import plain
-from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
+from badgergap.proxy.downstream.response_writer import REASONS, RespondedRequest, ResponseWriter
+from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.header_fields import InvalidHeadError, trailers
 from badgergap.proxy.upstream.exchange import Answer
-from badgergap.proxy.header_fields import BadHead, trailers
-from badgergap.ordinary.heads import Peer, answer_fields, own_answer
-from badgergap.ordinary.plan import Limits
-from badgergap.ordinary.turn import Turn
-from badgergap.ordinary.ways import Ways
 
 log = logging.getLogger(__name__)
 
@@ -234,7 +233,7 @@
             return
         try:
             incoming.add(name, value)
-        except BadHead as bad:
+        except InvalidHeadError as bad:
             self.reject_and_close(plain(bad.status, str(bad)))
 
     def on_headers_complete(self) -> None:
@@ -246,9 +245,9 @@
         incoming.keep_alive = self.parser.should_keep_alive()
         try:
             if len(incoming.target) > TARGET_LIMIT:
-                raise BadHead("target too long", 414)
+                raise InvalidHeadError("target too long", 414)
             incoming.read()
-        except BadHead as bad:
+        except InvalidHeadError as bad:
             self.reject_and_close(plain(bad.status, str(bad)))
             return
         incoming.head_complete, incoming.size = True, 0
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -8,16 +8,16 @@
 import ssl
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 
+from badgergap.ordinary.plan import WebPlan
+from badgergap.ordinary.turn import Carry, Guard, Join
+from badgergap.ordinary.ways import Ways
 from badgergap.proxy import unread_input
 from badgergap.proxy.lifecycle.config import Address, Config
 from badgergap.proxy.pools import PoolPlan, Pools
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Observer
-from badgergap.ordinary.turn import Carry, Guard, Join
-from badgergap.ordinary.ways import Ways
 from badgergap.proxy.upstream.stream_exchange import carry
 from badgergap.web.door import Door
-from badgergap.ordinary.plan import WebPlan
 
 log = logging.getLogger(__name__)
 
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -21,9 +21,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from benchmarks.common import child, closed_load, cpu_s, fleet, quantile, site_file
-from badgergap.consensus import endpoint_lists
-from badgergap.consensus import persistence
+from badgergap.consensus import endpoint_lists, persistence
 from badgergap.consensus.clock import clock_us
 from badgergap.consensus.log import Peer, Snapshot
 from badgergap.consensus.member import Member
@@ -31,8 +29,9 @@
 from badgergap.consensus.replicated_state import GroupState
 from badgergap.consensus.settings import MemberSettings
 from badgergap.consensus.versions import ProposeVersion, encode_command
-from badgergap.standins.rig import Gateway, rig, free_port
+from badgergap.standins.rig import Gateway, free_port, rig
 from badgergap.storage.record_log import RecordLog
+from benchmarks.common import child, closed_load, cpu_s, fleet, quantile, site_file
 
 
 @contextmanager
--- a/benchmarks/appliance.py
+++ b/benchmarks/appliance.py
@@ -20,8 +20,8 @@
 import time
 from pathlib import Path
 
-from benchmarks.common import child, closed_load, cpu_s, fleet, memory_mb, platform_file, site_file
 from badgergap.admin import AdminClient, Snapshot
+from benchmarks.common import child, closed_load, cpu_s, fleet, memory_mb, platform_file, site_file
 
 READER = """
 import json, socket, sys
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -23,20 +23,18 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb, quantile
-from badgergap.replication import snapshot
-from badgergap.replication import learned_state
-from badgergap.replication import messages
-from badgergap.replication import idempotency_record as records
-from badgergap.replication.learned_state import HealthSnapshot
 from badgergap.balancing.interface import Outcome
 from badgergap.balancing.interface import Send as Attempted
+from badgergap.replication import idempotency_record as records
+from badgergap.replication import learned_state, messages, snapshot
+from badgergap.replication.actions import Send
+from badgergap.replication.learned_state import HealthSnapshot
 from badgergap.standins.rig import Gateway, Rig, rig
+from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb, quantile
 from tests.consensus.simulation import MS, S
-from badgergap.replication.actions import Send
+from tests.helpers import Driver
 from tests.replication.simulation import Node, World
 from tests.replication.test_process import last_steps, placed
-from tests.helpers import Driver
 
 WHOLE = 100_000  # records up to which all are laid out in simulated time
 
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/copies_faults.py
@@ -17,8 +17,8 @@
 from collections import Counter
 from pathlib import Path
 
-from benchmarks.common import quantile
 from badgergap.standins.rig import Timeline, rig
+from benchmarks.common import quantile
 from tests.replication.load import Keyed, keyed
 from tests.replication.test_process import placed
 
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -24,12 +24,12 @@
 
 import uvloop
 
-from benchmarks.common import CLASSES, FLEET_CPU, GATEWAY_CPU, child, cpu_s, memory_mb, pin
 from badgergap.balancing.interface import EndpointListKind
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
 from badgergap.standins.load import Kind, Load
 from badgergap.standins.registry import LiveRegistry
+from benchmarks.common import CLASSES, FLEET_CPU, GATEWAY_CPU, child, cpu_s, memory_mb, pin
 
 PREFIX = "/boxes/"
 KINDS = (Kind("standings", "safe", 2.0, 4.0),)
@@ -131,11 +131,11 @@
 
 async def listing(hosts: int) -> None:
     """In this process, so that the loop's stalls can be seen; the store is in another one."""
+    from badgergap.balancing.interface import RequestClass, Settings
     from badgergap.etcd import EtcdRoom, Options, Times
+    from badgergap.proxy.endpoints.sources import EndpointUpdate
     from badgergap.proxy.lifecycle.config import Config, Names
     from badgergap.proxy.proxy import Proxy
-    from badgergap.proxy.endpoints.sources import EndpointUpdate
-    from badgergap.balancing.interface import RequestClass, Settings
 
     def proxy() -> Proxy:
         settings = Settings(classes=(RequestClass(500_000, 1_200_000),))
--- a/benchmarks/group_faults.py
+++ b/benchmarks/group_faults.py
@@ -18,8 +18,8 @@
 import time
 from pathlib import Path
 
-from benchmarks.common import quantile
 from badgergap.standins.rig import Timeline, rig
+from benchmarks.common import quantile
 from tests.consensus.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
 
 FAULTS = ("kill", "kill", "stop", "stop", "cut", "cut", "deaf", "delay", "reset", "wipe", "copy")
--- a/benchmarks/h3.py
+++ b/benchmarks/h3.py
@@ -30,11 +30,11 @@
 
 import uvloop
 
-from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb
-from benchmarks.http import BOX, box, gateway
 from badgergap.standins.certificates import Authority
 from badgergap.standins.h3 import Client3
 from badgergap.standins.udp import UdpRelay
+from benchmarks.common import FLEET_CPU, child, cpu_s, memory_mb
+from benchmarks.http import BOX, box, gateway
 
 HTTP3 = "serves HTTP/3 on"
 HTTPS = "serves HTTPS on"
--- a/benchmarks/http.py
+++ b/benchmarks/http.py
@@ -28,9 +28,9 @@
 
 import uvloop
 
-from benchmarks.common import FLEET_CPU, child, closed_load, cpu_s, fleet, memory_mb, site_file
 from badgergap.routes import Route, Table
 from badgergap.standins.certificates import Authority
+from benchmarks.common import FLEET_CPU, child, closed_load, cpu_s, fleet, memory_mb, site_file
 
 BOX = """
 import asyncio, sys, uvloop
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -19,10 +19,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from benchmarks.common import quantile
 from badgergap.consensus.framing import FrameWriter
 from badgergap.consensus.member import Member
 from badgergap.consensus.member_actions import Send
+from benchmarks.common import quantile
 from tests.consensus.simulation import (
     BOUND_US,
     MS,
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -14,10 +14,10 @@
 import time
 from pathlib import Path
 
-from benchmarks.copies import SITE, Load, box, cpu_of
-from badgergap.site.schema import Duration
 from badgergap.rollout.plan import ChangeFile, to_plan
+from badgergap.site.schema import Duration
 from badgergap.standins.rig import rig
+from benchmarks.copies import SITE, Load, box, cpu_of
 from tests.consensus.test_process import run
 from tests.rollout.simulation import S, World
 from tests.rollout.test_process import site
--- a/benchmarks/staged_judging.py
+++ b/benchmarks/staged_judging.py
@@ -20,9 +20,9 @@
 
 import numpy as np
 
+from badgergap.rollout.analysis import BASELINE_BLOCKS, BLOCK_S, RolloutAnalysis
 from badgergap.rollout.blocks import MetricsBlock, RequestCounts
-from badgergap.rollout.analysis import BLOCK_S, BASELINE_BLOCKS, RolloutAnalysis
-from badgergap.rollout.plan import ChangeFile, Guard, Plan, MemberPlacement, cumulative_stages, to_plan
+from badgergap.rollout.plan import ChangeFile, Guard, MemberPlacement, Plan, cumulative_stages, to_plan
 
 CLASSES = {"pages": (0.89, 0.985, 40.0), "slips": (0.10, 0.99, 120.0), "rare": (0.01, 0.98, 300.0)}
 RATES = (5.0, 20.0, 100.0, 500.0)
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -9,15 +9,15 @@
 from badgergap.admin import actions as actions_module
 from badgergap.admin import figures as figures_module
 from badgergap.admin import story as story_module
-from badgergap.admin.actions import Actions, Refused
+from badgergap.admin.actions import Actions, CommandRefusedError
 from badgergap.admin.boxes import Boxes, is_last_able, natural
 from badgergap.admin.figures import SPAN_S, Figures, Seconds
 from badgergap.admin.protocol import ActionResult, BoxView, SourceView
 from badgergap.admin.story import Story
-from badgergap.proxy.lifecycle.config import Names
+from badgergap.balancing.interface import EndpointStatus, EndpointView, ListedEndpoint, Outcome
 from badgergap.proxy.endpoints.registry import ManualDrain, MergedEndpoint
 from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
-from badgergap.balancing.interface import ListedEndpoint, Outcome, EndpointStatus, EndpointView
+from badgergap.proxy.lifecycle.config import Names
 
 S = 1_000_000
 
@@ -176,20 +176,20 @@
     actions.remember(result("x"))
     assert actions.earlier("x", "drain", "a") == result("x") == actions.result("x")
     for do, box in (("undrain", "a"), ("drain", "b")):
-        with pytest.raises(Refused, match="was to drain a"):
+        with pytest.raises(CommandRefusedError, match="was to drain a"):
             actions.earlier("x", do, box)
 
 
 def test_a_wish_that_was_given_up_is_never_carried_out() -> None:
     """Guards against one that is still on its way on a connection that its caller has given up."""
     actions = Actions()
-    with pytest.raises(Refused):
+    with pytest.raises(CommandRefusedError):
         actions.result("x")
     assert actions.earlier("x", "drain", "a") is None
     for _ in range(2):
-        with pytest.raises(Refused, match="no action x"):
+        with pytest.raises(CommandRefusedError, match="no action x"):
             actions.result("x", void=True)
-    with pytest.raises(Refused, match="given up"):
+    with pytest.raises(CommandRefusedError, match="given up"):
         actions.earlier("x", "drain", "a")
 
 
--- a/tests/admin/test_room.py
+++ b/tests/admin/test_room.py
@@ -21,8 +21,8 @@
 from badgergap.admin import room as module
 from badgergap.admin.client import AdminClient, AdminError, NoAnswer, NoGateway, ask
 from badgergap.admin.protocol import ActionResult, AskAction, AskSnapshot, Drain, ProtocolError, Undrain
+from badgergap.balancing.interface import AttemptEnded, EndpointList, EndpointListKind
 from badgergap.proxy.endpoints.registry import ManualDrain
-from badgergap.balancing.interface import AttemptEnded, EndpointListKind, EndpointList
 from badgergap.standins.scripted import chunk, entry, news
 from tests.sockets import Gateway, gateway, run
 from tests.sockets import ask as request
--- a/tests/compatibility/test_consensus_bytes.py
+++ b/tests/compatibility/test_consensus_bytes.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
-from badgergap.consensus import persistence as consensus_persistence
 from badgergap.consensus import framing as consensus_framing
 from badgergap.consensus import log as consensus_log
 from badgergap.consensus import member_messages as consensus_messages
+from badgergap.consensus import persistence as consensus_persistence
 from badgergap.consensus import raft_messages as consensus_raft_messages
 from badgergap.consensus import replicated_state as consensus_state
 from badgergap.consensus import versions as consensus_versions
--- a/tests/compatibility/test_replication_bytes.py
+++ b/tests/compatibility/test_replication_bytes.py
@@ -11,13 +11,13 @@
 import msgspec
 import pytest
 
+from badgergap.replication import acceptor as replication_acceptor
 from badgergap.replication import group_clock as replication_group_clock
+from badgergap.replication import idempotency_record as replication_idempotency_record
 from badgergap.replication import learned_state as replication_learned_state
+from badgergap.replication import messages as replication_messages
 from badgergap.replication import placement as replication_placement
-from badgergap.replication import idempotency_record as replication_idempotency_record
-from badgergap.replication import acceptor as replication_acceptor
 from badgergap.replication import snapshot as replication_snapshot
-from badgergap.replication import messages as replication_messages
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
--- a/tests/compatibility/test_rollout_bytes.py
+++ b/tests/compatibility/test_rollout_bytes.py
@@ -11,11 +11,11 @@
 import msgspec
 import pytest
 
-from badgergap.rollout import controller as rollout_controller
 from badgergap.rollout import analysis as rollout_analysis
 from badgergap.rollout import blocks as rollout_blocks
-from badgergap.rollout import plan as rollout_plan
+from badgergap.rollout import controller as rollout_controller
 from badgergap.rollout import messages as rollout_messages
+from badgergap.rollout import plan as rollout_plan
 from tests.compatibility.stored_bytes import assert_same_bytes, identify
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -14,20 +14,19 @@
 
 import pytest
 
-from badgergap.consensus import endpoint_lists
-from badgergap.consensus import replicated_state
-from badgergap.consensus.persistence import decode
+from badgergap.balancing.interface import EndpointListKind
+from badgergap.consensus import endpoint_lists, replicated_state
 from badgergap.consensus.log import LogEntry, Peer, Snapshot
+from badgergap.consensus.persistence import decode
 from badgergap.consensus.persistent_state import PersistentState
-from badgergap.replication import snapshot
+from badgergap.hot_restart import frames, state_transfer
 from badgergap.proxy.endpoints.manual_drains import DrainStore
 from badgergap.proxy.endpoints.registry import ManualDrain
-from badgergap.hot_restart import frames, state_transfer
-from badgergap.balancing.interface import EndpointListKind
+from badgergap.replication import snapshot
 from badgergap.storage.files import LocalFiles
 from badgergap.storage.record_log import RecordLog
-from tests.helpers import Driver
 from tests.balancing.test_manual_drains import COLD
+from tests.helpers import Driver
 from tests.hot_restart.test_state_transfer import worked
 
 DATA = Path(__file__).parent / "data"
--- a/tests/consensus/guards.py
+++ b/tests/consensus/guards.py
@@ -23,9 +23,9 @@
     Violation,
     World,
     play,
-    play_losses,
     play_cuts,
     play_elections,
+    play_losses,
 )
 
 
--- a/tests/consensus/test_endpoint_lists.py
+++ b/tests/consensus/test_endpoint_lists.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from badgergap.consensus import endpoint_lists
+from badgergap.consensus.compatibility import contradictions
 from badgergap.consensus.endpoint_lists import AgreedEndpoint, Endpoints, ListProposal, SourceList
 from badgergap.consensus.settings_text import decode_endpoint_list
-from badgergap.consensus.compatibility import contradictions
 
 
 def hosts(names: str, out: str = "") -> Endpoints:
--- a/tests/consensus/test_framing.py
+++ b/tests/consensus/test_framing.py
@@ -8,9 +8,7 @@
 import msgspec
 import pytest
 
-from badgergap.consensus import persistence
-from badgergap.consensus import framing
-from badgergap.consensus import replicated_state
+from badgergap.consensus import framing, persistence, replicated_state
 from badgergap.consensus.errors import InvalidFrameError, UnreadableRecordError
 from badgergap.consensus.framing import (
     Envelope,
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -7,7 +7,7 @@
 from badgergap.consensus.member_actions import OutcomeKnown
 from badgergap.consensus.member_messages import ChangeMembers
 from tests.consensus.guards import GUARDS, Guard
-from tests.consensus.simulation import BOUND_US, S, Node, World, leader_of, pending_changes, play, play_cuts
+from tests.consensus.simulation import BOUND_US, Node, S, World, leader_of, pending_changes, play, play_cuts
 
 
 @pytest.mark.parametrize(
--- a/tests/etcd/harness.py
+++ b/tests/etcd/harness.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
+from badgergap.balancing.interface import EndpointStatus
 from badgergap.etcd import EtcdRoom, EtcdSource, Options, Times
-from badgergap.proxy.upstream.stream_exchange import Http1Connection
-from badgergap.proxy.lifecycle.config import Config, parse_config
 from badgergap.proxy.downstream.listener import Downstream
+from badgergap.proxy.lifecycle.config import Config, parse_config
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.upstream.exchange import Exchange
-from badgergap.balancing.interface import EndpointStatus
+from badgergap.proxy.upstream.stream_exchange import Http1Connection
 from badgergap.standins.box import Box
 from badgergap.standins.etcd import Etcd
 from badgergap.standins.load import Kind, Load
--- a/tests/etcd/test_follow.py
+++ b/tests/etcd/test_follow.py
@@ -7,8 +7,8 @@
 import pytest
 
 from badgergap.etcd import follow
-from badgergap.etcd.follow import Header, Listed, LogIn, State, Trouble, Watch, Watched
 from badgergap.etcd.follow import Failed as CallFailed
+from badgergap.etcd.follow import Header, Listed, LogIn, State, Trouble, Watch, Watched
 from badgergap.standins.etcd import Store
 from tests.etcd.simulation import FIRST, LAST, Simulation
 
--- a/tests/etcd/test_hosts.py
+++ b/tests/etcd/test_hosts.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from badgergap.balancing.interface import EndpointStatus
 from badgergap.etcd.client import range_end
 from badgergap.etcd.follow import Change
 from badgergap.etcd.hosts import SLICE, URGENT_SLICE, Hosts
 from badgergap.etcd.values import Places, ValueProblem, host_name, read_value
 from badgergap.proxy.endpoints.sources import endpoint_id_of
-from badgergap.balancing.interface import EndpointStatus
 
 PREFIX = b"/boxes/"
 
--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -21,6 +21,8 @@
 from badgergap.hot_restart.frames import encode_frame
 from badgergap.hot_restart.rendezvous import SOCKET_NAME, Rendezvous
 from badgergap.standins.net import Server, read_message
+from tests.proxy.commands.test_commands import call
+from tests.proxy.lifecycle.test_process import logged
 from tests.sockets import (
     PATIENCE_S,
     Client,
@@ -34,8 +36,6 @@
     news,
     run,
 )
-from tests.proxy.commands.test_commands import call
-from tests.proxy.lifecycle.test_process import logged
 
 Process = asyncio.subprocess.Process
 
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -13,10 +13,7 @@
 from hypothesis import strategies as st
 
 from badgergap.balancing.balancer import Balancer
-from badgergap.proxy.lifecycle.config import Names
-from badgergap.proxy.endpoints.endpoint_list import parse_list
-from badgergap.proxy.endpoints.registry import ManualDrain
-from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
+from badgergap.balancing.interface import EndpointListKind, EndpointStatus, ListedEndpoint, Outcome
 from badgergap.hot_restart.errors import FrameError, StateTransferError
 from badgergap.hot_restart.frames import FRAME_LIMIT, HEADER, FrameDecoder, encode_frame
 from badgergap.hot_restart.state_transfer import (
@@ -26,9 +23,12 @@
     read_state,
     write_state,
 )
-from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, Outcome, EndpointStatus
-from tests.helpers import SETTINGS, Driver, sends
+from badgergap.proxy.endpoints.endpoint_list import parse_list
+from badgergap.proxy.endpoints.registry import ManualDrain
+from badgergap.proxy.endpoints.sources import Entry, endpoint_id_of
+from badgergap.proxy.lifecycle.config import Names
 from tests.balancing.test_manual_drains import COLD, serve, share, tell
+from tests.helpers import SETTINGS, Driver, sends
 
 IDENTITY = GatewayIdentity("n0", ("127.0.0.1", 3000))
 ENDPOINT_LIST: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -11,19 +11,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from badgergap.balancing.interface import AttemptEnded, EndpointStatus, Outcome
 from badgergap.proxy.commands import listener
+from badgergap.proxy.commands.listener import MAX_CONNECTIONS, CommandHandler, CommandListener
 from badgergap.proxy.commands.parsing import (
-    LINE_LIMIT,
     COMMANDS,
+    LINE_LIMIT,
     Command,
     CommandError,
-    respond,
     parse_command,
+    respond,
 )
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy.commands.listener import MAX_CONNECTIONS, CommandListener, CommandHandler
-from badgergap.balancing.interface import AttemptEnded, Outcome, EndpointStatus
-from tests.sockets import Client, Gateway, ask, entry, gateway, news, chunk, run
+from tests.sockets import Client, Gateway, ask, chunk, entry, gateway, news, run
 
 GOOD = [
     (b"PING", Command("PING")),
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-from badgergap.proxy.endpoints import discovery, discovery_call
-from badgergap.proxy.lifecycle.config import parse_address
-from badgergap.proxy.endpoints.sources import endpoint_id_of
 from badgergap.balancing.interface import (
-    FetchEndpoints,
-    EndpointListKind,
     EndpointList,
+    EndpointListKind,
     EndpointStatus,
+    FetchEndpoints,
     WatchEndpoints,
 )
+from badgergap.proxy.endpoints import discovery, discovery_call
+from badgergap.proxy.endpoints.sources import endpoint_id_of
+from badgergap.proxy.lifecycle.config import parse_address
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, settings
 
 
--- a/tests/proxy/endpoints/test_registry.py
+++ b/tests/proxy/endpoints/test_registry.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from badgergap.balancing.interface import EndpointListKind, EndpointStatus, ListedEndpoint
 from badgergap.proxy.endpoints import registry as module
-from badgergap.proxy.endpoints.registry import ManualDrain, EndpointRegistry, EndpointRegistryError
-from badgergap.proxy.endpoints.sources import Entry, EndpointUpdate, endpoint_id_of
-from badgergap.balancing.interface import ListedEndpoint, EndpointListKind, EndpointStatus
+from badgergap.proxy.endpoints.registry import EndpointRegistry, EndpointRegistryError, ManualDrain
+from badgergap.proxy.endpoints.sources import EndpointUpdate, Entry, endpoint_id_of
 
 READY, DRAINING, GONE = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.GONE
 
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -11,10 +11,10 @@
 
 from badgergap.proxy.lifecycle import lame_duck as rules
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
-from tests.sockets import Client, ask, gateway, run
-from tests.proxy.test_bodies import beside
-from tests.proxy.commands.test_commands import call, opened
 from tests.hot_restart.test_coordinator import Box
+from tests.proxy.commands.test_commands import call, opened
+from tests.proxy.test_bodies import beside
+from tests.sockets import Client, ask, gateway, run
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 HELD_S, RECENT_S = 4.0, 2.0  # what operators allow: held so long after the call, with a request of late
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from badgergap.proxy.limits import eviction
-from badgergap.proxy.downstream import listener
 from badgergap.balancing.interface import AttemptEnded, PeerMessage, SendPeerMessage
+from badgergap.proxy.downstream import listener
+from badgergap.proxy.limits import eviction
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
 
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.proxy.limits import eviction
+from badgergap.balancing.interface import AttemptEnded
 from badgergap.proxy.downstream import client_connection, listener, request_reader
+from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.eviction import EvictionPriority
-from badgergap.balancing.interface import AttemptEnded
-from tests.sockets import ask, gateway, run
 from tests.proxy.test_bodies import Echo, beside, with_length
+from tests.sockets import ask, gateway, run
 
 COUNTS = st.integers(0, 2000)
 
--- a/tests/proxy/limits/test_memory.py
+++ b/tests/proxy/limits/test_memory.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from badgergap.proxy.limits.memory import (
-    PROCESS_BASELINE,
+    DEFAULT_TOTAL,
     LARGEST,
     LEAST,
     MIN_TOTAL,
-    DEFAULT_TOTAL,
+    PROCESS_BASELINE,
     Budget,
     ReadBuffer,
     total_of,
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from badgergap.proxy.upstream import stream_exchange
+from badgergap.balancing.interface import AttemptEnded, Outcome, StreamStarted
+from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.downstream import client_connection, forwarding, request_reader
-from badgergap.proxy.limits.memory import LEAST, Budget
 from badgergap.proxy.downstream.client_connection import ClientConnection
-from badgergap.proxy.body_streams import HOLD
-from badgergap.balancing.interface import AttemptEnded, Outcome, StreamStarted
+from badgergap.proxy.limits.memory import LEAST, Budget
+from badgergap.proxy.upstream import stream_exchange
 from badgergap.standins.net import Server
 from tests.sockets import Client, Gateway, ask, entry, gateway, run, settings
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -17,23 +17,25 @@
 
 import pytest
 
-from badgergap.replication.keyed_attempt import PendingAttempt
-from badgergap.proxy.limits import eviction
-from badgergap.proxy.endpoints import discovery
-from badgergap.proxy import unread_input
-from badgergap.proxy.downstream import client_connection, listener
-from badgergap.proxy.requests import AttemptListener
-from badgergap.proxy.body_streams import HOLD
-from badgergap.proxy.upstream.connection_pool import Upstream
-from badgergap.balancing.retry_policy import RetryPolicy
 from badgergap.balancing.interface import (
     AttemptEnded,
+    ClientDisconnected,
     Outcome,
     RequestArrived,
-    ClientDisconnected,
     TimerFired,
     WatchEndpoints,
 )
+from badgergap.balancing.retry_policy import RetryPolicy
+from badgergap.proxy import unread_input
+from badgergap.proxy.body_streams import HOLD
+from badgergap.proxy.downstream import client_connection, listener
+from badgergap.proxy.endpoints import discovery
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.requests import AttemptListener
+from badgergap.proxy.upstream.connection_pool import Upstream
+from badgergap.replication.keyed_attempt import PendingAttempt
+from tests.proxy.lifecycle.test_process import logged, process
+from tests.proxy.test_gateway import hold_connects
 from tests.sockets import (
     Client,
     Gateway,
@@ -48,8 +50,6 @@
     run,
     settings,
 )
-from tests.proxy.test_gateway import hold_connects
-from tests.proxy.lifecycle.test_process import logged, process
 
 CAPS: dict[str, object] = {"maxAttempts": 4}
 
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -9,26 +9,26 @@
 
 import pytest
 
-from badgergap.proxy.limits import eviction
-from badgergap.proxy.upstream import health_check
-from badgergap.proxy.downstream import client_connection, http_connection, request_reader
-from badgergap.proxy.endpoints.sources import endpoint_id_of
-from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
-from badgergap.proxy.body_streams import HOLD
 from badgergap.balancing.interface import (
     Action,
     AttemptEnded,
-    Event,
+    ClientDisconnected,
+    EndpointList,
     EndpointListKind,
-    Outcome,
+    Event,
     HealthCheck,
     HealthCheckEnded,
+    Outcome,
     Reject,
     RequestArrived,
-    ClientDisconnected,
     Send,
-    EndpointList,
 )
+from badgergap.proxy.body_streams import HOLD
+from badgergap.proxy.downstream import client_connection, http_connection, request_reader
+from badgergap.proxy.downstream.request_validation import BODY_LIMIT, HEAD_LIMIT
+from badgergap.proxy.endpoints.sources import endpoint_id_of
+from badgergap.proxy.limits import eviction
+from badgergap.proxy.upstream import health_check
 from tests.sockets import PATIENCE_S, Client, Gateway, ask, chunk, entry, gateway, news, run, settings
 
 
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -8,17 +8,15 @@
 
 import msgspec
 
-from badgergap.replication import placement
-from badgergap.replication import idempotency_record
-from badgergap.replication import repair
+from badgergap.replication import idempotency_record, placement, repair
+from badgergap.replication.acceptor import NO_BALLOT, AcceptorStore, Ballot, Reply
 from badgergap.replication.actions import Send
+from badgergap.replication.anti_entropy import Findings, PartitionComparison
+from badgergap.replication.idempotency_record import Decision, Record
 from badgergap.replication.idempotent_request import IdempotentRequest
+from badgergap.replication.messages import Accept, Message, Prepare, Promised
 from badgergap.replication.placement import Placement, Replica
-from badgergap.replication.proposer import PreparedBallot, Operation, Result
-from badgergap.replication.idempotency_record import Decision, Record
-from badgergap.replication.acceptor import NO_BALLOT, Ballot, Reply, AcceptorStore
-from badgergap.replication.anti_entropy import Findings, PartitionComparison
-from badgergap.replication.messages import Accept, Prepare, Promised, Message
+from badgergap.replication.proposer import Operation, PreparedBallot, Result
 from tests.consensus.simulation import Violation
 from tests.replication.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
 
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -15,13 +15,13 @@
 from functools import partial
 
 from badgergap.replication import idempotency_record as records
+from badgergap.replication.acceptor import Bounds
 from badgergap.replication.actions import Proposal, Save, Send
+from badgergap.replication.idempotency_record import Record, Repeats, digest_of
+from badgergap.replication.idempotent_request import End, IdempotentRequest, RequestSpec
 from badgergap.replication.options import Options
+from badgergap.replication.proposer import Change, Done, Operation, PreparedBallot, Proposer, Result
 from badgergap.replication.replica import ReplicaNode
-from badgergap.replication.idempotent_request import End, IdempotentRequest, RequestSpec
-from badgergap.replication.proposer import Change, Done, PreparedBallot, Operation, Proposer, Result
-from badgergap.replication.idempotency_record import Record, Repeats, digest_of
-from badgergap.replication.acceptor import Bounds
 from tests.consensus.simulation import MS, S, Timed, Violation
 from tests.replication.history import NEVER, Step, order_of
 
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -13,22 +13,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.balancing.circuit_breaker import BreakerState, RING_SIZE
+from badgergap.balancing.circuit_breaker import RING_SIZE, BreakerState
 from badgergap.balancing.weight_controller import MAX_WEIGHT, MIN_WEIGHT
 from badgergap.replication import learned_state
 from badgergap.replication.learned_state import (
     BadHealthSnapshotError,
+    HealthSnapshot,
+    SnapshotStore,
     StoredSnapshot,
     StoreSnapshot,
-    SnapshotStore,
-    HealthSnapshot,
 )
 from badgergap.replication.learned_state_service import LearnedStateService
 from badgergap.replication.placement import Replica
 from badgergap.standins.rig import rig
+from tests.helpers import START_US, Driver, sends, trip
 from tests.replication.load import keyed, post
 from tests.replication.test_process import placed, played
-from tests.helpers import START_US, Driver, sends, trip
 
 S = 1_000_000
 
--- a/tests/replication/test_process.py
+++ b/tests/replication/test_process.py
@@ -17,8 +17,8 @@
 from badgergap.standins.h3 import Client3
 from badgergap.standins.rig import Gateway, Rig, Timeline, rig
 from tests.consensus.test_process import run
-from tests.replication.load import Keyed, keyed, post
 from tests.h3.harness import https
+from tests.replication.load import Keyed, keyed, post
 
 PLACED_S = 20.0
 OF_BOX = 200
--- a/tests/replication/test_schedules.py
+++ b/tests/replication/test_schedules.py
@@ -7,15 +7,14 @@
 import msgspec
 import pytest
 
-from badgergap.replication import repair
-from badgergap.replication import placement
 from badgergap.replication import idempotency_record as records
+from badgergap.replication import placement, repair
+from badgergap.replication.acceptor import AcceptorStore, Bounds
 from badgergap.replication.actions import Save, Send
+from badgergap.replication.messages import Prepare
 from badgergap.replication.options import Options
-from badgergap.replication.replica import ReplicaNode
 from badgergap.replication.placement import Replica
-from badgergap.replication.acceptor import Bounds, AcceptorStore
-from badgergap.replication.messages import Prepare
+from badgergap.replication.replica import ReplicaNode
 from tests.consensus.simulation import S
 from tests.replication.guards import GUARDS, Guard
 from tests.replication.history import Step, order_of
--- a/tests/rollout/quick.py
+++ b/tests/rollout/quick.py
@@ -5,9 +5,7 @@
 import sys
 
 from badgergap.cli.main import main
-from badgergap.rollout import commands
-from badgergap.rollout import service
-from badgergap.rollout import analysis
+from badgergap.rollout import analysis, commands, service
 
 for module in (commands, analysis, service):
     module.BLOCK_S = 1  # type: ignore[attr-defined]
--- a/tests/rollout/simulation.py
+++ b/tests/rollout/simulation.py
@@ -15,19 +15,19 @@
 
 import msgspec
 
-from badgergap.site.schema import Duration
 from badgergap.rollout import controller
+from badgergap.rollout.analysis import Verdict
 from badgergap.rollout.controller import (
-    REVERT_TIMEOUT_US,
     HEARTBEAT_TIMEOUT_US,
-    StoredRollouts,
-    RolloutState,
-    MemberStatus,
+    REVERT_TIMEOUT_US,
     LeaderView,
+    MemberStatus,
+    RolloutState,
+    StoredRollouts,
 )
-from badgergap.rollout.analysis import Verdict
 from badgergap.rollout.errors import CommandNotAllowedError
-from badgergap.rollout.plan import ChangeFile, Plan, MemberPlacement, to_plan
+from badgergap.rollout.plan import ChangeFile, MemberPlacement, Plan, to_plan
+from badgergap.site.schema import Duration
 
 MS, S = 1_000, 1_000_000
 TICK_US = 100 * MS
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from badgergap.site.schema import Duration
 from badgergap.rollout import controller
+from badgergap.rollout.controller import LeaderView, RolloutState, apply_command
 from badgergap.rollout.errors import CommandNotAllowedError
-from badgergap.rollout.controller import RolloutState, LeaderView, apply_command
 from badgergap.rollout.plan import ChangeFile, MemberPlacement, to_plan
+from badgergap.site.schema import Duration
 from tests.rollout.simulation import S, Violation, World, ends, schedule
 
 
--- a/tests/rollout/test_pure.py
+++ b/tests/rollout/test_pure.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from badgergap.rollout.blocks import MetricsBlock, RequestCounts
 from badgergap.rollout.analysis import RolloutAnalysis
+from badgergap.rollout.blocks import MetricsBlock, RequestCounts
+from badgergap.rollout.compatibility import conflicts, split
 from badgergap.rollout.errors import InvalidPlanError
 from badgergap.rollout.plan import (
     ChangeFile,
     Guard,
-    Plan,
     MemberPlacement,
-    read_plan,
+    Plan,
     cumulative_stages,
+    read_plan,
     to_plan,
 )
-from badgergap.rollout.compatibility import conflicts, split
 
 SEATS = [MemberPlacement(f"g{n}", f"z{n % 3}") for n in range(9)]
 FILE = 'name = "x"\nsettings = "y"\n'
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -13,34 +13,35 @@
 from badgergap.balancing.interface import (
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
     CloseIdleConnections,
-    Idempotency,
+    DeduplicationScope,
+    EndpointStatus,
     Fail,
-    ListedEndpoint,
     FetchEndpoints,
     Goal,
+    HealthCheck,
+    HealthCheckEnded,
+    Idempotency,
+    ListedEndpoint,
     Log,
     Outcome,
     PeerMessage,
     Prices,
-    HealthCheck,
-    HealthCheckEnded,
     Reject,
     RequestArrived,
     RequestClass,
-    ClientDisconnected,
-    DeduplicationScope,
     Send,
-    EndpointStatus,
-    Settings,
+    SendPeerMessage,
     SetTimer,
+    Settings,
     StreamStarted,
-    SendPeerMessage,
     TimerFired,
     WatchEndpoints,
 )
 from badgergap.errors import BadgergapError
 from badgergap.proxy.lifecycle.proxy_settings import ProxySettings, ReportMode, Reports, Tenant
+from badgergap.simulator.adapter import SimulatorAdapter
 from badgergap.simulator.codec import (
     OUTCOMES,
     PARSERS,
@@ -49,7 +50,6 @@
     parse_server,
     split_line,
 )
-from badgergap.simulator.adapter import SimulatorAdapter
 from badgergap.simulator.settings_parser import parse_proxy_settings, parse_settings
 
 LANES = [
--- a/tests/site/test_file.py
+++ b/tests/site/test_file.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from badgergap.balancing.interface import DeduplicationScope, Idempotency
 from badgergap.proxy.lifecycle.config import ConfigError
-from badgergap.balancing.interface import Idempotency, DeduplicationScope
 from badgergap.site import SiteError, combine, parse_site, read_site, to_config
 from badgergap.site.convert import carry_names
 from badgergap.site.locate import line_of, lines_of
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -13,11 +13,11 @@
 
 import uvloop
 
-from badgergap.proxy.lifecycle.config import parse_config
+from badgergap.balancing.interface import Action, Event
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.downstream.listener import Downstream
+from badgergap.proxy.lifecycle.config import parse_config
 from badgergap.proxy.proxy import Proxy
-from badgergap.balancing.interface import Action, Event
 from badgergap.standins.net import Head, Server, read_head, read_message, small_socket
 from badgergap.standins.scripted import Client, Host, Registry, Taken, chunk, entry, news
 
--- a/tests/storage/test_record_log.py
+++ b/tests/storage/test_record_log.py
@@ -12,6 +12,7 @@
 import pytest
 
 from badgergap.storage import record_format
+from badgergap.storage.background_writer import BackgroundWriter
 from badgergap.storage.errors import (
     DamagedLogError,
     FolderInUseError,
@@ -20,7 +21,6 @@
 )
 from badgergap.storage.files import LocalFiles
 from badgergap.storage.record_log import RecordLog
-from badgergap.storage.background_writer import BackgroundWriter
 
 GROUPS = [[b"one"], [b"two", b"three" * 40], [b""], [b"four" * 300]]
 RECORDS = [record for group in GROUPS for record in group]
--- a/tests/balancing/test_bounds.py
+++ b/tests/test_code_shape.py
@@ -1,4 +1,7 @@
-"""The package stays readable: small modules, short functions, docstrings, the formatter."""
+"""Finished packages stay readable: small modules, short functions, docstrings, the formatter.
+
+docs/ROADMAP.md names the packages that are not finished; each is added here once it is.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,18 @@
 
 import pytest
 
-ROOT = Path(__file__).parents[2]
-MODULES = sorted((ROOT / "badgergap" / "balancing").glob("*.py"))
+ROOT = Path(__file__).parents[1]
+FINISHED = (
+    "balancing",
+    "consensus",
+    "hot_restart",
+    "proxy",
+    "replication",
+    "rollout",
+    "simulator",
+    "storage",
+)
+MODULES = sorted(path for name in FINISHED for path in (ROOT / "badgergap" / name).rglob("*.py"))
 MOST_LINES = 500
 MOST_FUNCTION_LINES = 50
 MOST_COLUMNS = 110
@@ -33,11 +46,12 @@
                 yield from public(node)
 
 
-def test_the_package_is_found() -> None:
-    assert {"balancer.py", "circuit_breaker.py", "admission.py"} <= {path.name for path in MODULES}
+def test_the_packages_are_found() -> None:
+    assert {path.relative_to(ROOT).parts[1] for path in MODULES} == set(FINISHED)
+    assert {"balancer.py", "raft.py", "proxy.py", "acceptor.py"} <= {path.name for path in MODULES}
 
 
-@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT / "badgergap")))
 def test_modules_and_functions_are_short(path: Path) -> None:
     text = path.read_text()
     lines = text.splitlines()
@@ -48,7 +62,7 @@
             assert (node.end_lineno or 0) - node.lineno < MOST_FUNCTION_LINES, node.name
 
 
-@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT / "badgergap")))
 def test_public_items_have_a_docstring(path: Path) -> None:
     tree = ast.parse(path.read_text())
     assert ast.get_docstring(tree)
@@ -58,9 +72,10 @@
 def test_the_formatter_leaves_nothing_of_it_out() -> None:
     ruff = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]
     assert "exclude" not in ruff.get("format", {})
-    assert not any("balancing" in pattern for pattern in ruff["extend-exclude"])
+    assert not any(name in pattern for pattern in ruff["extend-exclude"] for name in FINISHED)
 
 
 def test_the_benchmark_counts_every_module() -> None:
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert listed == [str(path.relative_to(ROOT)) for path in MODULES]
+    balancing = sorted((ROOT / "badgergap" / "balancing").glob("*.py"))
+    assert listed == [str(path.relative_to(ROOT)) for path in balancing]
--- a/tests/web/harness.py
+++ b/tests/web/harness.py
@@ -15,8 +15,8 @@
 from badgergap.cli.setup import Setup
 from badgergap.cli.tls import ClientTls
 from badgergap.cli.web import web_room
-from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.lifecycle.component import Component
+from badgergap.proxy.proxy import Proxy
 from badgergap.site import SiteRoom
 from badgergap.standins.app import App
 from badgergap.standins.net import small_socket
--- a/tests/web/test_checks.py
+++ b/tests/web/test_checks.py
@@ -12,9 +12,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.proxy.body_streams import Headers
-from badgergap.proxy.header_fields import BadHead, response_headers, trailers
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
+from badgergap.proxy.body_streams import Headers
+from badgergap.proxy.header_fields import InvalidHeadError, response_headers, trailers
 from tests.sockets import run
 from tests.web.harness import Site, request, site
 
@@ -236,7 +236,7 @@
         [(b"connection", b"x-a"), (b"x-a", b"1"), (b"set-cookie", b"a"), (b"set-cookie", b"b")]
     )
     assert kept == [(b"set-cookie", b"a"), (b"set-cookie", b"b")]
-    with pytest.raises(BadHead):
+    with pytest.raises(InvalidHeadError):
         response_headers([(b"x-a", b"1\r\nx-b: 2")])
 
 
@@ -263,7 +263,7 @@
 ) -> None:
     try:
         head = read_head(method, [(b"Host", b"a"), *headers])
-    except BadHead:
+    except InvalidHeadError:
         return
     peer = Peer("::1", trusted=trusted)
     lines = request_for_box(head, b"/p", b"?q", b"a", peer, b"id").lines() + b"\r\n"
--- a/tests/web/test_clients.py
+++ b/tests/web/test_clients.py
@@ -15,8 +15,8 @@
 import websockets
 from websockets.exceptions import ConnectionClosed
 
-from badgergap.standins.app import PAGE, content
 from badgergap.ordinary.plan import turns_to_spare
+from badgergap.standins.app import PAGE, content
 from tests.sockets import run
 from tests.web.harness import ROUTE, request, site
 
@@ -104,7 +104,7 @@
                             pass
                     except ConnectionClosed:
                         pass
-            # Refused by the application: ordinary answers, and what follows is HTTP.
+            # CommandRefusedError by the application: ordinary answers, and what follows is HTTP.
             assert not it.proxy.requests
 
     run(test())
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -12,8 +12,8 @@
 from badgergap.proxy import unread_input
 from badgergap.proxy.body_streams import HOLD
 from badgergap.web.front import Front
-from tests.sockets import run
 from tests.proxy.test_endings import until
+from tests.sockets import run
 from tests.web.harness import Raw, Site, request, site
 
 
--- a/tests/web/test_process.py
+++ b/tests/web/test_process.py
@@ -13,8 +13,7 @@
 from badgergap.standins.app import App
 from tests.appliance.harness import Admin, Process, kept_drains
 from tests.sockets import run
-from tests.web.harness import ROUTE, request, site_text
-from tests.web.harness import Raw
+from tests.web.harness import ROUTE, Raw, request, site_text
 
 POOL = '[[pool]]\nname = "side"\n'
 SIDE = '[[route]]\nname = "side"\nprefix = "/side"\ntake_off = "/side"\nclass = "pages"\npool = "side"\n'
