--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -96,9 +96,9 @@
         """The pool that a request goes to, and the one for what that refuses."""
         name = pools[0][0] if len(pools) == 1 else choose(pools, self.random.random())
         proxy = self.pools.proxy(name)
-        if spare is not None and (proxy is None or not proxy.is_able(klass)):
+        if spare is not None and (proxy is None or not proxy.has_eligible_endpoint(klass)):
             other = self.pools.proxy(spare)
-            if other is not None and (proxy is None or other.is_able(klass)):
+            if other is not None and (proxy is None or other.has_eligible_endpoint(klass)):
                 return other, None
             return proxy, other
         return proxy, self.pools.proxy(spare) if spare is not None else None
@@ -117,7 +117,7 @@
         way.began_at = way.began_at or now
 
         def elsewhere(tried: bool, may_have_run: bool) -> bool:
-            spare, able = way.spare, way.proxy.is_able(way.klass)
+            spare, able = way.spare, way.proxy.has_eligible_endpoint(way.klass)
             effect = way.proxy.settings.classes[way.klass].idempotency
             if spare is None or spare is way.proxy or not turn.upload.is_held:
                 return False
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -274,7 +274,7 @@
             return self.may_admit()
         return not 0 < self.proxy_settings.max_open_requests <= self.open_requests
 
-    def is_able(self, request_class: int) -> bool:
+    def has_eligible_endpoint(self, request_class: int) -> bool:
         """Whether any endpoint may be given a request of this class now."""
         return self.balancer.has_eligible_endpoint(self.clock.now_us(), request_class)
 
