--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -25,7 +25,7 @@
 from badgergap.ordinary.ways import Ways
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
-from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.gateway_responses import plain_text
 from badgergap.proxy.header_fields import InvalidHeadError, trailers
 from badgergap.proxy.upstream.exchange import Answer
 
@@ -215,7 +215,7 @@
         try:
             self.read(headers)
         except InvalidHeadError as bad:
-            self.answer(plain(bad.status, str(bad)))
+            self.answer(plain_text(bad.status, str(bad)))
             return
         if turn.length == 0:
             turn.upload.complete = turn.ended = True
@@ -259,7 +259,7 @@
             return
         if data:
             if upload.limit is not None and upload.size + len(data) > upload.limit:
-                self.refuse(plain(413, f"body over {upload.limit} bytes"))
+                self.refuse(plain_text(413, f"body over {upload.limit} bytes"))
                 return
             upload.put(data)
         if ended:
@@ -409,8 +409,8 @@
         elif not turn.ended and self.number not in self.front.held:
             quiet_s = now - self.progress_at
             if quiet_s > limits.between_s or now - turn.began_at > limits.body_s:
-                self.refuse(plain(408, "the rest of the body has not come"))
+                self.refuse(plain_text(408, "the rest of the body has not come"))
 
     def out_of_time(self) -> None:
         """The route's time for the whole is over, and no box is to blame."""
-        self.refuse(plain(504, "out of time"))
+        self.refuse(plain_text(504, "out of time"))
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -19,7 +19,7 @@
 from badgergap.joining.identity import PERSONAL, Asked, Identity, Learned, agree, identity, vary_of, why_alone
 from badgergap.ordinary.turn import Guide, Turn, Way
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.gateway_responses import plain_text, service_unavailable
 from badgergap.proxy.proxy import TRANSIT_US, Proxy
 from badgergap.proxy.upstream.exchange import Answer
 from badgergap.proxy.upstream.stream_attempt import Client
@@ -80,7 +80,7 @@
             self.shared.joins.counts[LATE] += 1
             self.leave()
             self.shared.tell(self, 504)
-            self.client.answer(plain(504, "out of time"))
+            self.client.answer(plain_text(504, "out of time"))
 
 
 class Shared:
@@ -314,7 +314,7 @@
                 self.counts[FULL] += 1
                 return False
             if not way.proxy.has_capacity():
-                client.answer(refused("too many requests"))
+                client.answer(service_unavailable("too many requests"))
                 return True
             self.counts[JOINED] += 1
             shared.follow(turn, client, asked)
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -18,7 +18,7 @@
 
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.gateway_responses import plain_text
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
 from badgergap.proxy.upstream.connection_pool import Upstream
@@ -163,7 +163,7 @@
             request = way.proxy.arrive(asked, client.answer)
         except Exception:
             log.exception("failed on a request")
-            client.answer(plain(500, "internal error"))
+            client.answer(plain_text(500, "internal error"))
             return
         if request is not None and client.open:
             self.request = request
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -13,7 +13,7 @@
 from badgergap.ordinary.heads import request_id
 from badgergap.ordinary.plan import WebPlan, choose, turns_to_spare
 from badgergap.ordinary.turn import Carry, Guard, Join, Turn, Way
-from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.gateway_responses import plain_text, service_unavailable
 from badgergap.proxy.pools import Pools
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Launch, RequestSpec
@@ -41,7 +41,7 @@
         turn.number = request_id(turn, b"%b%x" % (self.id_base, self.ids))
         if turn.method in (b"CONNECT", b"TRACE"):
             turn.keep_alive = False
-            return plain(405, f"{turn.method.decode()} is not served here")
+            return plain_text(405, f"{turn.method.decode()} is not served here")
         if turn.target == b"*" and turn.method == b"OPTIONS":
             return Answer(204, [])
         try:
@@ -50,21 +50,21 @@
             host = read_host(host_as_said) if host_as_said else ""
         except BadPath as bad:
             turn.keep_alive = False  # what it asks cannot be read: no trust in what follows either
-            return plain(400, str(bad))
+            return plain_text(400, str(bad))
         plan = self.plan
         route = plan.table.match(host, target.path, turn.method, turn.by_name)
         if route is None:
             return self._unrouted(host, target.path, turn.method)
         to = plan.by_name[route.name]
         if to.needs_certificate and turn.peer.certificate is None:
-            return plain(403, "this needs a client certificate")
+            return plain_text(403, "this needs a client certificate")
         turn.upload.limit = to.upload_limit
         if turn.length is not None and turn.length > to.upload_limit:
-            return plain(413, f"body over {to.upload_limit} bytes")
+            return plain_text(413, f"body over {to.upload_limit} bytes")
         klass = to.variants.of(turn)
         proxy, spare = self._pool_for(to.pools, to.spare, klass)
         if proxy is None:
-            return refused("no pool serves this")
+            return service_unavailable("no pool serves this")
         turn.way = Way(
             proxy,
             klass,
@@ -87,8 +87,8 @@
     def _unrouted(self, host: str, path: bytes, method: bytes) -> Answer:
         methods = self.plan.table.methods(host, path)
         if methods and method not in methods:
-            return plain(405, "no route takes this method here", (b"allow", b", ".join(sorted(methods))))
-        return plain(404, "no route leads here")
+            return plain_text(405, "no route takes this method here", (b"allow", b", ".join(sorted(methods))))
+        return plain_text(404, "no route leads here")
 
     def _pool_for(
         self, pools: tuple[tuple[str, float], ...], spare: str | None, klass: int
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -37,7 +37,7 @@
 from badgergap.proxy.downstream.request_validation import BadRequestError, RequestValidator
 from badgergap.proxy.downstream.response import complete_response, response_head
 from badgergap.proxy.downstream.response_writer import RespondedRequest
-from badgergap.proxy.gateway_responses import RETRY_AFTER, plain, refused
+from badgergap.proxy.gateway_responses import RETRY_AFTER, plain_text, service_unavailable
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.proxy import Proxy
@@ -198,7 +198,7 @@
                 self.send_response(incoming, refusal.answer)
             except Exception:
                 log.exception("failed on a request")
-                self.send_response(incoming, plain(500, "internal error"))
+                self.send_response(incoming, plain_text(500, "internal error"))
 
     def dispatch(self, incoming: IncomingRequest) -> None:
         """Answer a request here, or hand it to the proxy. Raises BadRequestError."""
@@ -209,7 +209,7 @@
         if path == b"/health/ready":
             ready = server.proxy.ready and not server.ends_connections
             self.requests_read += 1
-            self.send_response(incoming, plain(200, "ready") if ready else plain(503, "not ready"))
+            self.send_response(incoming, plain_text(200, "ready") if ready else plain_text(503, "not ready"))
             return
         if self.over_limit:
             raise BadRequestError(503, "too many connections", (b"retry-after", RETRY_AFTER))
@@ -217,7 +217,7 @@
         if waited_s > READ_LATE_S and self.client_has_left():
             return  # nobody waits: after a hold-up these would keep those who still do waiting
         if not server.lame_duck.accepts_requests(now):
-            self.send_response(incoming, refused("this gateway sends its clients away"))
+            self.send_response(incoming, service_unavailable("this gateway sends its clients away"))
             return
         launch = partial(self.start_attempt, incoming)
         spec = server.validator.validate(incoming, launch, waited_s)
@@ -371,7 +371,9 @@
             case ConnectionAction.REJECT:
                 self.note_close(CloseReason.LAME_DUCK)
                 self.stop_reading()
-                self.write(complete_response(refused("this gateway sends its clients away"), True, False))
+                self.write(
+                    complete_response(service_unavailable("this gateway sends its clients away"), True, False)
+                )
                 self.linger(LAME_DUCK_LINGER_S)
 
     def check_time(self, now: float) -> None:
--- a/badgergap/proxy/downstream/connection_registry.py
+++ b/badgergap/proxy/downstream/connection_registry.py
@@ -10,7 +10,7 @@
 from badgergap.proxy.downstream.http_connection import HttpConnection
 from badgergap.proxy.downstream.incoming_request import IncomingRequest
 from badgergap.proxy.downstream.response import complete_response
-from badgergap.proxy.gateway_responses import refused
+from badgergap.proxy.gateway_responses import service_unavailable
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.memory import LARGEST, LEAST
@@ -62,7 +62,7 @@
         beyond = len(self.connections) - self.limit
         if beyond > self.rejected_capacity:
             connection.note_close(CloseReason.OVER_LIMIT)
-            connection.write(complete_response(refused("too many connections"), True, False))
+            connection.write(complete_response(service_unavailable("too many connections"), True, False))
             if beyond > 2 * self.rejected_capacity:
                 connection.close()  # with its input unread: the reset may overtake the response
             else:
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -13,7 +13,7 @@
 
 from badgergap.balancing.interface import Idempotency
 from badgergap.errors import BadgergapError
-from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.gateway_responses import plain_text
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.requests import Launch, RequestSpec
 
@@ -60,7 +60,7 @@
 
     def __init__(self, status: int, why: str, *headers: tuple[bytes, bytes]) -> None:
         super().__init__(why)
-        self.answer = plain(status, why, *headers)
+        self.answer = plain_text(status, why, *headers)
 
 
 @dataclass(slots=True)
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -41,7 +41,7 @@
 from badgergap.proxy.diagnostics import Diagnostics
 from badgergap.proxy.diagnostics.request_log import RequestLog
 from badgergap.proxy.endpoints.directory import EndpointDirectory
-from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
+from badgergap.proxy.gateway_responses import GROUP_UNREACHABLE, plain_text, service_unavailable
 from badgergap.proxy.lifecycle.config import Address, Config, needs_restart
 from badgergap.proxy.load_reports import report_of
 from badgergap.proxy.peer_messages import PeerMessenger
@@ -190,7 +190,7 @@
         """Answer 500 to a request that a fault of this gateway concerns, if it is owed an answer."""
         request = self.requests.get(request_id) if request_id is not None else None
         if request is not None and request.reply is not None:
-            self.settle(request, plain(500, "internal error"))
+            self.settle(request, plain_text(500, "internal error"))
             self.events.append(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
@@ -204,10 +204,10 @@
                 self.loop.call_later(max(0, delay_us) / 1e6, self.feed, TimerFired(action.token))
             case Reject():
                 if not self.hand_over(action.request_id):
-                    answer = refused("trying again is harmless", action.retry_after_us)
+                    answer = service_unavailable("trying again is harmless", action.retry_after_us)
                     self.finish(action.request_id, answer, action.reason)
             case Fail():
-                self.finish(action.request_id, plain(502, "failed"), action.reason)
+                self.finish(action.request_id, plain_text(502, "failed"), action.reason)
             case Cancel():
                 request = self.requests.get(action.request_id)
                 exchange = request.attempts[action.attempt_number] if request is not None else None
@@ -235,7 +235,7 @@
         """Admit a request or reject it: `reply` is called exactly once, unless `client_left` comes first."""
         epoch = self.current_epoch() if self.current_epoch is not None else 0
         if epoch < 0 or not self.has_capacity():
-            reply(refused("too many requests" if epoch >= 0 else OUT_OF_TOUCH))
+            reply(service_unavailable("too many requests" if epoch >= 0 else GROUP_UNREACHABLE))
             self.request_log.not_admitted()
             if self.observer is not None:
                 self.observer.on_answered(self.clock.now_us(), spec.request_class, 503, 0, spec.tenant)
@@ -353,7 +353,7 @@
                     self.upstream.time_out(exchange)
         if request.reply is not None:
             self.request_log.out_of_time(request.trace)
-            self.settle(request, plain(504, "out of time"))
+            self.settle(request, plain_text(504, "out of time"))
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
 
@@ -451,7 +451,7 @@
         """End a request whose epoch is over: the rules that it was admitted under may have been revoked."""
         if request.reply is not None and not request.attempts_in_flight:
             ran = any(exchange is not None and exchange.written for exchange in request.attempts)
-            answer = plain(502, "failed") if ran else refused(OUT_OF_TOUCH)
+            answer = plain_text(502, "failed") if ran else service_unavailable(GROUP_UNREACHABLE)
             self.settle(request, answer if request.endpoint_failure is None else request.endpoint_failure)
             self.forget_if_over(request)
 
--- a/badgergap/replication/gateway_answers.py
+++ b/badgergap/replication/gateway_answers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.gateway_responses import plain_text, service_unavailable
 from badgergap.proxy.upstream.exchange import Answer
 from badgergap.replication.idempotency_record import Record
 from badgergap.replication.idempotent_request import End
@@ -27,8 +27,8 @@
     if end is End.TOO_LONG and record is not None:
         text += f"; its status was {record.status}"
     if status == 503:
-        answer = refused(text)
+        answer = service_unavailable(text)
         answer.headers.append((STATE_HEADER, state))
         return answer
     after = [(b"retry-after", b"1")] if end is End.UNDER_WAY else []
-    return plain(status, text, (STATE_HEADER, state), *after)
+    return plain_text(status, text, (STATE_HEADER, state), *after)
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from badgergap.ordinary.turn import Guide, Turn
-from badgergap.proxy.gateway_responses import OUT_OF_TOUCH, plain, refused
+from badgergap.proxy.gateway_responses import GROUP_UNREACHABLE, plain_text, service_unavailable
 from badgergap.proxy.upstream.stream_attempt import Client
 from badgergap.replication.keyed_request import KeyedRequest, KeyQueue
 from badgergap.replication.service import ReplicationService
@@ -33,13 +33,13 @@
             return False
         acting = way.proxy.current_epoch
         if acting is not None and acting() < 0:
-            client.answer(refused(OUT_OF_TOUCH))
+            client.answer(service_unavailable(GROUP_UNREACHABLE))
         elif len(key) > KEY_LIMIT:
-            client.answer(plain(400, f"Idempotency-Key over {KEY_LIMIT} bytes"))
+            client.answer(plain_text(400, f"Idempotency-Key over {KEY_LIMIT} bytes"))
         elif self.open_requests >= OPEN_REQUESTS_LIMIT:
-            client.answer(refused("too many keyed requests"))
+            client.answer(service_unavailable("too many keyed requests"))
         elif self.service.replica_node is None:
-            client.answer(refused("this gateway keeps no copies yet"))
+            client.answer(service_unavailable("this gateway keeps no copies yet"))
         else:
             KeyedRequest(self, turn, client, ways, way, key).start()
         return True
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -17,7 +17,7 @@
 from badgergap.consensus.clock import clock_us
 from badgergap.ordinary.turn import Guide, Turn, Way
 from badgergap.proxy.body_streams import AnswerHead, DownloadSource, Headers, Upload
-from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.gateway_responses import plain_text, service_unavailable
 from badgergap.proxy.proxy import TRANSIT_US
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Upstream
@@ -111,7 +111,7 @@
         """The body is here, or is longer than `BODY_LIMIT`."""
         upload = self.turn.upload
         if not upload.complete:
-            self.reply(plain(413, f"a keyed request's body is {BODY_LIMIT} bytes at the most"))
+            self.reply(plain_text(413, f"a keyed request's body is {BODY_LIMIT} bytes at the most"))
             return
         self.body = b"".join(upload.held)
         turn, way = self.turn, self.way
@@ -130,7 +130,7 @@
         elif queue.digest != digest:
             self.reply(gateway_answer(End.OTHER, None))
         elif len(queue.waiting) >= WAITING_LIMIT:
-            self.reply(refused("too many requests with this key"))
+            self.reply(service_unavailable("too many requests with this key"))
         else:
             self.queue = queue
             queue.waiting.append(self)
@@ -348,7 +348,7 @@
                 self.close("broke")
                 self.client.broke()
         elif self.is_running:
-            self.own(plain(502, "the answer broke off"))
+            self.own(plain_text(502, "the answer broke off"))
 
     def answer(self, answer: Answer) -> None:
         """An answer of an endpoint that is here completely, or one of the gateway's own."""
--- a/badgergap/web/front.py
+++ b/badgergap/web/front.py
@@ -33,7 +33,7 @@
 )
 from badgergap.proxy.downstream.request_validation import HEAD_LIMIT
 from badgergap.proxy.downstream.response_writer import REASONS, RespondedRequest, ResponseWriter
-from badgergap.proxy.gateway_responses import plain, refused
+from badgergap.proxy.gateway_responses import plain_text, service_unavailable
 from badgergap.proxy.header_fields import InvalidHeadError, trailers
 from badgergap.proxy.upstream.exchange import Answer
 
@@ -133,12 +133,12 @@
                 if self.incoming.upgrade:
                     self.unparsed, rest = rest, b""
             except httptools.HttpParserError:
-                self.reject_and_close(plain(400, "malformed request"))
+                self.reject_and_close(plain_text(400, "malformed request"))
             incoming = self.incoming
             if not incoming.head_complete and not self.is_closing:
                 incoming.raw_bytes += len(data)
                 if incoming.raw_bytes > HEAD_LIMIT:
-                    self.reject_and_close(plain(431, "head too long"))
+                    self.reject_and_close(plain_text(431, "head too long"))
             self.bypass_parser()
             data = rest
         self.start_next()
@@ -230,7 +230,7 @@
             return
         incoming.size += len(name) + len(value) + 4
         if incoming.size > HEAD_LIMIT:
-            self.reject_and_close(plain(431, "head too long"))
+            self.reject_and_close(plain_text(431, "head too long"))
             return
         if incoming.head_complete:
             incoming.fields.append((name.lower(), value))
@@ -238,7 +238,7 @@
         try:
             incoming.add(name, value)
         except InvalidHeadError as bad:
-            self.reject_and_close(plain(bad.status, str(bad)))
+            self.reject_and_close(plain_text(bad.status, str(bad)))
 
     def on_headers_complete(self) -> None:
         incoming = self.incoming
@@ -252,12 +252,12 @@
                 raise InvalidHeadError("target too long", 414)
             incoming.read()
         except InvalidHeadError as bad:
-            self.reject_and_close(plain(bad.status, str(bad)))
+            self.reject_and_close(plain_text(bad.status, str(bad)))
             return
         incoming.head_complete, incoming.size = True, 0
         incoming.began_at = self.loop.time()
         if len(self.pipeline) >= PIPELINE_LIMIT:
-            self.reject_and_close(plain(400, "too many requests ahead of their turn"))
+            self.reject_and_close(plain_text(400, "too many requests ahead of their turn"))
         else:
             incoming.upload.complete = incoming.length == 0
             self.pipeline.append(incoming)
@@ -269,7 +269,7 @@
             return
         limit = incoming.upload.limit
         if limit is not None and incoming.upload.size + len(body) > limit:
-            self.reject_and_close(plain(413, f"body over {limit} bytes"))
+            self.reject_and_close(plain_text(413, f"body over {limit} bytes"))
         else:
             incoming.upload.put(body)
 
@@ -294,11 +294,13 @@
             self.has_requested = True
             try:
                 refusal = (
-                    refused("too many connections") if self.over_limit else self.door.ways.take(incoming)
+                    service_unavailable("too many connections")
+                    if self.over_limit
+                    else self.door.ways.take(incoming)
                 )
             except Exception:
                 log.exception("failed on a request")
-                refusal = plain(500, "internal error")
+                refusal = plain_text(500, "internal error")
             if refusal is not None:
                 self.send_response(incoming, refusal)
             else:
@@ -429,7 +431,7 @@
             self.abandon_current()
             self.current = current
             current.keep_alive = False
-            self.send_response(current, plain(504, "out of time"))
+            self.send_response(current, plain_text(504, "out of time"))
 
     def check_time(self, now: float) -> None:
         """Enforce the time limits at `now` (loop time, seconds)."""
@@ -447,11 +449,11 @@
             return
         elif self.is_receiving and not self.incoming.head_complete:
             if now - self.phase_began_at > limits.head_s and unread_input.is_quiet(self.transport):
-                self.reject_and_close(plain(408, "the rest of the head has not come"))
+                self.reject_and_close(plain_text(408, "the rest of the head has not come"))
                 self.start_next()
         elif self.is_receiving and not self.read_paused:
             if quiet_s > limits.between_s or now - self.incoming.began_at > limits.body_s:
-                self.reject_and_close(plain(408, "the rest of the body has not come"))
+                self.reject_and_close(plain_text(408, "the rest of the body has not come"))
                 self.start_next()
         elif (
             self.is_idle
