--- a/badgergap/admin/room.py
+++ b/badgergap/admin/room.py
@@ -39,7 +39,7 @@
 from badgergap.balancing.interface import EndpointView
 from badgergap.proxy.endpoints.registry import EndpointRegistryError, ManualDrain, MergedEndpoint
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.pools import proxy_of
+from badgergap.proxy.pools import proxy_for_endpoint
 from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
@@ -265,7 +265,7 @@
 
     def _proxy_of(self, box: str) -> Proxy:
         """The pool that a box is in; the main one if it is nowhere."""
-        return proxy_of(self.proxies().values(), box)
+        return proxy_for_endpoint(self.proxies().values(), box)
 
     def sources(self) -> list[SourceView]:
         assert self.proxy is not None
--- a/badgergap/consensus/drain_agreement.py
+++ b/badgergap/consensus/drain_agreement.py
@@ -14,7 +14,7 @@
 from badgergap.consensus.replicated_state import BACK_ALREADY, OUT_ALREADY
 from badgergap.consensus.versions import ANY_PARENT, Outcome, ProposeVersion, VersionContent
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, EndpointRegistryError, ManualDrain
-from badgergap.proxy.pools import proxy_of
+from badgergap.proxy.pools import proxy_for_endpoint
 from badgergap.proxy.proxy import Proxy
 
 GROUP = "the group"  # who drains and reinstates, where the group agreed on it
@@ -83,7 +83,7 @@
 
     def _drain(self, name: str, by: str) -> None:
         drains = self._main().directory.registry.drains
-        proxy = proxy_of(self.proxies().values(), name)
+        proxy = proxy_for_endpoint(self.proxies().values(), name)
         try:
             proxy.directory.drain(name, by)
         except EndpointRegistryError:
@@ -93,7 +93,7 @@
 
     def _reinstate(self, name: str) -> None:
         try:
-            proxy_of(self.proxies().values(), name).directory.undrain(name, GROUP)
+            proxy_for_endpoint(self.proxies().values(), name).directory.undrain(name, GROUP)
         except EndpointRegistryError:
             self._main().directory.registry.drains.pop(name, None)
 
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -53,7 +53,7 @@
 from badgergap.proxy.endpoints.sources import PLATFORM
 from badgergap.proxy.lifecycle.component import Component, PoolOwner
 from badgergap.proxy.lifecycle.config import Config
-from badgergap.proxy.pools import MAIN, proxy_of
+from badgergap.proxy.pools import MAIN, proxy_for_endpoint
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.tcp_transport import TcpTransport
 
@@ -436,7 +436,7 @@
             self.origin = None
 
     def _apply_manual_drain(self, change: messages.ManualDrainChanged) -> None:
-        proxy = proxy_of(self.proxies().values(), change.endpoint)
+        proxy = proxy_for_endpoint(self.proxies().values(), change.endpoint)
         try:
             if change.drained:
                 proxy.directory.drain(change.endpoint, change.by)
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -20,7 +20,7 @@
 from badgergap.proxy.downstream.listener import Downstream, bind_socket
 from badgergap.proxy.endpoints.registry import EndpointRegistryError
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy.pools import proxy_of
+from badgergap.proxy.pools import proxy_for_endpoint
 from badgergap.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
@@ -189,7 +189,7 @@
 
     def set_drained(self, name: str, drained: bool) -> str:
         """Drain an endpoint by hand, or end that. Raises CommandError."""
-        proxy = proxy_of(self.proxies(), name)
+        proxy = proxy_for_endpoint(self.proxies(), name)
         was = name in proxy.directory.registry.drains
         try:
             if drained:
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -172,7 +172,7 @@
         task.add_done_callback(self.tasks.discard)
 
 
-def proxy_of(proxies: Iterable[Proxy], endpoint: str) -> Proxy:
+def proxy_for_endpoint(proxies: Iterable[Proxy], endpoint: str) -> Proxy:
     """The first of these proxies, the main one ahead, that knows an endpoint; the main one if none does."""
     main, *others = proxies
     for proxy in (main, *others):
