--- a/badgergap/h3/front.py
+++ b/badgergap/h3/front.py
@@ -317,7 +317,7 @@
             self.front.http.send_headers(self.number, [(b":status", b"%d" % status), *headers])
             self.front.link.soon()
 
-    def go_on(self) -> None:
+    def send_continue(self) -> None:
         self.interim(100, [])
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
@@ -346,7 +346,7 @@
                 self.front.http.send_data(self.number, b"", True)
             self.finished()
 
-    def broke(self) -> None:
+    def abort(self) -> None:
         if self.open:
             self.turn.source = None
             self.reset()
--- a/badgergap/joining/room.py
+++ b/badgergap/joining/room.py
@@ -191,7 +191,7 @@
     def interim(self, status: int, headers: Headers) -> None:
         """Hints for one client."""
 
-    def go_on(self) -> None:
+    def send_continue(self) -> None:
         """No member has a body to send."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
@@ -219,7 +219,7 @@
         self.trailers = trailers
         self.run(self.group.end())
 
-    def broke(self) -> None:
+    def abort(self) -> None:
         self.joins.forget(self)
         self.run(self.group.fail())
 
@@ -275,7 +275,7 @@
                 if self.head is not None and self.group.state is not State.OVER:
                     self.joins.counts[SLOW] += 1
                 self.drop(seat)
-                client.broke()
+                client.abort()
             case Do.ALONE:
                 self.drop(seat)
                 if seat.turn.way is not None:
--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -3,7 +3,7 @@
 The rules, stated once. A transport makes a `Turn`, has it taken, and starts it; then:
 
 1. Exactly one of these ends it: `Client.answer` (a whole answer, of this gateway or held of a box), the end
-   of a `Download` that has begun (`end` or `broke`), or `abandon` (nobody waits for it any more).
+   of a `Download` that has begun (`end` or `abort`), or `abandon` (nobody waits for it any more).
 2. It arrives at its pool once its body is whole, as much of it as is held, or its client waits to send it.
 3. There is one body: beside a first copy that is still out and not whole, no second goes.
 """
--- a/badgergap/proxy/body_streams.py
+++ b/badgergap/proxy/body_streams.py
@@ -10,7 +10,7 @@
 3. What a client sends is read no faster than the endpoint takes it, beyond the hold; what an endpoint sends
    is read no faster than the client takes it. Each side is paused by the other, and holds one write's worth
    at most.
-4. Once a response's head is passed on the attempt is the last one. If it breaks, `broke` notifies the
+4. Once a response's head is passed on the attempt is the last one. If it breaks, `abort` notifies the
    client's side, which must make the client see it: a short body never ends as a complete one does.
 """
 
@@ -152,7 +152,7 @@
     def interim(self, status: int, headers: Headers) -> None:
         """A response of the kind 1xx, ahead of the final one."""
 
-    def go_on(self) -> None:
+    def send_continue(self) -> None:
         """A client that waits for 100 may send its body."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
@@ -164,7 +164,7 @@
     def end(self, trailers: Headers) -> None:
         """The response is complete."""
 
-    def broke(self) -> None:
+    def abort(self) -> None:
         """The response has broken off."""
 
 
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -78,7 +78,7 @@
             lines += [b"%b: %b" % header for header in headers]
             self.writer.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
-    def go_on(self) -> None:
+    def send_continue(self) -> None:
         """Send 100 Continue, unless the final response has begun."""
         if self.open and self.incoming.source is None:
             self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -115,7 +115,7 @@
                 self.writer.write(last_chunk(fields))
             self.writer.response_finished(self.incoming)
 
-    def broke(self) -> None:
+    def abort(self) -> None:
         """The response has broken off: abort it, so that the client sees that it is incomplete."""
         if self.open:
             self.incoming.source = None
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -123,7 +123,7 @@
         cut = self.response_started and not self.response_complete
         super().end(outcome, answer)
         if cut:
-            self.spec.download.broke()
+            self.spec.download.abort()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
         """The endpoint says or takes nothing for too long, where the decisions' own time is over."""
@@ -159,7 +159,7 @@
         self.cancel_continue_timer()
         self.commit()
         self.spec.upload.release()
-        self.spec.download.go_on()
+        self.spec.download.send_continue()
 
     def commit(self) -> None:
         """What has come is held no more: the time to the answer counts from the request's end."""
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -45,7 +45,7 @@
         if self.open and not self.keyed_request.over:
             self.keyed_request.client.interim(status, headers)
 
-    def go_on(self) -> None:
+    def send_continue(self) -> None:
         """The body is here."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
@@ -63,7 +63,7 @@
         if self.open:
             self.keyed_request.end_of(trailers)
 
-    def broke(self) -> None:
+    def abort(self) -> None:
         """Pass on that a streamed answer broke off before its end."""
         if self.open:
             self.keyed_request.broke()
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -105,7 +105,7 @@
         upload.on_ready = self.ready
         upload.flow(True)
         if turn.expects:
-            self.client.go_on()  # its body is wanted before any endpoint is asked
+            self.client.send_continue()  # its body is wanted before any endpoint is asked
 
     def ready(self) -> None:
         """The body is here, or is longer than `BODY_LIMIT`."""
@@ -346,7 +346,7 @@
         if self.passing:
             if not self.over:
                 self.close("broke")
-                self.client.broke()
+                self.client.abort()
         elif self.is_running:
             self.own(plain_text(502, "the answer broke off"))
 
