--- a/badgergap/proxy/downstream/acceptor.py
+++ b/badgergap/proxy/downstream/acceptor.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from badgergap.proxy.diagnostics import EventKind, EventLog
-from badgergap.proxy.tcp_transport import TcpTransport, send_at_once
+from badgergap.proxy.tcp_transport import TcpTransport, disable_nagle
 
 ACCEPTED_MOST = 64  # in one turn of the loop
 SHORTAGES_MOST = 8  # in one turn: a shortage may be over in a moment, and others wait behind this connection
@@ -44,7 +44,7 @@
 
     def start(self) -> None:
         """Accept from now on."""
-        send_at_once(self._listener)
+        disable_nagle(self._listener)
         self._is_listening = True
         self._loop.add_reader(self._listener.fileno(), self.accept)
 
--- a/badgergap/proxy/tcp_transport.py
+++ b/badgergap/proxy/tcp_transport.py
@@ -338,7 +338,7 @@
             self._socket.close()
 
 
-def send_at_once(sock: socket.socket) -> None:
+def disable_nagle(sock: socket.socket) -> None:
     """Have small writes sent at once; connections that a listening socket accepts have that from it."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -352,7 +352,7 @@
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            send_at_once(sock)
+            disable_nagle(sock)
             await connect_socket(loop, sock, where)
         except OSError as error:
             sock.close()
--- a/badgergap/web/door.py
+++ b/badgergap/web/door.py
@@ -16,7 +16,7 @@
 from badgergap.proxy.diagnostics import EventLog
 from badgergap.proxy.downstream.acceptor import Acceptor
 from badgergap.proxy.lifecycle.config import Address
-from badgergap.proxy.tcp_transport import TcpTransport, send_at_once
+from badgergap.proxy.tcp_transport import TcpTransport, disable_nagle
 from badgergap.proxy.tls_transport import accept_tls
 from badgergap.web.front import Front
 
@@ -86,7 +86,7 @@
 
     def accept_tls(self) -> None:
         if self.tls_socket is not None:
-            send_at_once(self.tls_socket)
+            disable_nagle(self.tls_socket)
             self.loop.add_reader(self.tls_socket.fileno(), self.accept, self.tls_socket)
 
     def accept(self, listener: socket.socket) -> None:
