--- a/badgergap/proxy/downstream/http_connection.py
+++ b/badgergap/proxy/downstream/http_connection.py
@@ -221,7 +221,7 @@
         Guards against a request that is forwarded while the close behind it stands unread: the loop was held
         up, or does not read this client for now.
         """
-        if not unread_input.has_left(self.transport):
+        if not unread_input.peer_has_closed(self.transport):
             return False
         self.loop.call_soon(self.on_client_left)
         return True
--- a/badgergap/proxy/unread_input.py
+++ b/badgergap/proxy/unread_input.py
@@ -26,7 +26,7 @@
     return _poll(transport, select.POLLIN) == 0
 
 
-def has_left(transport: asyncio.BaseTransport | None) -> bool:
+def peer_has_closed(transport: asyncio.BaseTransport | None) -> bool:
     """Whether the other side has closed, also where it is not read: its close comes after what it has sent.
 
     Not seen while more than the system holds for a socket waits to be read.
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -157,7 +157,7 @@
             taken = await it.host.taken.get()
             (connection,) = unread(it)
             client.writer.close()
-            await until(lambda: unread_input.has_left(connection.transport))
+            await until(lambda: unread_input.peer_has_closed(connection.transport))
             taken.answer(500)
             await it.event(ClientDisconnected)
             await settled(it)
@@ -449,17 +449,17 @@
             client = await it.client()
             await until(lambda: bool(it.downstream.connections))
             (connection,) = unread(it)
-            assert unread_input.is_quiet(connection.transport) and not unread_input.has_left(
+            assert unread_input.is_quiet(connection.transport) and not unread_input.peer_has_closed(
                 connection.transport
             )
             client.send(b"G")
             await until(lambda: not unread_input.is_quiet(connection.transport))
-            assert not unread_input.has_left(connection.transport)
+            assert not unread_input.peer_has_closed(connection.transport)
             client.writer.write_eof()
-            await until(lambda: unread_input.has_left(connection.transport))
+            await until(lambda: unread_input.peer_has_closed(connection.transport))
             client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 0)
             connection.abort()
-            assert unread_input.has_left(connection.transport) and not unread_input.is_quiet(
+            assert unread_input.peer_has_closed(connection.transport) and not unread_input.is_quiet(
                 connection.transport
             )
 
@@ -721,7 +721,7 @@
                 taken.writer.transport.abort()
             else:
                 taken.writer.close()
-            await until(lambda: unread_input.has_left(connection.transport))
+            await until(lambda: unread_input.peer_has_closed(connection.transport))
             connection.transport.resume_reading()
             assert (await client.answer())[::2] == (200, b"whole")
             await settled(it)
