--- a/badgergap/proxy/downstream/connection_registry.py
+++ b/badgergap/proxy/downstream/connection_registry.py
@@ -13,7 +13,7 @@
 from badgergap.proxy.gateway_responses import service_unavailable
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.limits import eviction
-from badgergap.proxy.limits.memory import LARGEST, LEAST
+from badgergap.proxy.limits.memory import MAX_BUFFER, MIN_BUFFER
 from badgergap.proxy.proxy import Proxy
 
 IDLE_SHARE = 1 / 3  # of the connections that clients may have, those that may be between requests
@@ -34,7 +34,9 @@
         self.connection_capacity = eviction.limit(config.sockets, 0)
         self.rejected_capacity = int(eviction.reserve(config.sockets) * REJECTED_SHARE)
         # Bytes written to a client and not taken, beyond which its endpoint is not read.
-        self.unsent_limit = min(LARGEST, max(LEAST, self.budget.total // (4 * self.connection_capacity)))
+        self.unsent_limit = min(
+            MAX_BUFFER, max(MIN_BUFFER, self.budget.total // (4 * self.connection_capacity))
+        )
         self.connections: set[ClientConnection] = set()
         self.connections_elsewhere = 0  # of the limit, those that another process of this gateway holds
         # Between requests; the one used last comes last.
--- a/badgergap/proxy/limits/memory.py
+++ b/badgergap/proxy/limits/memory.py
@@ -1,58 +1,60 @@
-"""Bounds the memory that a process holds of bodies: requests, responses, and what waits to be sent. No I/O.
-
-1. Whoever holds bytes of a body reports each larger change of their number (`change`).
-2. As the budget fills, one read brings fewer bytes, and fewer are held for a retry. Both shrink from LARGEST
-   to LEAST, which every connection always has: so all of them go on, and none waits for another. In all, at
-   most the total and a few times LEAST for each connection is held.
-3. The total comes from the memory that the process may have, less what it takes without any request.
+"""Bounds the memory that a process uses for bodies: requests, responses, and unsent data. No I/O.
+
+1. Every component that buffers bytes of a body reports each larger change of their number (`Budget.change`).
+2. As the budget fills up, a single read returns fewer bytes, and fewer are buffered for a retry. Both limits
+   shrink from MAX_BUFFER to MIN_BUFFER, which every connection always has, so that all connections make
+   progress and none waits for another. In all, at most the total and a few times MIN_BUFFER for each
+   connection is buffered.
+3. The total is derived from the memory limit of the process, less what it uses without any request.
 """
 
 from __future__ import annotations
 
-LARGEST, LEAST = 64 * 1024, 4 * 1024  # bytes
+MAX_BUFFER, MIN_BUFFER = 64 * 1024, 4 * 1024  # bytes
 DEFAULT_TOTAL = 64 * 1024 * 1024  # where the memory limit is not known
-PROCESS_BASELINE = 32 * 1024 * 1024  # the process without any request
-# Of the rest. Copies of bytes on their way, and what the allocator keeps, take as much again.
+PROCESS_BASELINE = 32 * 1024 * 1024  # used by the process without any request
+# Of the memory beyond the baseline. Copies of bytes in transit and memory that the allocator keeps take as
+# much again.
 BODY_SHARE = 0.25
 MIN_TOTAL = 1024 * 1024
-# The part of what is free that one read may bring, and that may be held of one body, is one by this.
+# One read may return at most 1/READ_DIVISOR of the free budget; one body may keep 1/HOLD_DIVISOR of it.
 READ_DIVISOR, HOLD_DIVISOR = 32, 16
 
 
 def total_of(memory_mb: int) -> int:
-    """Return the bytes for bodies of a process that may have `memory_mb` MB (0: not known)."""
+    """Return the budget for bodies, in bytes, of a process limited to `memory_mb` MB (0: not known)."""
     if memory_mb <= 0:
         return DEFAULT_TOTAL
     return max(MIN_TOTAL, int((memory_mb * 1024 * 1024 - PROCESS_BASELINE) * BODY_SHARE))
 
 
 class Budget:
-    """The bytes that are held of bodies in all, and what follows for one read and one body."""
+    """Counts the buffered bytes of all bodies; derives the limits of one read and one body from them."""
 
     def __init__(self, total: int = DEFAULT_TOTAL) -> None:
         self.total, self.used = total, 0
-        self.read = self.hold = 0  # bytes that one read may bring, that may be held of one body
+        self.read = self.hold = 0  # limits, in bytes: of one read, and of the part of one body that is kept
         self.change(0)
 
     def change(self, by: int) -> None:
-        """Report that `by` bytes more are held, or fewer if negative."""
+        """Record that `by` more bytes are buffered, or fewer if it is negative."""
         self.used += by
         free = max(0, self.total - self.used)
-        self.read = min(LARGEST, max(LEAST, free // READ_DIVISOR))
-        self.hold = min(LARGEST, max(LEAST, free // HOLD_DIVISOR))
+        self.read = min(MAX_BUFFER, max(MIN_BUFFER, free // READ_DIVISOR))
+        self.hold = min(MAX_BUFFER, max(MIN_BUFFER, free // HOLD_DIVISOR))
 
 
 class ReadBuffer:
-    """The buffer that all connections read into: each read is taken out of it before the next."""
+    """The buffer that all connections read into; the data of each read is copied out before the next."""
 
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
-        self.view = memoryview(bytearray(LARGEST))
+        self.view = memoryview(bytearray(MAX_BUFFER))
 
     def buffer(self) -> memoryview:
-        """Return the part that the next read may fill."""
+        """Return the part of the buffer that the next read may fill."""
         size = self.budget.read
-        return self.view if size == LARGEST else self.view[:size]
+        return self.view if size == MAX_BUFFER else self.view[:size]
 
     def take(self, size: int) -> bytes:
         """Return a copy of the first `size` bytes."""
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -19,7 +19,7 @@
 from badgergap.proxy.body_streams import HOLD, AnswerHead, Headers
 from badgergap.proxy.downstream.response_writer import last_chunk
 from badgergap.proxy.header_fields import InvalidHeadError, response_headers, trailers
-from badgergap.proxy.limits.memory import LEAST
+from badgergap.proxy.limits.memory import MIN_BUFFER
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Endpoint, PooledConnection, Upstream
 from badgergap.proxy.upstream.exchange import HEAD_LIMIT, INTERIM_LIMIT, Answer, Exchange
@@ -424,7 +424,7 @@
             exchange.spec.download.data(body)
             return
         self.held_chunks.append(body)
-        if self.body_size > LEAST:
+        if self.body_size > MIN_BUFFER:
             self.count_held(self.body_size)
         if self.body_size > self.hold_limit:
             if exchange.spec.buffers_success and self.outcome is not Outcome.SUCCESS:
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -17,7 +17,7 @@
 from badgergap.proxy.body_streams import HOLD
 from badgergap.proxy.downstream import client_connection, forwarding, request_reader
 from badgergap.proxy.downstream.client_connection import ClientConnection
-from badgergap.proxy.limits.memory import LEAST, Budget
+from badgergap.proxy.limits.memory import MIN_BUFFER, Budget
 from badgergap.proxy.upstream import stream_exchange
 from badgergap.standins.net import Server
 from tests.sockets import Client, Gateway, ask, entry, gateway, run, settings
@@ -304,7 +304,7 @@
             for _ in range(50):
                 most = max(most, budget.used)
                 await asyncio.sleep(0.002)
-            assert LEAST < most <= total + readers * (2 * LEAST + it.downstream.unsent_limit)
+            assert MIN_BUFFER < most <= total + readers * (2 * MIN_BUFFER + it.downstream.unsent_limit)
             for client in clients:
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
                 assert (await Reader(client.reader).answer())[2] == data(size)
@@ -551,7 +551,7 @@
         async with beside(Echo(lambda body: with_length(body))) as it:
             it.proxy.upstream.budget.change(Budget().total)
             client = await it.client()
-            for size in (0, 1000, LEAST + 1, HOLD, LONG):
+            for size in (0, 1000, MIN_BUFFER + 1, HOLD, LONG):
                 client.send(ask("buy", body=data(size)))
                 assert (await Reader(client.reader).answer())[2] == data(size)
 
