--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -408,7 +408,7 @@
         self.open_requests -= 1
         for exchange in request.attempts:
             if exchange is not None:
-                exchange.unwant()  # also where the settings allow no cancelling
+                exchange.prevent_start()  # also where the settings allow no cancelling
         if request.last_resort is not None:
             request.last_resort.cancel()
 
--- a/badgergap/proxy/upstream/exchange.py
+++ b/badgergap/proxy/upstream/exchange.py
@@ -59,8 +59,8 @@
         "deadline_at",
         "done",
         "payload",
+        "start_prevented",
         "timer",
-        "unwanted",
         "written",
     )
 
@@ -72,7 +72,7 @@
         self.deadline_at: float | None = None  # time.monotonic() from which it is not begun any more
         self.written = False  # the endpoint may have run it: see the rule above
         self.done = False
-        self.unwanted = False
+        self.start_prevented = False
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
         """Report the outcome, and the response if there is one; does nothing after the first call."""
@@ -83,9 +83,9 @@
             self.timer.cancel()
         self._ended(outcome, answer)
 
-    def unwant(self) -> None:
-        """Its request is over: what has not been sent yet shall not be."""
-        self.unwanted = True
+    def prevent_start(self) -> None:
+        """Forbid sending the request if none of it has been sent yet, because the request has ended."""
+        self.start_prevented = True
 
     @property
     def has_time_out(self) -> bool:
@@ -94,7 +94,7 @@
 
     def may_begin(self) -> bool:
         """Whether it is still to be sent; asked just before its first byte."""
-        if self.done or self.unwanted:
+        if self.done or self.start_prevented:
             return False
         return self.deadline_at is None or time.monotonic() < self.deadline_at
 
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -112,7 +112,7 @@
         assert idempotent is not None
         left_s = self.until - self.keyed_request.loop.time()
         is_current = self.upstream.is_epoch_current(self.epoch)
-        if self.done or self.unwanted or not may or left_s <= 0 or not is_current:
+        if self.done or self.start_prevented or not may or left_s <= 0 or not is_current:
             if may:
                 idempotent.attempt_over(False)
             if not self.done:
@@ -121,11 +121,11 @@
         self.sent = True
         self.inner = self.begin(left_s, AttemptObserver(self))
 
-    def unwant(self) -> None:
+    def prevent_start(self) -> None:
         """Its answer is not wanted any more."""
-        super().unwant()
+        super().prevent_start()
         if self.inner is not None:
-            self.inner.unwant()
+            self.inner.prevent_start()
 
     def over(self, outcome: Outcome) -> None:
         """Report whether the endpoint may have run the request."""
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -748,7 +748,7 @@
             begun.append(left_s)
 
         held = PendingAttempt(seat, upstream, 9.0, books, begin)  # type: ignore[arg-type]
-        held.unwant()
+        held.prevent_start()
         held.go(True)
         assert told == [Outcome.NEVER_SENT] and over == [False] and not begun
 
