--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -305,7 +305,7 @@
         exchange = request.attempts[action.attempt_number] if request is not None else None
         if exchange is not None and not exchange.done and exchange.timer is not None:
             exchange.timer.cancel()
-            exchange.timer = self.loop.call_later(action.timeout_us / 1e6, self.upstream.time_out, exchange)
+            exchange.timer = self.loop.call_later(action.timeout_us / 1e6, self.upstream.on_timeout, exchange)
 
     def on_body_complete(self, request: Request, waited_us: int) -> None:
         """A body that was passed on as it came is complete: its client's time began `waited_us` ago."""
@@ -349,8 +349,8 @@
         """
         if self.clock.now_us() >= request.deadline_us:
             for exchange in list(request.attempts):
-                if exchange is not None and exchange.has_time_out:
-                    self.upstream.time_out(exchange)
+                if exchange is not None and exchange.has_pending_timeout:
+                    self.upstream.on_timeout(exchange)
         if request.reply is not None:
             self.request_log.out_of_time(request.trace)
             self.settle(request, plain(504, "out of time"))
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -261,7 +261,7 @@
         if endpoint is None or not self.may_begin(endpoint, exchange):
             self.loop.call_soon(exchange.never_sent)
             return
-        exchange.timer = self.loop.call_later(timeout_s, self.time_out, exchange)
+        exchange.timer = self.loop.call_later(timeout_s, self.on_timeout, exchange)
         while (connection := self.take_idle(endpoint)) is not None:
             if type(connection) is kind and connection.is_quiet():
                 connection.write(exchange)
@@ -269,7 +269,7 @@
             connection.abort()
         self.connect(endpoint, exchange, kind)
 
-    def time_out(self, exchange: Exchange) -> None:
+    def on_timeout(self, exchange: Exchange) -> None:
         """End an exchange whose time is over, unless its response is here.
 
         Guards against a loop that was held up and runs its timers before it reads: what the endpoint has sent
--- a/badgergap/proxy/upstream/exchange.py
+++ b/badgergap/proxy/upstream/exchange.py
@@ -88,8 +88,8 @@
         self.start_prevented = True
 
     @property
-    def has_time_out(self) -> bool:
-        """Whether it is out, and ends by a time-out of its own; one whose body is committed does not."""
+    def has_pending_timeout(self) -> bool:
+        """Whether it is out, and will end by its own timeout; one whose body is committed will not."""
         return not self.done and self.timer is not None and not self.timer.cancelled()
 
     def may_begin(self) -> bool:
