--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -23,7 +23,7 @@
 from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.proxy.upstream.exchange import Exchange
-from badgergap.proxy.upstream.stream_attempt import Client, ExchangeSpec, StreamAttempt, is_early
+from badgergap.proxy.upstream.stream_attempt import Client, ExchangeSpec, StreamAttempt, is_upload_in_use
 
 log = logging.getLogger(__name__)
 
@@ -182,7 +182,7 @@
             is_failure=way.failing,
             expects_continue=self.expects,
         )
-        if is_early(self.exchange, self.upload):
+        if is_upload_in_use(self.exchange, self.upload):
             second = Exchange(b"", books.on_ended)
             ways.loop.call_soon(second.never_sent)
             return second
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -44,7 +44,7 @@
 from badgergap.proxy.requests import AttemptListener, Request
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.proxy.upstream.exchange import Answer, Exchange
-from badgergap.proxy.upstream.stream_attempt import is_early
+from badgergap.proxy.upstream.stream_attempt import is_upload_in_use
 from badgergap.proxy.upstream.stream_exchange import carry
 
 log = logging.getLogger(__name__)
@@ -241,7 +241,7 @@
         `timeout_s`: what the endpoint is told it has. `listener`: is told how the attempt ends.
         """
         upload = incoming.upload
-        if is_early(incoming.exchange, upload):
+        if is_upload_in_use(incoming.exchange, upload):
             unsent = Exchange(b"", listener.on_ended)
             self.loop.call_soon(unsent.never_sent)
             return unsent
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -46,7 +46,7 @@
 from badgergap.proxy.load_reports import report_of
 from badgergap.proxy.peer_messages import PeerMessenger
 from badgergap.proxy.requests import Observer, Reply, Request, RequestSpec
-from badgergap.proxy.upstream.configured import upstream_of
+from badgergap.proxy.upstream.configured import create_upstream
 from badgergap.proxy.upstream.exchange import Answer
 from badgergap.proxy.upstream.health_check import HealthChecker
 
@@ -82,7 +82,7 @@
         self.clock = clock if clock is not None else Clock()
         self.request_log = RequestLog(self.diagnostics.events, self.clock.now_us)
         self.balancer = Balancer(settings, config.seed)
-        self.upstream = upstream_of(config, loop)
+        self.upstream = create_upstream(config, loop)
         self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
         self.upstream.catch_up = self.directory.catch_up
         self.peers = PeerMessenger(config, self.proxy_settings.may_message, loop, self.feed)
--- a/badgergap/proxy/tcp_transport.py
+++ b/badgergap/proxy/tcp_transport.py
@@ -152,7 +152,7 @@
         and watches it no more. Not looked for where `data_age_s` has just seen the connection open, nor for a
         protocol that is at rest and looks itself before its next use.
         """
-        if self._is_seen_open or not self._is_reading or getattr(self._protocol, "is_at_rest", False):
+        if self._is_seen_open or not self._is_reading or getattr(self._protocol, "has_no_exchange", False):
             return
         code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
--- a/badgergap/proxy/upstream/configured.py
+++ b/badgergap/proxy/upstream/configured.py
@@ -10,7 +10,7 @@
 from badgergap.proxy.upstream.connection_pool import REST_S, Upstream
 
 
-def upstream_of(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
+def create_upstream(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
     """Return the connections of one pool, with its limits and times."""
     settings = config.proxy_settings
     return Upstream(
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -116,7 +116,7 @@
             exchange.lost()
 
     @property
-    def is_at_rest(self) -> bool:
+    def has_no_exchange(self) -> bool:
         """Whether no exchange is on it: it is looked at before its next one (`is_quiet`)."""
         return self.exchange is None
 
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -53,7 +53,7 @@
     response_limit: int | None = None  # bytes of an answer, beyond which it is none
 
 
-def is_early(before: Exchange | None, upload: Upload) -> bool:
+def is_upload_in_use(before: Exchange | None, upload: Upload) -> bool:
     """Whether a second copy would want a body that a first one, still out, is being sent: there is one."""
     return before is not None and not before.done and not upload.complete
 
