--- a/badgergap/proxy/upstream/configured.py
+++ b/badgergap/proxy/upstream/configured.py
@@ -21,5 +21,5 @@
         idle_us=settings.idle_connection_us,
         drain_grace_us=settings.drain_grace_us,
         budget=Budget(total_of(config.memory_mb)),
-        rest_s=0.0 if config.grows else REST_S,
+        reuse_delay_s=0.0 if config.grows else REST_S,
     )
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -152,9 +152,9 @@
         idle_us: int,
         drain_grace_us: int,
         budget: Budget | None = None,
-        rest_s: float = 0.0,
+        reuse_delay_s: float = 0.0,
     ) -> None:
-        """`rest_s`: seconds that a connection rests after an answer, before it is used again."""
+        """`reuse_delay_s`: seconds that a connection rests after an answer, before it is used again."""
         self.loop = loop
         self.budget = budget if budget is not None else Budget()
         self.reads = ReadBuffer(self.budget)
@@ -169,7 +169,7 @@
         self.now: Callable[[], float] = time.monotonic
         # Called before something is sent: takes in what is known of endpoints and stands unread.
         self.catch_up: Callable[[], None] = lambda: None
-        self.rest_s = rest_s
+        self.reuse_delay_s = reuse_delay_s
         # For connections to all endpoints; a certificate that does not fit means no connection.
         self.tls: ssl.SSLContext | None = None
         self.tls_name: str | None = None  # whom certificates must name; None: the address
@@ -288,7 +288,7 @@
         Where no new one can be made, one that has hardly rested is better than closing another endpoint's.
         """
         idle = endpoint.idle
-        rested = bisect_right(idle, self.loop.time() - self.rest_s, key=attrgetter("idle_since"))
+        rested = bisect_right(idle, self.loop.time() - self.reuse_delay_s, key=attrgetter("idle_since"))
         if rested or (idle and not self.has_capacity()):
             return idle.pop(max(0, rested - 1))
         return None
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -474,7 +474,7 @@
     """On a connection that was taken again at once it was served to another client."""
 
     async def test() -> None:
-        async with gateway(rest_s=60.0) as it:
+        async with gateway(reuse_delay_s=60.0) as it:
             client = await it.client()
             client.send(ask())
             first = await it.host.taken.get()
@@ -492,7 +492,7 @@
             second.answer(body=b"second")
             assert (await client.answer())[2] == b"second" and it.host.connections == 2
             (connection,) = it.proxy.upstream.connections
-            it.proxy.upstream.rest_s = 0.0
+            it.proxy.upstream.reuse_delay_s = 0.0
             await it.served(client)
             assert list(it.proxy.upstream.connections) == [connection]
             nothing_left(it)
@@ -502,7 +502,7 @@
 
 def test_with_no_room_for_a_new_connection_one_that_hardly_rested_is_used() -> None:
     async def test() -> None:
-        async with gateway(rest_s=60.0) as it:
+        async with gateway(reuse_delay_s=60.0) as it:
             client = await it.client()
             await it.served(client)
             it.proxy.upstream.limit = 1
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -182,10 +182,10 @@
 
 
 @asynccontextmanager
-async def gateway(hosts: int = 1, rest_s: float = 0.0, **changed: Any) -> AsyncIterator[Gateway]:
+async def gateway(hosts: int = 1, reuse_delay_s: float = 0.0, **changed: Any) -> AsyncIterator[Gateway]:
     """A running gateway that knows `hosts` hosts, all at the one address of `host`.
 
-    `rest_s`: how long its connections to them rest; 0 where a test looks for the same one again.
+    `reuse_delay_s`: how long its connections to them rest; 0 where a test looks for the same one again.
     """
     host, registry = Host(), Registry()
     await host.start()
@@ -196,7 +196,7 @@
     proxy = Proxy(config, loop)
     downstream = Downstream(config, proxy, loop)
     it = Gateway(proxy, downstream, host, registry)
-    proxy.upstream.rest_s = rest_s
+    proxy.upstream.reuse_delay_s = reuse_delay_s
     it.watch_events()
     await proxy.start()
     await downstream.start()
