--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -46,7 +46,7 @@
 from badgergap.proxy.load_reports import report_of
 from badgergap.proxy.peer_messages import PeerMessenger
 from badgergap.proxy.requests import Observer, Reply, Request, RequestSpec
-from badgergap.proxy.upstream.configured import upstream_of
+from badgergap.proxy.upstream.configured import create_upstream
 from badgergap.proxy.upstream.exchange import Answer
 from badgergap.proxy.upstream.health_check import HealthChecker
 
@@ -82,7 +82,7 @@
         self.clock = clock if clock is not None else Clock()
         self.request_log = RequestLog(self.diagnostics.events, self.clock.now_us)
         self.balancer = Balancer(settings, config.seed)
-        self.upstream = upstream_of(config, loop)
+        self.upstream = create_upstream(config, loop)
         self.directory = EndpointDirectory(config, loop, self.clock.now_us, self.upstream, self.feed)
         self.upstream.catch_up = self.directory.catch_up
         self.peers = PeerMessenger(config, self.proxy_settings.may_message, loop, self.feed)
@@ -305,7 +305,7 @@
         exchange = request.attempts[action.attempt_number] if request is not None else None
         if exchange is not None and not exchange.done and exchange.timer is not None:
             exchange.timer.cancel()
-            exchange.timer = self.loop.call_later(action.timeout_us / 1e6, self.upstream.time_out, exchange)
+            exchange.timer = self.loop.call_later(action.timeout_us / 1e6, self.upstream.on_timeout, exchange)
 
     def on_body_complete(self, request: Request, waited_us: int) -> None:
         """A body that was passed on as it came is complete: its client's time began `waited_us` ago."""
@@ -349,8 +349,8 @@
         """
         if self.clock.now_us() >= request.deadline_us:
             for exchange in list(request.attempts):
-                if exchange is not None and exchange.has_time_out:
-                    self.upstream.time_out(exchange)
+                if exchange is not None and exchange.has_pending_timeout:
+                    self.upstream.on_timeout(exchange)
         if request.reply is not None:
             self.request_log.out_of_time(request.trace)
             self.settle(request, plain_text(504, "out of time"))
@@ -408,7 +408,7 @@
         self.open_requests -= 1
         for exchange in request.attempts:
             if exchange is not None:
-                exchange.unwant()  # also where the settings allow no cancelling
+                exchange.prevent_start()  # also where the settings allow no cancelling
         if request.last_resort is not None:
             request.last_resort.cancel()
 
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -116,7 +116,7 @@
             exchange.lost()
 
     @property
-    def is_at_rest(self) -> bool:
+    def has_no_exchange(self) -> bool:
         """Whether no exchange is on it: it is looked at before its next one (`is_quiet`)."""
         return self.exchange is None
 
@@ -152,9 +152,9 @@
         idle_us: int,
         drain_grace_us: int,
         budget: Budget | None = None,
-        rest_s: float = 0.0,
+        reuse_delay_s: float = 0.0,
     ) -> None:
-        """`rest_s`: seconds that a connection rests after an answer, before it is used again."""
+        """`reuse_delay_s`: seconds that a connection rests after an answer, before it is used again."""
         self.loop = loop
         self.budget = budget if budget is not None else Budget()
         self.reads = ReadBuffer(self.budget)
@@ -169,7 +169,7 @@
         self.now: Callable[[], float] = time.monotonic
         # Called before something is sent: takes in what is known of endpoints and stands unread.
         self.catch_up: Callable[[], None] = lambda: None
-        self.rest_s = rest_s
+        self.reuse_delay_s = reuse_delay_s
         # For connections to all endpoints; a certificate that does not fit means no connection.
         self.tls: ssl.SSLContext | None = None
         self.tls_name: str | None = None  # whom certificates must name; None: the address
@@ -261,7 +261,7 @@
         if endpoint is None or not self.may_begin(endpoint, exchange):
             self.loop.call_soon(exchange.never_sent)
             return
-        exchange.timer = self.loop.call_later(timeout_s, self.time_out, exchange)
+        exchange.timer = self.loop.call_later(timeout_s, self.on_timeout, exchange)
         while (connection := self.take_idle(endpoint)) is not None:
             if type(connection) is kind and connection.is_quiet():
                 connection.write(exchange)
@@ -269,7 +269,7 @@
             connection.abort()
         self.connect(endpoint, exchange, kind)
 
-    def time_out(self, exchange: Exchange) -> None:
+    def on_timeout(self, exchange: Exchange) -> None:
         """End an exchange whose time is over, unless its response is here.
 
         Guards against a loop that was held up and runs its timers before it reads: what the endpoint has sent
@@ -288,7 +288,7 @@
         Where no new one can be made, one that has hardly rested is better than closing another endpoint's.
         """
         idle = endpoint.idle
-        rested = bisect_right(idle, self.loop.time() - self.rest_s, key=attrgetter("idle_since"))
+        rested = bisect_right(idle, self.loop.time() - self.reuse_delay_s, key=attrgetter("idle_since"))
         if rested or (idle and not self.has_capacity()):
             return idle.pop(max(0, rested - 1))
         return None
