--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -292,7 +292,7 @@
     def _reincarnate(self, why: str) -> None:
         self._alert(f"this member begins anew, as another one: {why}")
         self.member = None
-        self.session.drop_held()
+        self.session.discard_pending()
         self.tasks.spawn(self._begin_anew(0.0, set_aside=True))
 
     def _send(self, send: member_actions.Send) -> None:
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -137,7 +137,7 @@
     def _on_disk_failed(self, why: str) -> None:
         if self.replica_node is None:
             return
-        self.session.drop_held()
+        self.session.discard_pending()
         self.replica_node.on_failed(why)
         self.settle()
         self._spawn(self._reopen())
--- a/badgergap/storage/log_session.py
+++ b/badgergap/storage/log_session.py
@@ -79,7 +79,7 @@
         else:
             self._send(message)
 
-    def drop_held(self) -> None:
+    def discard_pending(self) -> None:
         """Forget the messages that are held back: what they rely on will never be durable."""
         self._held.clear()
 
