--- a/badgergap/consensus/version_loader.py
+++ b/badgergap/consensus/version_loader.py
@@ -69,7 +69,7 @@
         if self.loading is None:
             self.loading = self.tasks.spawn(self._load_all())
 
-    def reconsider(self) -> None:
+    def refresh_overlay(self) -> None:
         """What a component puts in place of the settings may be another now."""
         content = self.acting_on
         if content.number and self.loading is None and self.overlay(content.settings) != self.body:
--- a/badgergap/rollout/service.py
+++ b/badgergap/rollout/service.py
@@ -317,7 +317,7 @@
         self.is_leading = leads
         if leads:
             self._lead(now_us)
-        self.group.versions.reconsider()
+        self.group.versions.refresh_overlay()
 
     # As the leader
 
