--- a/badgergap/consensus/member_core.py
+++ b/badgergap/consensus/member_core.py
@@ -103,7 +103,7 @@
         """Whether requests may be taken and sent under the version that is loaded. To be asked each time."""
         if self.halted or self.loaded_version == NO_VERSION:
             return False
-        if self.settings.alone_serves:
+        if self.settings.serves_without_lease:
             return True
         return self.lease_left_us(now_us) > 0 and self.loaded_version >= self.minimum_version()
 
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -471,7 +471,7 @@
         elif self.acting() == MAY_NOT_ACT:
             why = f" ({member.rejected})" if member.rejected and not member.is_member else ""
             problems.append(f"This gateway has no lease from its group and refuses all requests{why}.")
-        if member.settings.alone_serves:
+        if member.settings.serves_without_lease:
             problems.append('`alone = "serve"`: this gateway may act on rules that others have taken back.')
         return problems
 
--- a/badgergap/consensus/settings.py
+++ b/badgergap/consensus/settings.py
@@ -24,4 +24,4 @@
     votes: bool = True
     members: Mapping[str, KnownMember] = field(default_factory=dict)  # the others, by name
     contradiction_us: int = 3_000_000  # the longest that two members act on what contradicts
-    alone_serves: bool = False  # act without a lease, too
+    serves_without_lease: bool = False  # act without a lease, too
