--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -102,7 +102,7 @@
         why = f"{error.name} is missing: pip install 'badgergap[group]'"
         raise ConfigError(f"[group] needs its extra, {why}") from None
     room, admin.group = group_room(setup)
-    room.tell = admin.tell
+    room.on_alert = admin.tell
     admin.notices.append(room.problems)
     return room
 
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -103,7 +103,7 @@
         self.proxies: Callable[[], Mapping[str, Proxy]] = self._main_proxy
         self.newest = VersionContent()  # in force or not
         self.alerts: deque[tuple[float, str]] = deque(maxlen=RECENT_ALERTS)  # with their Unix times
-        self.tell: Callable[[str], None] = lambda text: None  # to people, beside the log
+        self.on_alert: Callable[[str], None] = lambda text: None  # to people, beside the log
         self.closed = False
         self._id = ""
         self._may_act_until_us = 0  # the right to act holds until then, unless something happens
@@ -306,7 +306,7 @@
     def _alert(self, text: str) -> None:
         log.warning("group: %s", text)
         self.alerts.append((time.time(), text))
-        self.tell(f"Group: {text}")
+        self.on_alert(f"Group: {text}")
 
     async def _validate(self, id: str, settings: str) -> None:
         why = ""
