--- a/badgergap/cli/group.py
+++ b/badgergap/cli/group.py
@@ -52,7 +52,7 @@
 
     async def agree_out(self, box: str, by: str, out: bool) -> str:
         try:
-            await self.room.agree_out(box, by, out, AGREE_S)
+            await self.room.set_manual_drain(box, by, out, AGREE_S)
         except ConsensusError as error:
             return str(error)
         return ""
--- a/badgergap/consensus/commands.py
+++ b/badgergap/consensus/commands.py
@@ -217,7 +217,7 @@
     async def _drain_or_reinstate(self, arguments: Arguments, out: bool) -> Reply:
         host, author = str(arguments["host"]), str(arguments["by"])
         try:
-            await self.service.agree_out(host, author, out, _seconds(arguments, IN_FORCE_WAIT_S))
+            await self.service.set_manual_drain(host, author, out, _seconds(arguments, IN_FORCE_WAIT_S))
         except ConsensusError as error:
             raise CommandRefusedError(str(error)) from None
         return {"host": host, "out": out}
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -403,7 +403,7 @@
 
         return await self.requests.repeat_until_known(id, send_now, within_s)
 
-    async def agree_out(self, name: str, by: str, out: bool, within_s: float) -> None:
+    async def set_manual_drain(self, name: str, by: str, out: bool, within_s: float) -> None:
         """Drain an endpoint or reinstate it, in force at all who act.
 
         Raises NotAgreedError and NotInForceError; it goes on trying to have an endpoint drained.
