--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -103,7 +103,7 @@
         self.proxies: Callable[[], Mapping[str, Proxy]] = self._main_proxy
         self.newest = VersionContent()  # in force or not
         self.alerts: deque[tuple[float, str]] = deque(maxlen=RECENT_ALERTS)  # with their Unix times
-        self.tell: Callable[[str], None] = lambda text: None  # to people, beside the log
+        self.on_alert: Callable[[str], None] = lambda text: None  # to people, beside the log
         self.closed = False
         self._id = ""
         self._may_act_until_us = 0  # the right to act holds until then, unless something happens
@@ -292,7 +292,7 @@
     def _reincarnate(self, why: str) -> None:
         self._alert(f"this member begins anew, as another one: {why}")
         self.member = None
-        self.session.drop_held()
+        self.session.discard_pending()
         self.tasks.spawn(self._begin_anew(0.0, set_aside=True))
 
     def _send(self, send: member_actions.Send) -> None:
@@ -306,7 +306,7 @@
     def _alert(self, text: str) -> None:
         log.warning("group: %s", text)
         self.alerts.append((time.time(), text))
-        self.tell(f"Group: {text}")
+        self.on_alert(f"Group: {text}")
 
     async def _validate(self, id: str, settings: str) -> None:
         why = ""
@@ -403,7 +403,7 @@
 
         return await self.requests.repeat_until_known(id, send_now, within_s)
 
-    async def agree_out(self, name: str, by: str, out: bool, within_s: float) -> None:
+    async def set_manual_drain(self, name: str, by: str, out: bool, within_s: float) -> None:
         """Drain an endpoint or reinstate it, in force at all who act.
 
         Raises NotAgreedError and NotInForceError; it goes on trying to have an endpoint drained.
@@ -471,7 +471,7 @@
         elif self.acting() == MAY_NOT_ACT:
             why = f" ({member.rejected})" if member.rejected and not member.is_member else ""
             problems.append(f"This gateway has no lease from its group and refuses all requests{why}.")
-        if member.settings.alone_serves:
+        if member.settings.serves_without_lease:
             problems.append('`alone = "serve"`: this gateway may act on rules that others have taken back.')
         return problems
 
