--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker's cycle and the weight controller, by example."""
+"""State transitions of the circuit breaker, and the weight controller."""
 
 from badgergap.balancing.circuit_breaker import (
     FIRST_COOLDOWN_US,
@@ -32,7 +32,7 @@
     return breaker
 
 
-def test_no_verdict_below_the_minimum() -> None:
+def test_stays_closed_below_the_minimum_of_outcomes() -> None:
     breaker = CircuitBreaker()
     for _ in range(MINIMUM_OUTCOMES - 1):
         assert breaker.record(0, True, 0, 0.0) is None
@@ -48,14 +48,14 @@
     assert breaker.failures == 0 and len(breaker.ring) == RING_SIZE
 
 
-def test_an_open_server_gets_nothing_until_the_cooldown_ends() -> None:
+def test_an_open_breaker_allows_nothing_until_the_cooldown_ends() -> None:
     breaker = tripped()
     assert not breaker.allows(FIRST_COOLDOWN_US - 1)
     assert breaker.allows(FIRST_COOLDOWN_US)
     assert breaker.state is BreakerState.HALF_OPEN
 
 
-def test_half_open_gives_out_no_more_than_its_trials() -> None:
+def test_half_open_allows_no_more_than_its_trials() -> None:
     breaker = half_open()
     for _ in range(TRIAL_COUNT):
         assert breaker.allows(FIRST_COOLDOWN_US)
@@ -63,7 +63,7 @@
     assert not breaker.allows(FIRST_COOLDOWN_US)
 
 
-def test_good_trials_close_and_empty_the_ring() -> None:
+def test_successful_trials_close_the_breaker_and_clear_the_ring() -> None:
     breaker = half_open()
     for _ in range(TRIAL_COUNT):
         breaker.take_trial()
@@ -72,7 +72,7 @@
     assert not breaker.ring and breaker.failures == 0
 
 
-def test_bad_trials_reopen_for_longer() -> None:
+def test_failed_trials_reopen_for_longer() -> None:
     breaker = half_open()
     for _ in range(TRIAL_COUNT):
         breaker.take_trial()
@@ -95,19 +95,19 @@
     assert breaker.open_until_us == FIRST_COOLDOWN_US // 2 + FIRST_COOLDOWN_US
 
 
-def test_failures_that_all_servers_share_convict_none() -> None:
+def test_failures_common_to_all_endpoints_do_not_open_a_breaker() -> None:
     breaker = CircuitBreaker()
     for n in range(RING_SIZE):
         breaker.record(0, n % 2 == 0, 0, 0.5)
     assert breaker.state is BreakerState.CLOSED
 
 
-def test_a_server_that_fails_is_opened_and_gets_nothing() -> None:
+def test_a_failing_endpoint_gets_an_open_breaker_and_no_requests() -> None:
     driver = Driver(servers=3)
     for _ in range(200):
         name, actions = driver.arrive()
-        server = sends(actions)[0].endpoint_id
-        actions = driver.end(name, server, Outcome.ERROR if server == 0 else Outcome.SUCCESS)
+        endpoint = sends(actions)[0].endpoint_id
+        actions = driver.end(name, endpoint, Outcome.ERROR if endpoint == 0 else Outcome.SUCCESS)
         for again in sends(actions):
             driver.end(name, again.endpoint_id, attempt=1)
     assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
@@ -117,38 +117,38 @@
         driver.end(name, sends(actions)[0].endpoint_id)
 
 
-def test_weight_steps_up_and_is_cut() -> None:
+def test_weight_rises_after_success_and_falls_after_failure() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.endpoints[0]
-    server.weight = 0.5
+    endpoint = driver.balancer.endpoints[0]
+    endpoint.weight = 0.5
     name, _ = driver.arrive()
     driver.end(name, 0)
-    assert server.weight == 0.5 + WEIGHT_INCREASE
+    assert endpoint.weight == 0.5 + WEIGHT_INCREASE
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.ERROR)
-    assert server.weight == (0.5 + WEIGHT_INCREASE) * WEIGHT_DECREASE_FACTOR
+    assert endpoint.weight == (0.5 + WEIGHT_INCREASE) * WEIGHT_DECREASE_FACTOR
 
 
-def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
+def test_a_response_over_twice_the_smoothed_latency_lowers_the_weight() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.endpoints[0]
+    endpoint = driver.balancer.endpoints[0]
     name, _ = driver.arrive()
     driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
-    assert server.weight == MAX_WEIGHT * WEIGHT_DECREASE_FACTOR
+    assert endpoint.weight == MAX_WEIGHT * WEIGHT_DECREASE_FACTOR
 
 
-def test_weight_stays_between_floor_and_ceiling() -> None:
+def test_weight_stays_between_minimum_and_maximum() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.endpoints[0]
+    endpoint = driver.balancer.endpoints[0]
     for _ in range(40):
-        server.weight = next_weight(server.weight, True)
-    assert server.weight == MIN_WEIGHT
+        endpoint.weight = next_weight(endpoint.weight, True)
+    assert endpoint.weight == MIN_WEIGHT
     for _ in range(400):
-        server.weight = next_weight(server.weight, False)
-    assert server.weight == MAX_WEIGHT
+        endpoint.weight = next_weight(endpoint.weight, False)
+    assert endpoint.weight == MAX_WEIGHT
 
 
-def test_a_newcomer_starts_at_the_mean_weight() -> None:
+def test_a_new_endpoint_starts_at_the_mean_weight() -> None:
     driver = Driver(servers=2)
     driver.balancer.endpoints[0].weight = 0.2
     driver.balancer.endpoints[1].weight = 0.6
@@ -156,44 +156,44 @@
     assert driver.balancer.endpoints[9].weight == 0.4
 
 
-def test_a_closed_again_server_regains_its_weight() -> None:
+def test_an_endpoint_keeps_its_weight_until_the_breaker_closes_again() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.endpoints[0]
+    endpoint = driver.balancer.endpoints[0]
     for _ in range(MINIMUM_OUTCOMES):
         name, actions = driver.arrive(klass=2)
         assert sends(actions)
         driver.end(name, 0, Outcome.ERROR)
-    assert server.breakers[0].state is BreakerState.OPEN
-    weight = server.weight
+    assert endpoint.breakers[0].state is BreakerState.OPEN
+    weight = endpoint.weight
     driver.now_us += FIRST_COOLDOWN_US
     for _ in range(TRIAL_COUNT):
         name, actions = driver.arrive()
         assert sends(actions)
         driver.end(name, 0)
-    assert server.breakers[0].state.value == "closed"
-    assert server.weight == max(MIN_WEIGHT, weight)
+    assert endpoint.breakers[0].state.value == "closed"
+    assert endpoint.weight == max(MIN_WEIGHT, weight)
 
 
-def test_a_server_that_fails_one_class_loses_that_class_only() -> None:
-    """In one ring, a class's silence drowned in the answers to the others."""
+def test_an_endpoint_that_fails_one_class_is_excluded_for_that_class_only() -> None:
+    """With a single ring, the failures of one class were outnumbered by successes of the others."""
     driver = Driver(servers=2)
     for n in range(120):
         name, actions = driver.arrive(klass=n % 3)
-        server = sends(actions)[0].endpoint_id
-        failed = server == 0 and n % 3 == 2
-        driver.end(name, server, Outcome.ERROR if failed else Outcome.SUCCESS)
+        endpoint = sends(actions)[0].endpoint_id
+        failed = endpoint == 0 and n % 3 == 2
+        driver.end(name, endpoint, Outcome.ERROR if failed else Outcome.SUCCESS)
     states = [breaker.state for breaker in driver.balancer.endpoints[0].breakers]
     assert states == [BreakerState.CLOSED, BreakerState.CLOSED, BreakerState.CLOSED, BreakerState.OPEN]
-    to_0 = dict.fromkeys(range(3), 0)
+    sent_to_0 = dict.fromkeys(range(3), 0)
     for n in range(60):
         name, actions = driver.arrive(klass=n % 3)
-        to_0[n % 3] += sends(actions)[0].endpoint_id == 0
+        sent_to_0[n % 3] += sends(actions)[0].endpoint_id == 0
         driver.end(name, sends(actions)[0].endpoint_id)
-    assert to_0[0] and to_0[1] and not to_0[2]
+    assert sent_to_0[0] and sent_to_0[1] and not sent_to_0[2]
 
 
 def test_a_failed_connect_is_one_failure_among_others() -> None:
-    """Where handshakes were slow, one failed connect shut out servers whose open connections worked."""
+    """With slow handshakes, one failed connect excluded endpoints whose open connections worked."""
     driver = Driver(servers=1)
     for n in range(MINIMUM_OUTCOMES):
         assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.CLOSED
@@ -202,18 +202,18 @@
     assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
 
 
-def test_a_jam_does_not_open_one_breaker_after_the_other() -> None:
-    """Each one that opened left its work to the rest, until nine of twelve were open and all was refused."""
+def test_an_overload_does_not_open_one_breaker_after_the_other() -> None:
+    """Each opened breaker moved its load to the others, until nine of twelve were open."""
     driver = Driver(servers=12)
-    servers = list(driver.balancer.endpoints.values())
-    for server in servers[:4]:
-        trip(server.breakers[0], driver.now_us)
-    rest = servers[4]
-    rest.breakers[0].record(driver.now_us, False, 0, 0.0)
+    all_endpoints = list(driver.balancer.endpoints.values())
+    for endpoint in all_endpoints[:4]:
+        trip(endpoint.breakers[0], driver.now_us)
+    tested = all_endpoints[4]
+    tested.breakers[0].record(driver.now_us, False, 0, 0.0)
     for _ in range(RING_SIZE - 2):
-        common = common_failure_share([s.breakers[0] for s in servers if s is not rest])
-        assert rest.breakers[0].record(driver.now_us, True, 0, common) is None
-    for _ in range(2):  # nothing but failures is evidence enough
-        common = common_failure_share([s.breakers[0] for s in servers if s is not rest])
-        state = rest.breakers[0].record(driver.now_us, True, 0, common)
+        common = common_failure_share([s.breakers[0] for s in all_endpoints if s is not tested])
+        assert tested.breakers[0].record(driver.now_us, True, 0, common) is None
+    for _ in range(2):  # a ring of nothing but failures opens the breaker
+        common = common_failure_share([s.breakers[0] for s in all_endpoints if s is not tested])
+        state = tested.breakers[0].record(driver.now_us, True, 0, common)
     assert state is BreakerState.OPEN
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -1,4 +1,4 @@
-"""A host out by hand, and put back: what the balancer makes of it."""
+"""Manual drains: endpoints taken out of service by an operator and reinstated."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def serve(driver: Driver, requests: int = 1, klass: int = 0) -> list[int]:
-    """The hosts that so many requests go to; each is answered after 10 ms."""
+    """Return the endpoints that the requests are sent to; each is answered after 10 ms."""
     to = []
     for _ in range(requests):
         name, actions = driver.arrive(klass)
@@ -46,7 +46,7 @@
     return view.warm_up_fraction
 
 
-def test_a_host_put_back_is_cold_whatever_start_the_list_still_tells() -> None:
+def test_a_reinstated_endpoint_is_cold_whatever_start_time_is_listed() -> None:
     driver = Driver(COLD)
     serve(driver, 50)
     tell(driver, 1, OUT)
@@ -55,16 +55,16 @@
     tell(driver, 1, READY)
     assert share(driver, 1) == pytest.approx(0.14)
     driver.now_us += WARM_US // 2
-    tell(driver, 1, READY)  # the list again, as it was
+    tell(driver, 1, READY)  # the same list entry again
     assert share(driver, 1) == pytest.approx(0.57)
-    # The list hears of the restart late: it is the one that was reckoned with, and no further one.
+    # A restart that is listed late is the one assumed at the reinstatement, not a further one.
     tell(driver, 1, READY, started_us=driver.now_us - WARM_US)
     assert share(driver, 1) == pytest.approx(0.57)
     tell(driver, 1, READY, started_us=driver.now_us)
     assert share(driver, 1) == pytest.approx(0.14)
 
 
-def test_a_start_that_the_list_told_since_the_call_out_is_believed() -> None:
+def test_a_start_time_listed_during_the_drain_is_used() -> None:
     driver = Driver(COLD)
     tell(driver, 1, OUT)
     driver.now_us += 1_000_000
@@ -75,36 +75,36 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_host_put_back_is_used_soon_if_it_was_used_before(seed: int) -> None:
-    """Within 5 s, also by a proxy that would not have drawn it: at thirty requests a second."""
+def test_a_reinstated_endpoint_that_was_used_before_is_used_soon(seed: int) -> None:
+    """Within 4 s at about thirty requests a second, also if the random choice would rarely pick it."""
     driver = Driver(COLD, servers=12, seed=seed)
     used = serve(driver, 200)
     number = max(set(used), key=used.count)
     tell(driver, number, OUT)
     assert number not in serve(driver, 100)
     tell(driver, number, READY)
-    began_us = driver.now_us
+    reinstated_at_us = driver.now_us
     while number not in serve(driver):
         driver.now_us += 23_000
-    assert driver.now_us - began_us < 4_000_000
+    assert driver.now_us - reinstated_at_us < 4_000_000
 
 
-def test_a_host_far_away_that_was_used_is_used_again_soon_too() -> None:
-    """By the draw it would come up once in hundreds of requests."""
+def test_a_reinstated_endpoint_in_another_zone_is_used_soon() -> None:
+    """The random choice alone would pick it once in hundreds of requests."""
     driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), servers=0)
     near = [ListedEndpoint(n) for n in range(6)]
     driver.list_servers(*near, ListedEndpoint(6, zone=1))
     driver.balancer.endpoints[6].used = True
     for status in (OUT, READY):
         driver.list_servers(ListedEndpoint(6, status, zone=1), kind=EndpointListKind.DELTA)
-    began_us = driver.now_us
+    reinstated_at_us = driver.now_us
     while 6 not in serve(driver):
         driver.now_us += 23_000
-        assert driver.now_us - began_us < 4_000_000
+        assert driver.now_us - reinstated_at_us < 4_000_000
     assert not driver.balancer.table.reinstated
 
 
-def test_a_host_never_used_is_not_sought_out() -> None:
+def test_a_reinstated_endpoint_that_was_never_used_is_not_preferred() -> None:
     driver = Driver(COLD, servers=12)
     used = set(serve(driver, 200))
     other = next(n for n in range(12) if n not in used)
@@ -113,7 +113,7 @@
     assert not driver.balancer.table.reinstated
 
 
-def test_a_breaker_that_opened_before_does_not_outlive_the_call_back() -> None:
+def test_reinstating_an_endpoint_resets_its_breaker() -> None:
     driver = Driver(COLD)
     while not driver.balancer.endpoint_views(driver.now_us, [1])[0].open_until_us:
         name, actions = driver.arrive()
@@ -137,12 +137,12 @@
 
 @settings(max_examples=60)
 @given(STEPS)
-def test_no_attempt_goes_to_a_host_that_is_out(steps: list[tuple[str, int, int]]) -> None:
-    """Under any order of calls, lists and requests; and a cold host is never sent more than its budget."""
+def test_no_attempt_goes_to_a_drained_endpoint(steps: list[tuple[str, int, int]]) -> None:
+    """For any order of drains, list updates and requests; a reinstated endpoint starts cold."""
     driver = Driver(COLD, servers=4)
     status = dict.fromkeys(range(4), READY)
-    since = dict.fromkeys(range(4), 0)
-    cold_from = dict.fromkeys(range(4), 0)
+    started_us = dict.fromkeys(range(4), 0)
+    cold_since_us = dict.fromkeys(range(4), 0)
     for what, number, pause_us in steps:
         driver.now_us += pause_us
         if what == "requests":
@@ -156,13 +156,13 @@
             status[number] = OUT
         elif what == "back":
             if status[number] is OUT:
-                cold_from[number] = driver.now_us
+                cold_since_us[number] = driver.now_us
             status[number] = READY
         else:
-            since[number] = driver.now_us
+            started_us[number] = driver.now_us
             status[number] = READY if status[number] is EndpointStatus.GONE else status[number]
-        tell(driver, number, status[number], since[number])
-        if status[number] is READY and driver.now_us == cold_from[number]:
+        tell(driver, number, status[number], started_us[number])
+        if status[number] is READY and driver.now_us == cold_since_us[number]:
             assert share(driver, number) < 1.0
     assert all(s.entry.status is status[n] for n, s in driver.balancer.endpoints.items())
     assert driver.now_us >= START_US
--- a/tests/balancing/test_pure_rules.py
+++ b/tests/balancing/test_pure_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the decisions that need no balancer: each alone, by example."""
+"""Unit tests of the pure functions and small classes behind the balancer's decisions."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     assert waits == [500_000, 1_000_000, 2_000_000, 4_000_000, 4_000_000]
 
 
-def test_another_zone_weighs_less_by_its_price_and_the_own_zone_never() -> None:
+def test_the_price_of_crossing_zones_lowers_the_weight_of_other_zones_only() -> None:
     assert locality_factor(True, 0.5) == 1.0 == locality_factor(False, 0.0)
     assert locality_factor(False, 0.5) == 1.0 / (1.0 + CROSS_ZONE_PENALTY * 0.5)
 
@@ -109,7 +109,7 @@
     assert SLOW_START.budget_us(0.1, 10) == whole
 
 
-def test_a_bucket_takes_one_request_of_any_cost_and_pays_off_with_time() -> None:
+def test_a_bucket_accepts_one_request_of_any_cost_and_drains_over_time() -> None:
     warming = endpoint()
     assert SLOW_START.has_budget(warming, 1.0, 100_000.0, cost_us=90_000.0, now_us=0)
     warming.spent_us = 90_000.0
@@ -119,7 +119,7 @@
     assert warming.spent_us == max(0.0, 90_000.0 - (1.0 - BURST_SHARE) * 100_000.0 * 1.2)
 
 
-def test_what_may_be_repeated_and_what_may_be_rejected() -> None:
+def test_repeatable_and_rejectable_requests() -> None:
     assert [is_repeatable(rules) for rules in (SAFE, KEYED, UNSAFE)] == [True, True, False]
     anywhere = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
     assert [is_rejectable(rules, True) for rules in (SAFE, KEYED, anywhere, UNSAFE)] == [
@@ -136,7 +136,7 @@
     ("scope", "dropped"),
     [(DeduplicationScope.ALL, True), (DeduplicationScope.ZONE, False), (DeduplicationScope.GROUP, True)],
 )
-def test_repeats_are_dropped_within_their_scope(scope: DeduplicationScope, dropped: bool) -> None:
+def test_repeats_are_deduplicated_within_their_scope(scope: DeduplicationScope, dropped: bool) -> None:
     rules = replace(KEYED, deduplication_scope=scope)
     earlier = [endpoint(1, zone=1, group=4)]
     assert deduplicates(rules, earlier, endpoint(2, zone=2, group=4)) is dropped
@@ -147,7 +147,7 @@
     assert attempt_deadline_us(request(replace(SAFE, late_weight=0.0)), 0) == 196_000
 
 
-def test_first_tries_earn_retries_up_to_a_limit() -> None:
+def test_new_requests_earn_retry_tokens_up_to_a_limit() -> None:
     budget = RetryBudget()
     budget.spend()
     budget.spend()
@@ -160,13 +160,13 @@
     assert budget.tokens == MAX_RETRY_TOKENS
 
 
-def test_the_policy_knows_which_outcomes_prove_that_nothing_ran() -> None:
+def test_rejected_proves_that_nothing_ran_unless_the_settings_exclude_it() -> None:
     proven = RetryPolicy.from_settings(SETTINGS).never_ran
     unproven = RetryPolicy.from_settings(replace(SETTINGS, rejected_may_have_run=True)).never_ran
     assert proven - unproven == {Outcome.REJECTED}
 
 
-def test_a_request_starts_when_those_before_it_have_had_their_time() -> None:
+def test_the_earliest_start_allows_for_earlier_requests_and_the_quiet_period() -> None:
     first, second = request(), request()
     queue = KeyQueue(7)
     queue.requests += [first, second]
@@ -183,10 +183,10 @@
     assert prioritised_classes((SAFE,)) == [False]
 
 
-def test_the_home_of_a_key_weighs_more_and_the_others_the_same() -> None:
+def test_the_home_endpoint_of_a_key_gets_a_higher_weight() -> None:
     weights = [(2.0, endpoint(number)) for number in range(4)]
-    raised = boost_home_endpoint(11, weights)
-    assert raised == 2.0 * (HOME_WEIGHT_FACTOR - 1.0)
+    increase = boost_home_endpoint(11, weights)
+    assert increase == 2.0 * (HOME_WEIGHT_FACTOR - 1.0)
     assert sorted(weight for weight, _ in weights) == [2.0, 2.0, 2.0, 2.0 * HOME_WEIGHT_FACTOR]
 
 
@@ -198,7 +198,7 @@
     assert has_restarted(known, ListedEndpoint(1, started_us=101))
 
 
-def test_what_is_no_snapshot_is_an_error_of_this_package_and_a_value_error() -> None:
+def test_an_invalid_snapshot_raises_a_package_error_that_is_a_value_error() -> None:
     with pytest.raises(SnapshotError, match="no snapshot") as raised:
         Driver().balancer.restore(1, {})
     assert isinstance(raised.value, BadgergapError) and isinstance(raised.value, ValueError)
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -1,4 +1,4 @@
-"""Request life, subset, shedding, cold servers and membership by example: a test for each failure found."""
+"""Request lifecycle, subset, shedding, cold endpoints and endpoint lists: a test per failure found."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert finals(answer) == [Fail(name)] and not sends(answer)
 
 
-def test_an_unsafe_request_that_never_ran_goes_elsewhere() -> None:
+def test_an_unsafe_request_that_never_ran_is_retried_elsewhere() -> None:
     driver = Driver()
     name, actions = driver.arrive(klass=2)
     first = sends(actions)[0].endpoint_id
@@ -62,23 +62,23 @@
     assert finals(driver.end(name, sends(actions)[0].endpoint_id, Outcome.RESET)) == [Fail(name)]
 
 
-# Guards against an effect twice: a request bound to where it may have run was sent to any of these, whatever
-# its scope and window.
+# Guards against a double effect: a request restricted to the endpoints where it may have run was sent to any
+# of these, regardless of its deduplication scope and window.
 @pytest.mark.parametrize(
-    ("bound", "waited_us", "attempts"),
+    ("allowed", "waited_us", "attempts"),
     [
         ((2, 4), 0, [{2, 4}, {2, 4}]),
         ((2, 4), KEYED.deduplication_window_us, [{2, 4}]),
-        ((2, 3), 0, []),  # of two groups: one of them has not seen it
-        ((2, 99), 0, []),  # 99 is not listed: its group is not known
+        ((2, 3), 0, []),  # two groups: one of them has not seen the request
+        ((2, 99), 0, []),  # 99 is not listed, so its group is unknown
         ((3,), 0, [{3}]),
     ],
 )
-def test_a_bound_keyed_request_stays_in_its_group_and_window(
-    bound: tuple[int, ...], waited_us: int, attempts: list[set[int]]
+def test_a_restricted_keyed_request_stays_in_its_group_and_window(
+    allowed: tuple[int, ...], waited_us: int, attempts: list[set[int]]
 ) -> None:
     driver = Driver(servers=6)
-    name, actions = driver.arrive(klass=1, allowed_endpoints=bound)  # type: ignore[arg-type]
+    name, actions = driver.arrive(klass=1, allowed_endpoints=allowed)  # type: ignore[arg-type]
     sent: list[int] = []
     while sends(actions):
         (send,) = sends(actions)
@@ -89,21 +89,21 @@
     assert len(sent) == len(attempts) and len(finals(actions)) == 1
 
 
-def test_a_keyed_request_dropped_everywhere_may_be_refused() -> None:
+def test_a_keyed_request_deduplicated_everywhere_may_be_rejected() -> None:
     anywhere = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
     driver = Driver(replace(SETTINGS, classes=(anywhere,), max_attempts=1))
     name, actions = driver.arrive()
     assert finals(driver.end(name, sends(actions)[0].endpoint_id, Outcome.ERROR)) == [Reject(name)]
 
 
-def test_attempts_end_with_the_limit() -> None:
+def test_the_number_of_attempts_is_limited() -> None:
     driver = Driver(replace(SETTINGS, max_attempts=2), servers=5)
     name, actions = driver.arrive()
     again = sends(driver.end(name, sends(actions)[0].endpoint_id, Outcome.ERROR))
     assert finals(driver.end(name, again[0].endpoint_id, Outcome.ERROR, attempt=1)) == [Reject(name)]
 
 
-def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
+def test_an_overdue_attempt_is_hedged_and_the_slower_attempt_cancelled() -> None:
     driver = Driver()
     driver.balancer.latency.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
@@ -111,17 +111,18 @@
     (timer,) = timers(actions)
     assert timer.due_us == driver.now_us + int(OVERDUE_MULTIPLE * 20_000)
     driver.now_us = timer.due_us
-    copy = sends(driver.handle(TimerFired(timer.token)))[0]
-    assert copy.endpoint_id != first
-    assert driver.end(name, copy.endpoint_id, attempt=1) == [Cancel(name, 0)]
+    hedged = sends(driver.handle(TimerFired(timer.token)))[0]
+    assert hedged.endpoint_id != first
+    assert driver.end(name, hedged.endpoint_id, attempt=1) == [Cancel(name, 0)]
     driver.end(name, first, Outcome.CANCELLED)
-    assert driver.balancer.endpoints[first].breakers[0].failures == 1  # overdue, so the silence counts
+    # The attempt was overdue, so it counts as a failure.
+    assert driver.balancer.endpoints[first].breakers[0].failures == 1
     assert not driver.balancer.requests
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.RESET, Outcome.CONNECT_FAILED])
-def test_the_time_of_an_attempt_that_is_over_is_not_that_of_the_next(outcome: Outcome) -> None:
-    """Its timer called the attempt overdue that had just followed it, and sent a second copy beside that."""
+def test_the_timer_of_an_ended_attempt_does_not_affect_the_next(outcome: Outcome) -> None:
+    """The timer of an ended attempt marked the attempt after it as overdue and hedged it."""
     driver = Driver(replace(SETTINGS, max_attempts=4))
     name, actions = driver.arrive()
     (first,) = sends(actions)
@@ -132,13 +133,13 @@
     assert driver.handle(TimerFired(timer.token)) == []
     (attempt,) = (a for a in driver.balancer.requests[name].attempts if not a.ended)
     assert not attempt.overdue
-    timer = driver.timers[-1]  # its own
+    timer = driver.timers[-1]  # of the second attempt
     driver.now_us = timer.due_us
     (third,) = sends(driver.handle(TimerFired(timer.token)))
     assert attempt.overdue and third.endpoint_id not in (first.endpoint_id, second.endpoint_id)
 
 
-def test_no_second_copy_where_none_is_allowed() -> None:
+def test_no_hedged_request_unless_allowed() -> None:
     driver = Driver(replace(SETTINGS, hedging_allowed=False))
     driver.balancer.latency.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
@@ -147,7 +148,7 @@
     assert not sends(driver.handle(TimerFired(timer.token)))
 
 
-def test_an_unsafe_request_is_no_trial() -> None:
+def test_an_unsafe_request_is_not_used_as_a_trial() -> None:
     driver = Driver(servers=2)
     breaker = driver.balancer.endpoints[0].breakers[0]
     trip(breaker, driver.now_us)
@@ -156,29 +157,29 @@
         assert sends(driver.arrive(klass=2)[1])[0].endpoint_id == 1
 
 
-def test_a_silent_server_gets_nothing_more() -> None:
+def test_an_unresponsive_endpoint_gets_no_further_requests() -> None:
     driver = Driver(servers=1)
     driver.arrive(klass=2)
     driver.now_us += int(OVERDUE_MULTIPLE * max(driver.balancer.latency.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
-def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
+def test_rejections_state_the_shortest_cooldown_when_all_breakers_are_open() -> None:
     driver = Driver(servers=2)
-    for number, server in driver.balancer.endpoints.items():
-        trip(server.breakers[0], driver.now_us + number * 100_000)
+    for number, endpoint in driver.balancer.endpoints.items():
+        trip(endpoint.breakers[0], driver.now_us + number * 100_000)
     driver.now_us += 400_000
     name, actions = driver.arrive()
     assert finals(actions) == [Reject(name, 600_000)]
 
 
-def test_without_servers_requests_are_refused() -> None:
+def test_without_endpoints_requests_are_rejected() -> None:
     driver = Driver(servers=0)
     name, actions = driver.arrive(klass=2)
     assert finals(actions) == [Reject(name)]
 
 
-def test_the_client_leaving_ends_the_request() -> None:
+def test_a_client_disconnect_ends_the_request() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     assert driver.handle(ClientDisconnected(name)) == [Cancel(name, 0)]
@@ -186,7 +187,7 @@
     assert not driver.balancer.requests
 
 
-def test_a_stream_is_left_alone() -> None:
+def test_a_stream_is_not_hedged() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     driver.handle(StreamStarted(name, 0))
@@ -197,7 +198,7 @@
     assert not driver.balancer.requests
 
 
-def test_an_id_in_hand_is_not_taken_twice() -> None:
+def test_a_duplicate_request_id_is_ignored() -> None:
     driver = Driver()
     driver.arrive()
     driver.count = 0
@@ -213,7 +214,7 @@
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
 
-def test_servers_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
+def test_endpoints_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
     driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), servers=0)
     driver.list_servers(ListedEndpoint(1, zone=0), ListedEndpoint(2, zone=1))
     to_home = 0
@@ -224,15 +225,15 @@
     assert 130 < to_home < 190
 
 
-def test_a_keys_requests_go_home_while_it_has_room() -> None:
+def test_requests_of_a_sticky_key_prefer_its_home_endpoint() -> None:
     driver = Driver(replace(SETTINGS, sticky_keys=True), servers=8)
-    met: dict[int, int] = {}
+    used: dict[int, int] = {}
     for _ in range(100):
         name, actions = driver.arrive(key=77)
-        server = sends(actions)[0].endpoint_id
-        met[server] = met.get(server, 0) + 1
-        driver.end(name, server)
-    assert max(met.values()) > 50 and len(met) > 1
+        endpoint = sends(actions)[0].endpoint_id
+        used[endpoint] = used.get(endpoint, 0) + 1
+        driver.end(name, endpoint)
+    assert max(used.values()) > 50 and len(used) > 1
 
 
 def test_an_unknown_class_is_failed() -> None:
@@ -241,7 +242,7 @@
     assert finals(actions) == [Fail(name)]
 
 
-def test_a_draining_or_gone_server_gets_nothing_new() -> None:
+def test_a_draining_or_gone_endpoint_gets_no_new_requests() -> None:
     driver = Driver(servers=3)
     driver.list_servers(
         ListedEndpoint(0, EndpointStatus.DRAINING),
@@ -252,7 +253,7 @@
         assert sends(driver.arrive()[1])[0].endpoint_id == 2
 
 
-def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
+def test_a_full_list_removes_missing_endpoints_and_a_restart_resets_the_record() -> None:
     driver = Driver(servers=3)
     driver.balancer.endpoints[1].breakers[0].record(0, True, 0, 0.0)
     driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
@@ -260,10 +261,10 @@
     assert driver.balancer.endpoints[1].breakers[0].failures == 0
 
 
-def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
+def test_the_list_is_subscribed_to_and_retried_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, endpoint_list_is_pushed=False), servers=0)
     (timer,) = timers(driver.list_servers(ListedEndpoint(1), kind=EndpointListKind.DISK))
-    assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all proxies at once
+    assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # spread over the proxies
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
     for _ in range(8):
@@ -274,7 +275,7 @@
     assert list(driver.balancer.endpoints) == [1]
 
 
-def test_nothing_is_kept_of_what_is_finished() -> None:
+def test_no_state_is_kept_of_finished_requests() -> None:
     driver = Driver(servers=4)
     for n in range(3_000):
         name, actions = driver.arrive(klass=n % 3)
@@ -345,8 +346,8 @@
         Prices(**bad)
 
 
-def test_a_proxy_with_few_answers_sheds_as_soon_as_a_busy_one() -> None:
-    """Of 850 proxies each saw three answers in the five seconds in which the fleet jammed."""
+def test_a_proxy_with_few_responses_sheds_as_soon_as_a_busy_one() -> None:
+    """Each of 850 proxies received three responses in the five seconds in which the fleet overloaded."""
     shed = []
     for gap_us in (100_000, 1_500_000):
         driver = Driver()
@@ -359,41 +360,41 @@
     assert shed[1] >= 2 * shed[0] > 0
 
 
-def test_unsafe_is_the_default_effect() -> None:
+def test_unsafe_is_the_default_idempotency() -> None:
     assert RequestClass(objective_us=1, client_timeout_us=1).idempotency is UNSAFE.idempotency
 
 
 def test_a_proxy_keeps_to_its_subset() -> None:
-    """With a server each, hundreds of proxies filled every connection table: 90% of attempts got none."""
-    met: set[int] = set()
+    """Without subsets hundreds of proxies filled all connection tables; 90% of attempts got none."""
+    used: set[int] = set()
     driver = Driver(replace(SETTINGS, proxy_count=300, proxy_index=5), servers=60)
     for _ in range(300):
         name, actions = driver.arrive()
-        met.add(sends(actions)[0].endpoint_id)
+        used.add(sends(actions)[0].endpoint_id)
         driver.end(name, sends(actions)[0].endpoint_id)
-    assert len(met) <= MIN_SUBSET_SIZE + 1
+    assert len(used) <= MIN_SUBSET_SIZE + 1
 
 
 def test_subsets_are_even_and_move_little() -> None:
     used = [0] * 40
     for proxy in range(400):
-        ranks = sorted(range(40), key=lambda server: rendezvous_rank(proxy, server, 1.0))
-        without = [server for server in ranks if server != 3]
+        ranks = sorted(range(40), key=lambda endpoint: rendezvous_rank(proxy, endpoint, 1.0))
+        without = [endpoint for endpoint in ranks if endpoint != 3]
         assert [r for r in ranks[:4] if r != 3] == without[: 4 - (3 in ranks[:4])]
-        for server in ranks[:4]:
-            used[server] += 1
+        for endpoint in ranks[:4]:
+            used[endpoint] += 1
     assert min(used) > 20 and max(used) < 65
 
 
-def test_a_proxy_with_more_in_hand_reaches_further(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One proxy with a fifth of all traffic would crush the few servers of a fixed subset."""
+def test_the_subset_grows_with_the_attempts_in_flight(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One proxy with a fifth of all traffic would overload the few endpoints of a fixed subset."""
     driver = Driver(replace(SETTINGS, proxy_count=300), servers=60)
     monkeypatch.setattr(AdmissionControl, "burst_shed_fraction", lambda self: 0.0)
-    met = {send.endpoint_id for _ in range(40) for send in sends(driver.arrive(klass=2)[1])}
-    assert len(met) > 3 * MIN_SUBSET_SIZE
+    used = {send.endpoint_id for _ in range(40) for send in sends(driver.arrive(klass=2)[1])}
+    assert len(used) > 3 * MIN_SUBSET_SIZE
 
 
-def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
+def test_an_endpoint_with_an_open_breaker_is_replaced_by_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, proxy_count=300), servers=60)
     subset = driver.balancer.selector.subset(0, driver.now_us)
     trip(subset[0].breakers[0], driver.now_us)
@@ -411,9 +412,9 @@
 )
 
 
-def test_cold_servers_are_kept_within_the_budget_by_all_proxies_together() -> None:
-    """Each proxy sent its one allowed request at the moment a server was listed, forty at once."""
-    work_us = [0.0] * 20  # by windows of half a second
+def test_all_proxies_together_keep_a_cold_endpoint_within_its_budget() -> None:
+    """All forty proxies sent their one allowed request when the endpoint was listed, at the same time."""
+    work_us = [0.0] * 20  # per half second
     for proxy in range(40):
         driver = Driver(replace(COLD, proxy_index=proxy), servers=0, seed=proxy)
         driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
@@ -428,8 +429,8 @@
     assert sum(work_us) > 0
 
 
-def test_a_jam_leaves_a_cold_server_what_it_can_do() -> None:
-    """Replies that have waited counted as work: in a jam cold servers stood idle while half was refused."""
+def test_an_overload_does_not_reduce_the_load_of_a_cold_endpoint() -> None:
+    """Queueing counted as work: in an overload cold endpoints stood idle while half was rejected."""
     cold = replace(SETTINGS, classes=(UNSAFE,), cold_capacity=0.25, warm_up_us=8_000_000, overload_multiple=4)
     sent = []
     for usual_us in (10_000.0, 100_000.0):
@@ -441,53 +442,53 @@
     assert sent[0] == sent[1] > 10
 
 
-def test_what_is_served_on_a_repeat_counts_for_its_class() -> None:
-    """Only first tries counted: the class whose clients come back most was taken for the worst served."""
-    for took_us, served in ((20_000, 1.0), (150_000, 0.0)):
+def test_a_served_client_retry_counts_for_its_class() -> None:
+    """Only new requests counted: the class with most client retries was taken for the worst served."""
+    for duration_us, served in ((20_000, 1.0), (150_000, 0.0)):
         driver = Driver()
-        name, actions = driver.arrive(patience_us=300_000, is_retry=True)  # 100 ms of the aim are left
-        driver.now_us += took_us
+        name, actions = driver.arrive(patience_us=300_000, is_retry=True)  # 100 ms of the objective are left
+        driver.now_us += duration_us
         driver.end(name, sends(actions)[0].endpoint_id)
         assert driver.balancer.admission.served[0] == served
 
 
-def test_what_is_worth_most_is_left_least_to_chance() -> None:
-    """Drawn like any other, one in eight of the most worth queued behind others beside a free server."""
-    spared = []
-    for klass in (1, 2):  # of the three the last alone is worth more than the mean
+def test_prioritised_classes_nearly_always_get_the_best_endpoint() -> None:
+    """Otherwise one in eight of the most valuable requests queued although another endpoint was free."""
+    chosen = []
+    for klass in (1, 2):  # only the last of the three has a weight above the mean
         driver = Driver(replace(SETTINGS, proxy_count=1), servers=3)
         busy, free, _ = driver.balancer.table.ranked
-        for server, out in ((busy, 2), (driver.balancer.table.ranked[2], 2), (free, 1)):
-            server.in_flight = {Attempt(server, driver.now_us, (0, 0)): driver.now_us for _ in range(out)}
+        for endpoint, out in ((busy, 2), (driver.balancer.table.ranked[2], 2), (free, 1)):
+            endpoint.in_flight = {Attempt(endpoint, driver.now_us, (0, 0)): driver.now_us for _ in range(out)}
         rules = driver.balancer.settings.classes[klass]
         request = driver.balancer.lifecycle.register(RequestArrived("r", klass, 400_000), rules)
-        spared.append(
+        chosen.append(
             sum(driver.balancer.selector.pick(request, driver.now_us) is free for _ in range(1_000))
         )
-    assert spared[0] < 850 and spared[1] > 985
+    assert chosen[0] < 850 and chosen[1] > 985
 
 
-def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
-    """When many step aside from failing servers, all would meet on the same cold one."""
+def test_a_cold_endpoint_outside_the_subset_is_not_used_as_a_replacement() -> None:
+    """Many proxies that avoid failing endpoints would all converge on the same cold one."""
     driver = Driver(replace(COLD, proxy_count=300), servers=60)
     last = driver.balancer.table.ranked[-1].entry.endpoint_id
-    for server in driver.balancer.table.ranked[:-1]:
-        trip(server.breakers[0], driver.now_us)
+    for endpoint in driver.balancer.table.ranked[:-1]:
+        trip(endpoint.breakers[0], driver.now_us)
     driver.list_servers(ListedEndpoint(last, started_us=driver.now_us - 1), kind=EndpointListKind.DELTA)
     assert driver.balancer.selector.subset(0, driver.now_us) == []
 
 
-def test_what_is_worth_nothing_late_is_timed_out_at_the_aim() -> None:
-    """Attempts left until the client gave up filled every queue with work that no one wanted any more."""
+def test_attempts_without_late_value_time_out_at_the_objective() -> None:
+    """Attempts that ran until the client timeout filled every queue with work of no more use."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_weight=0.0), SAFE)))
     assert sends(driver.arrive(klass=0)[1])[0].timeout_us < SAFE.objective_us
     assert sends(driver.arrive(klass=1)[1])[0].timeout_us > SAFE.objective_us
 
 
-def test_long_waits_shed_the_least_worth_first_and_prompt_answers_end_it() -> None:
+def test_late_responses_shed_the_least_valuable_class_first_and_prompt_ones_end_it() -> None:
     cheap = replace(SAFE, priority_weight=1.0)
-    dear = replace(SAFE, priority_weight=10.0)
-    driver = Driver(Settings(classes=(cheap, dear)))
+    valuable = replace(SAFE, priority_weight=10.0)
+    driver = Driver(Settings(classes=(cheap, valuable)))
     crowd(driver)
     for number in range(100):
         driver.balancer.admission.offered[number % 2] += 1
@@ -498,18 +499,18 @@
             driver.balancer.admission.shed_updated_us = driver.now_us - 100_000
             driver.end(name, sends(actions)[0].endpoint_id, latency_us=latency_us)
             driver.now_us += 4_000_000
-        refused = []
+        rejected = []
         for klass in (0, 1):
             name, actions = driver.arrive(klass=klass)
-            refused.append(bool(finals(actions)))
+            rejected.append(bool(finals(actions)))
             if sends(actions):
                 driver.handle(ClientDisconnected(name))
                 driver.end(name, sends(actions)[0].endpoint_id, Outcome.CANCELLED)
-        assert refused == shed
+        assert rejected == shed
 
 
-def test_no_copy_and_no_repeat_of_what_may_have_run_while_anything_is_shed() -> None:
-    """Three hundred proxies doubled their work at the first jam, and the fleet never left it."""
+def test_no_retry_of_what_may_have_run_while_anything_is_shed() -> None:
+    """Three hundred proxies doubled their load at the first overload, and the fleet never recovered."""
     driver = Driver()
     driver.balancer.admission.shed_fraction = MAX_SHED_STEP
     driver.balancer.random.seed(1)
@@ -520,8 +521,8 @@
     assert not sends(driver.end(name, sends(actions)[0].endpoint_id, Outcome.TIMEOUT))
 
 
-def test_what_a_server_spoilt_goes_to_another_even_while_some_is_shed() -> None:
-    """As soon as anything was shed, each spoilt answer lost its request, also one worth most."""
+def test_an_attempt_failed_by_its_endpoint_is_retried_even_while_shedding() -> None:
+    """As soon as anything was shed, each failed attempt lost its request, even the most valuable."""
     for outcome, again in ((Outcome.RESET, True), (Outcome.ERROR, True), (Outcome.TIMEOUT, False)):
         driver = Driver()
         name, actions = driver.arrive(klass=0)
@@ -530,8 +531,8 @@
         assert bool(sends(driver.end(name, sends(actions)[0].endpoint_id, outcome))) == again
 
 
-def test_a_last_try_that_is_given_more_does_not_make_first_tries_late() -> None:
-    """Clients leave their last try all the time left: first tries, given less, were refused as late."""
+def test_client_retries_with_longer_timeouts_do_not_make_new_requests_late() -> None:
+    """Clients give their last attempt all remaining time: new requests, given less, were rejected as late."""
     late = replace(SAFE, late_weight=0.0)
     for marks in (True, False):
         driver = Driver(replace(SETTINGS, classes=(late,), clients_mark_retries=marks))
@@ -544,45 +545,44 @@
             driver.end(name, send.endpoint_id)
 
 
-def test_a_few_long_answers_among_hundreds_shed_little() -> None:
-    """At 250 answers a second ten long ones in a row came every few seconds, and nearly all was refused."""
-    driver = Driver(servers=8)  # room for ten at once
+def test_a_few_slow_responses_among_hundreds_shed_little() -> None:
+    """At 250 responses/s ten slow ones in a row came every few seconds, and nearly all was rejected."""
+    driver = Driver(servers=8)  # enough for ten requests at the same time
     crowd(driver)
-    asked = [driver.arrive(klass=2) for _ in range(10)]
+    requests = [driver.arrive(klass=2) for _ in range(10)]
     driver.balancer.admission.shed_updated_us = driver.now_us
-    for name, actions in asked:
+    for name, actions in requests:
         driver.now_us += 4_000
         driver.end(name, sends(actions)[0].endpoint_id, latency_us=290_000)
     assert 0.0 < driver.balancer.admission.shed_fraction <= 0.1
 
 
-def test_work_that_is_long_by_itself_is_no_crowd() -> None:
-    """With three requests out at a dozen servers a proxy refused nine in ten: much of the work was long."""
+def test_requests_that_take_long_are_not_taken_for_queueing() -> None:
+    """With three requests in flight at 12 endpoints a proxy rejected 90%, as much of the work took long."""
     shed = []
     for out in (3, 30):
         driver = Driver(servers=12)
-        asked = [driver.arrive(klass=2) for _ in range(out)]
+        requests = [driver.arrive(klass=2) for _ in range(out)]
         driver.now_us += 5_000_000
         driver.handle(EndpointList(EndpointListKind.DELTA))
-        name, actions = asked[0]
+        name, actions = requests[0]
         driver.end(name, sends(actions)[0].endpoint_id, latency_us=290_000)
         shed.append(driver.balancer.admission.shed_fraction)
     assert shed[0] == 0.0 < shed[1]
 
 
-def test_a_burst_sheds_before_any_answer_tells_of_it() -> None:
-    """Of a burst of hundreds every request was sent, every one waited past its aim, and all were repeated."""
+def test_a_burst_is_shed_before_any_response_shows_it() -> None:
+    """All of a burst of hundreds of requests were sent, exceeded their objective, and were retried."""
     driver = Driver(servers=4)
     sent = sum(bool(sends(driver.arrive()[1])) for _ in range(200))
     assert 4 < sent < 100
-    lone = Driver(
-        replace(SETTINGS, proxy_count=100), servers=4
-    )  # three of its own tell nothing of the others'
-    assert all(sends(lone.arrive()[1]) for _ in range(3))
+    # Three requests at one of many proxies do not predict the load from the others.
+    single = Driver(replace(SETTINGS, proxy_count=100), servers=4)
+    assert all(sends(single.arrive()[1]) for _ in range(3))
 
 
-def test_the_unhindered_latency_does_not_sink_to_the_shortest_work() -> None:
-    """Of thousands of answers the shortest took a tenth of the mean: nearly all seemed to have waited."""
+def test_the_baseline_does_not_fall_to_the_shortest_response() -> None:
+    """The shortest of thousands took a tenth of the mean, so that nearly all seemed to have queued."""
     driver = Driver(servers=1)
     driver.balancer.random.seed(3)
     for number in range(3_000):
@@ -591,8 +591,8 @@
     assert driver.balancer.latency.baseline_us[0] > 5_000
 
 
-def test_live_weights_that_tell_of_a_crowd_shed_before_any_answer_does() -> None:
-    """A proxy with few answers noticed a crowd when the servers had choked already."""
+def test_live_weights_that_show_an_overload_shed_before_any_response() -> None:
+    """A proxy with few responses noticed an overload only when it had already impaired the endpoints."""
     for live in (True, False):
         driver = Driver(replace(SETTINGS, weights_follow_load=live), servers=0)
         driver.list_servers(*(ListedEndpoint(n, weight=4.0) for n in range(3)))
@@ -608,22 +608,22 @@
         assert driver.balancer.admission.shed_fraction == 0.0
 
 
-def test_a_server_keeps_its_weight_from_before_the_trip() -> None:
-    """Late outcomes and failed trials cut the weight that a recovering server was to come back with."""
+def test_an_endpoint_keeps_its_weight_while_its_breaker_is_not_closed() -> None:
+    """Late outcomes and failed trials lowered the weight with which an endpoint was to recover."""
     driver = Driver(servers=1)
-    server = driver.balancer.endpoints[0]
+    endpoint = driver.balancer.endpoints[0]
     names = [driver.arrive(klass=2)[0] for _ in range(2)]
-    trip(server.breakers[0], driver.now_us)
-    weight = server.weight
-    driver.end(names[0], 0, Outcome.ERROR)  # sent before the trip
-    assert server.weight == weight
-    driver.now_us = server.breakers[0].open_until_us
+    trip(endpoint.breakers[0], driver.now_us)
+    weight = endpoint.weight
+    driver.end(names[0], 0, Outcome.ERROR)  # sent before the breaker opened
+    assert endpoint.weight == weight
+    driver.now_us = endpoint.breakers[0].open_until_us
     driver.end(names[1], 0, Outcome.ERROR)
-    assert server.weight == weight
+    assert endpoint.weight == weight
 
 
-def test_full_refusals_shed_nothing() -> None:
-    """Where servers throttled one class, their refusals made a proxy shed every class."""
+def test_rejections_by_endpoints_shed_nothing() -> None:
+    """Where endpoints throttled one class, their rejections made a proxy shed every class."""
     driver = Driver(servers=3)
     for _ in range(6):
         name, actions = driver.arrive()
@@ -632,8 +632,8 @@
     assert driver.balancer.admission.shed_fraction == 0.0
 
 
-def test_a_new_proxy_soon_learns_how_fast_the_servers_are() -> None:
-    """Restarted proxies took a jam for the usual: the unhindered latency began high and sank slowly."""
+def test_a_new_proxy_soon_learns_the_baseline_latency() -> None:
+    """Restarted proxies learned an overload as the baseline, which started high and fell slowly."""
     driver = Driver(servers=1)
     balancer = driver.balancer
     start_us = balancer.latency.baseline_us[0]
@@ -643,72 +643,72 @@
     assert balancer.latency.baseline_us[0] - 10_000 < 0.5 * (start_us - 10_000)
     name, _ = driver.arrive()
     before_us = balancer.latency.baseline_us[0]
-    driver.end(name, 0, latency_us=1)  # one lucky answer is no measure
+    driver.end(name, 0, latency_us=1)  # a single short response is not representative
     assert balancer.latency.baseline_us[0] > 0.8 * before_us
 
 
-def test_a_little_over_the_unhindered_latency_is_no_jam_where_aims_are_tight() -> None:
-    """A quarter of a small slack lay within the work's own scatter, and a quiet day shed half."""
+def test_a_small_wait_is_no_overload_where_objectives_are_tight() -> None:
+    """A quarter of a small slack was within the normal variation, and half was shed without overload."""
     driver = Driver(servers=1)
     crowd(driver)
-    driver.balancer.latency.baseline_us[0] = 150_000.0  # of an aim of 200 ms
-    for latency_us, sheds in ((250_000, False), (310_000, True)):
+    driver.balancer.latency.baseline_us[0] = 150_000.0  # of an objective of 200 ms
+    for latency_us, is_shedding in ((250_000, False), (310_000, True)):
         name, _ = driver.arrive()
         driver.now_us += 100_000
         driver.end(name, 0, latency_us=latency_us)
-        assert (driver.balancer.admission.shed_fraction > 0.0) == sheds
+        assert (driver.balancer.admission.shed_fraction > 0.0) == is_shedding
 
 
-def test_a_longer_wait_is_tolerated_where_late_answers_are_worth_something() -> None:
-    """At half the worth after the aim a refusal costs more than the wait."""
-    for late_worth, sheds in ((0.0, True), (0.5, False)):
-        klass = replace(SAFE, late_weight=late_worth)
+def test_a_longer_wait_is_tolerated_where_late_answers_have_value() -> None:
+    """If half the value remains after the objective, a rejection costs more than the wait."""
+    for late_share, is_shedding in ((0.0, True), (0.5, False)):
+        klass = replace(SAFE, late_weight=late_share)
         driver = Driver(replace(SETTINGS, classes=(klass,)), servers=1)
         crowd(driver)
         driver.balancer.latency.baseline_us[0] = 20_000.0
         name, _ = driver.arrive()
         driver.end(name, 0, latency_us=100_000)
-        assert (driver.balancer.admission.shed_fraction > 0.0) == sheds
+        assert (driver.balancer.admission.shed_fraction > 0.0) == is_shedding
 
 
-def test_a_client_that_leaves_a_jam_counts_for_shedding() -> None:
-    """Impatient clients hid the jam that they made: what they left taught nothing."""
-    for stayed_us, sheds in ((10_000, False), (90_000, True)):
+def test_a_client_that_disconnects_during_an_overload_counts_for_shedding() -> None:
+    """Clients with short timeouts hid the overload that they caused: abandoned attempts were not counted."""
+    for connected_us, is_shedding in ((10_000, False), (90_000, True)):
         driver = Driver(servers=1)
         crowd(driver)
         driver.balancer.latency.baseline_us[0] = 40_000.0
         name, _ = driver.arrive()
-        driver.now_us += stayed_us
+        driver.now_us += connected_us
         driver.handle(ClientDisconnected(name))
-        assert (driver.balancer.admission.shed_fraction > 0.0) == sheds
+        assert (driver.balancer.admission.shed_fraction > 0.0) == is_shedding
 
 
 ORDERED = replace(SETTINGS, classes=(SAFE, replace(UNSAFE, in_order=True)), ordered_key_quiet_us=50_000)
 
 
-def test_ordered_requests_of_one_key_take_turns() -> None:
+def test_ordered_requests_of_one_key_run_one_at_a_time() -> None:
     driver = Driver(ORDERED)
     first, actions = driver.arrive(klass=1, key=7)
-    server = sends(actions)[0].endpoint_id
+    endpoint = sends(actions)[0].endpoint_id
     second, actions = driver.arrive(klass=1, key=7)
     assert not sends(actions) and not finals(actions)
     assert sends(driver.arrive(klass=1, key=8)[1]) and sends(driver.arrive(klass=1)[1])
-    assert [s.request_id for s in sends(driver.end(first, server))] == [second]
+    assert [s.request_id for s in sends(driver.end(first, endpoint))] == [second]
 
 
-def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
+def test_a_key_has_a_quiet_period_after_an_attempt_that_may_still_run() -> None:
     driver = Driver(ORDERED)
     first, actions = driver.arrive(klass=1, key=7)
-    server = sends(actions)[0].endpoint_id
+    endpoint = sends(actions)[0].endpoint_id
     second, _ = driver.arrive(klass=1, key=7)
     assert driver.handle(ClientDisconnected(first)) == [Cancel(first, 0)]
-    (rest,) = timers(driver.end(first, server, Outcome.CANCELLED))
-    assert rest.due_us == driver.now_us + 50_000
-    driver.now_us = rest.due_us - 1
+    (quiet_timer,) = timers(driver.end(first, endpoint, Outcome.CANCELLED))
+    assert quiet_timer.due_us == driver.now_us + 50_000
+    driver.now_us = quiet_timer.due_us - 1
     third, actions = driver.arrive(klass=1, key=7)
     assert not sends(actions)
-    driver.now_us = rest.due_us
-    (send,) = sends(driver.handle(TimerFired(rest.token)))
+    driver.now_us = quiet_timer.due_us
+    (send,) = sends(driver.handle(TimerFired(quiet_timer.token)))
     assert send.request_id == second
     driver.end(second, send.endpoint_id)
     driver.end(third, 0)
@@ -718,7 +718,7 @@
     assert third and not driver.balancer.context.timers
 
 
-def test_what_cannot_have_its_turn_in_time_is_turned_away() -> None:
+def test_an_ordered_request_that_cannot_run_in_time_is_rejected() -> None:
     driver = Driver(ORDERED)
     driver.arrive(klass=1, key=7)
     min_duration_us = int(driver.balancer.latency.baseline_us[1])
@@ -730,7 +730,7 @@
     assert finals(driver.handle(TimerFired(timer.token))) == [Reject(waiting)]
 
 
-def test_many_turned_away_at_once_are_answered_without_recursion() -> None:
+def test_many_rejections_from_one_queue_are_answered_without_recursion() -> None:
     driver = Driver(ORDERED, servers=1)
     first, _ = driver.arrive(klass=1, key=7, patience_us=10**9)
     driver.balancer.latency.baseline_us[1] = 0.0
@@ -740,7 +740,7 @@
     assert answers == [Reject(name) for name in waiting] and not driver.balancer.lifecycle.ordering.queues
 
 
-def test_full_is_no_proof_where_the_settings_say_so() -> None:
+def test_a_rejected_attempt_may_have_run_if_the_settings_say_so() -> None:
     for unproven in (False, True):
         driver = Driver(replace(SETTINGS, rejected_may_have_run=unproven))
         name, actions = driver.arrive(klass=2)
@@ -749,7 +749,7 @@
         assert bool(sends(answer)) != unproven
 
 
-def test_a_request_with_no_time_left_is_refused_unsent() -> None:
+def test_a_request_with_no_time_left_is_rejected_without_an_attempt() -> None:
     driver = Driver()
     for klass in range(3):
         name, actions = driver.arrive(klass=klass, patience_us=0)
@@ -757,7 +757,7 @@
     assert not driver.balancer.requests
 
 
-def test_after_an_empty_list_requests_are_refused_and_late_outcomes_settle() -> None:
+def test_after_an_empty_list_requests_are_rejected_and_late_outcomes_processed() -> None:
     driver = Driver()
     first, actions = driver.arrive(klass=2)
     driver.list_servers()
@@ -767,7 +767,7 @@
     assert not driver.balancer.requests and driver.balancer.in_flight == 0
 
 
-# Guards against clients that are told to come back at once while nothing that could serve them is up.
+# Guards against clients that are asked to retry immediately while no endpoint can serve them.
 @pytest.mark.parametrize("status", [EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.OUT])
 def test_retry_after_counts_only_endpoints_that_take_requests(status: EndpointStatus) -> None:
     driver = Driver(replace(SETTINGS, max_retry_after_us=30_000_000))
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -1,4 +1,4 @@
-"""Generated event sequences: the rules hold whatever comes back, in whatever order, for each effect class."""
+"""Generated event sequences: the safety rules hold for any outcomes, in any order, for each class."""
 
 from __future__ import annotations
 
@@ -39,21 +39,21 @@
 
 
 @dataclass
-class Try:
-    server: int
+class AttemptRecord:
+    endpoint: int
     sent_us: int
     timeout_us: int
     outcome: Outcome | None = None
 
 
 @dataclass
-class Case:
-    klass: int
+class RequestRecord:
+    request_class: int
     deadline_us: int
     key: int | None = None
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
     answers: list[Action] = field(default_factory=list)
-    done: bool = False  # answered, served or given up by the client
+    done: bool = False  # answered, served or abandoned by the client
 
 
 ORDERED = tuple(replace(c, in_order=c.idempotency is not Idempotency.SAFE) for c in SETTINGS.classes)
@@ -66,23 +66,23 @@
 )
 
 
-class World:
-    """Carries out the actions and checks each against the rules."""
+class RuleChecker:
+    """Carries out the actions and checks that each follows the rules."""
 
     def __init__(self, seed: int, settings: Settings = SETTINGS) -> None:
         self.settings = settings
         self.never_ran = NEVER_RAN - ({Outcome.REJECTED} if settings.rejected_may_have_run else set())
-        self.resting: dict[int, int] = {}  # by key: not before this
+        self.quiet_until_us: dict[int, int] = {}  # by key: earliest time of the next request
         self.balancer = Balancer(settings, seed)
         self.now_us = START_US
-        self.cases: dict[str, Case] = {}
+        self.records: dict[str, RequestRecord] = {}
         self.timers: list[tuple[int, int]] = []
         self.status = dict.fromkeys(GROUP, EndpointStatus.READY)
-        self.give(
+        self.deliver(
             EndpointList(EndpointListKind.FULL, tuple(ListedEndpoint(n, group=g) for n, g in GROUP.items()))
         )
 
-    def give(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
         for action in self.balancer.handle(self.now_us, event):
             self.carry_out(action)
 
@@ -90,122 +90,134 @@
         if isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, Reject | Fail):
-            case = self.cases[action.request_id]
-            assert not case.done, "a second final answer"
-            assert self.now_us <= case.deadline_us + 8_000
-            case.done = True
-            case.answers.append(action)
+            record = self.records[action.request_id]
+            assert not record.done, "a second final answer"
+            assert self.now_us <= record.deadline_us + 8_000
+            record.done = True
+            record.answers.append(action)
             if isinstance(action, Reject):
-                self.check_refusal(case)
+                self.check_rejection(record)
         elif isinstance(action, SetTimer):
             self.timers.append((action.due_us, action.token))
         elif isinstance(action, Cancel):
             assert self.settings.may_cancel
-            assert action.attempt_number < len(self.cases[action.request_id].tries)
+            assert action.attempt_number < len(self.records[action.request_id].attempts)
 
     def check_send(self, action: Send) -> None:
-        case = self.cases[action.request_id]
-        assert not case.done, "sent after the final answer"
+        record = self.records[action.request_id]
+        assert not record.done, "sent after the final answer"
         assert self.status[action.endpoint_id] is EndpointStatus.READY
-        assert len(case.tries) < self.settings.max_attempts
-        assert self.now_us < self.now_us + action.timeout_us <= case.deadline_us
-        klass = self.settings.classes[case.klass]
-        maybe = [t for t in case.tries if t.outcome not in self.never_ran]
+        assert len(record.attempts) < self.settings.max_attempts
+        assert self.now_us < self.now_us + action.timeout_us <= record.deadline_us
+        request_class = self.settings.classes[record.request_class]
+        may_have_run = [t for t in record.attempts if t.outcome not in self.never_ran]
         if not self.settings.hedging_allowed:
-            assert all(t.outcome is not None for t in case.tries), "two attempts out at once"
-        if klass.in_order and case.key is not None:
-            self.check_turn(case, case.key)
-        if klass.idempotency is Idempotency.UNSAFE:
-            assert not maybe, "an unsafe request sent again"
-        if klass.idempotency is Idempotency.KEYED and maybe:
-            assert all(GROUP[t.server] == GROUP[action.endpoint_id] for t in maybe)
-            assert self.now_us - maybe[0].sent_us < klass.deduplication_window_us
-        case.tries.append(Try(action.endpoint_id, self.now_us, action.timeout_us))
-
-    def check_turn(self, case: Case, key: int) -> None:
-        for earlier in self.cases.values():
-            if earlier is case:
+            assert all(
+                t.outcome is not None for t in record.attempts
+            ), "two attempts in flight at the same time"
+        if request_class.in_order and record.key is not None:
+            self.check_key_order(record, record.key)
+        if request_class.idempotency is Idempotency.UNSAFE:
+            assert not may_have_run, "an unsafe request sent again"
+        if request_class.idempotency is Idempotency.KEYED and may_have_run:
+            assert all(GROUP[t.endpoint] == GROUP[action.endpoint_id] for t in may_have_run)
+            assert self.now_us - may_have_run[0].sent_us < request_class.deduplication_window_us
+        record.attempts.append(AttemptRecord(action.endpoint_id, self.now_us, action.timeout_us))
+
+    def check_key_order(self, record: RequestRecord, key: int) -> None:
+        for earlier in self.records.values():
+            if earlier is record:
                 break
-            if self.settings.classes[earlier.klass].in_order and earlier.key == key:
-                assert earlier.done, "sent while an earlier request of its key is open"
-                assert all(t.outcome is not None for t in earlier.tries), "sent beside an earlier attempt"
-        if not case.tries:
-            assert self.now_us >= self.resting.get(key, 0), "sent while the key rests"
-
-    def check_refusal(self, case: Case) -> None:
-        klass = self.settings.classes[case.klass]
-        maybe = [t for t in case.tries if t.outcome not in self.never_ran]
-        if maybe:
+            if self.settings.classes[earlier.request_class].in_order and earlier.key == key:
+                assert earlier.done, "sent while an earlier request of its key is pending"
+                assert all(t.outcome is not None for t in earlier.attempts), "sent beside an earlier attempt"
+        if not record.attempts:
+            assert self.now_us >= self.quiet_until_us.get(key, 0), "sent during the quiet period of the key"
+
+    def check_rejection(self, record: RequestRecord) -> None:
+        request_class = self.settings.classes[record.request_class]
+        may_have_run = [t for t in record.attempts if t.outcome not in self.never_ran]
+        if may_have_run:
             dropped = (
-                klass.idempotency is Idempotency.KEYED and klass.deduplication_scope is DeduplicationScope.ALL
+                request_class.idempotency is Idempotency.KEYED
+                and request_class.deduplication_scope is DeduplicationScope.ALL
             )
-            assert klass.idempotency is Idempotency.SAFE or dropped
-
-    def arrive(self, klass: int, patience_us: int) -> None:
-        name = f"r{len(self.cases)}"
-        key = (None, 1, 2, 1)[patience_us % 4]
-        self.cases[name] = Case(klass, self.now_us + patience_us, key)
-        self.give(RequestArrived(name, klass, patience_us, key))
-
-    def finish(self, pick: int, outcome: Outcome) -> None:
-        out = [(n, i) for n, c in self.cases.items() for i, t in enumerate(c.tries) if t.outcome is None]
-        if out:
-            self.end(*out[pick % len(out)], outcome)
-
-    def end(self, name: str, number: int, outcome: Outcome) -> None:
-        case = self.cases[name]
-        attempt = case.tries[number]
+            assert request_class.idempotency is Idempotency.SAFE or dropped
+
+    def arrive(self, request_class: int, client_timeout_us: int) -> None:
+        name = f"r{len(self.records)}"
+        key = (None, 1, 2, 1)[client_timeout_us % 4]
+        self.records[name] = RequestRecord(request_class, self.now_us + client_timeout_us, key)
+        self.deliver(RequestArrived(name, request_class, client_timeout_us, key))
+
+    def end_pending(self, index: int, outcome: Outcome) -> None:
+        pending = [
+            (n, i) for n, c in self.records.items() for i, t in enumerate(c.attempts) if t.outcome is None
+        ]
+        if pending:
+            self.end_attempt(*pending[index % len(pending)], outcome)
+
+    def end_attempt(self, name: str, number: int, outcome: Outcome) -> None:
+        record = self.records[name]
+        attempt = record.attempts[number]
         attempt.outcome = outcome
-        case.done = case.done or outcome is Outcome.SUCCESS
-        if case.key is not None and self.settings.classes[case.klass].in_order and outcome in MAY_STILL_RUN:
-            self.resting[case.key] = self.now_us + self.settings.ordered_key_quiet_us
+        record.done = record.done or outcome is Outcome.SUCCESS
+        if (
+            record.key is not None
+            and self.settings.classes[record.request_class].in_order
+            and outcome in MAY_STILL_RUN
+        ):
+            self.quiet_until_us[record.key] = self.now_us + self.settings.ordered_key_quiet_us
         event = AttemptEnded(
-            name, number, attempt.server, outcome, self.now_us - attempt.sent_us, finished=case.done
+            name, number, attempt.endpoint, outcome, self.now_us - attempt.sent_us, finished=record.done
         )
-        self.give(event)
+        self.deliver(event)
 
-    def leave(self, pick: int) -> None:
-        open_cases = [n for n, c in self.cases.items() if not c.done]
-        if open_cases:
-            name = open_cases[pick % len(open_cases)]
-            self.cases[name].done = True
-            self.give(ClientDisconnected(name))
+    def disconnect(self, index: int) -> None:
+        open_records = [n for n, c in self.records.items() if not c.done]
+        if open_records:
+            name = open_records[index % len(open_records)]
+            self.records[name].done = True
+            self.deliver(ClientDisconnected(name))
 
-    def set_status(self, server: int, status: EndpointStatus) -> None:
-        self.status[server] = status
+    def set_status(self, endpoint: int, status: EndpointStatus) -> None:
+        self.status[endpoint] = status
         started_us = self.now_us if self.settings.warm_up_us else 0
-        entry = ListedEndpoint(server, status, group=GROUP[server], started_us=started_us)
-        self.give(EndpointList(EndpointListKind.DELTA, (entry,)))
+        entry = ListedEndpoint(endpoint, status, group=GROUP[endpoint], started_us=started_us)
+        self.deliver(EndpointList(EndpointListKind.DELTA, (entry,)))
 
     def advance(self, by_us: int) -> None:
-        """Move the clock to each due timer and each time-out on the way."""
+        """Advance the clock, stopping at each due timer and each attempt timeout."""
         target = self.now_us + by_us
         while True:
             dues = [due for due, _ in self.timers] + [
-                t.sent_us + t.timeout_us for c in self.cases.values() for t in c.tries if t.outcome is None
+                t.sent_us + t.timeout_us
+                for c in self.records.values()
+                for t in c.attempts
+                if t.outcome is None
             ]
             due = min(dues, default=target + 1)
             if due > target:
                 break
             self.now_us = max(self.now_us, due)
-            for name, case in self.cases.items():
-                for number, attempt in enumerate(case.tries):
+            for name, record in self.records.items():
+                for number, attempt in enumerate(record.attempts):
                     if attempt.outcome is None and attempt.sent_us + attempt.timeout_us <= self.now_us:
-                        self.end(name, number, Outcome.TIMEOUT)
+                        self.end_attempt(name, number, Outcome.TIMEOUT)
             fired = [token for when, token in self.timers if when <= self.now_us]
             self.timers = [(when, token) for when, token in self.timers if when > self.now_us]
             for token in fired:
-                self.give(TimerFired(token))
+                self.deliver(TimerFired(token))
         self.now_us = target
 
 
 STEPS = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 2), st.integers(1_000, 400_000)),
     st.tuples(st.just("arrive"), st.integers(0, 2), st.integers(100_000, 400_000)),
-    st.tuples(st.just("finish"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("finish"), st.integers(0, 50), st.just(Outcome.SUCCESS)),
+    st.tuples(st.just("end_pending"), st.integers(0, 50), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("end_pending"), st.integers(0, 50), st.just(Outcome.SUCCESS)),
     st.tuples(st.just("repeat"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("leave"), st.integers(0, 50), st.just(0)),
+    st.tuples(st.just("disconnect"), st.integers(0, 50), st.just(0)),
     st.tuples(st.just("status"), st.integers(0, 5), st.sampled_from(list(EndpointStatus))),
     st.tuples(st.just("advance"), st.integers(100, 200_000), st.just(0)),
 )
@@ -220,25 +232,25 @@
     phases=(Phase.explicit, Phase.generate),  # shrinking such sequences takes minutes
 )
 @given(st.integers(0, 3), st.lists(STEPS, min_size=10, max_size=150))
-def test_rules_hold_on_any_sequence(variant: int, seed: int, steps: list[tuple[str, int, int]]) -> None:
-    world = World(seed, VARIANTS[variant])
+def test_rules_hold_on_any_event_sequence(variant: int, seed: int, steps: list[tuple[str, int, int]]) -> None:
+    checker = RuleChecker(seed, VARIANTS[variant])
     for what, first, second in steps:
         if what == "arrive":
-            world.arrive(first, second)
-        elif what == "finish":
-            world.finish(first, second)  # type: ignore[arg-type]
-        elif what == "repeat":  # an outcome for something finished long ago, or never sent
-            world.give(AttemptEnded(f"r{first}", 9, 0, second, 1))  # type: ignore[arg-type]
-        elif what == "leave":
-            world.leave(first)
+            checker.arrive(first, second)
+        elif what == "end_pending":
+            checker.end_pending(first, second)  # type: ignore[arg-type]
+        elif what == "repeat":  # an outcome of a request that has ended or was never sent
+            checker.deliver(AttemptEnded(f"r{first}", 9, 0, second, 1))  # type: ignore[arg-type]
+        elif what == "disconnect":
+            checker.disconnect(first)
         elif what == "status":
-            world.set_status(first, second)  # type: ignore[arg-type]
+            checker.set_status(first, second)  # type: ignore[arg-type]
         else:
-            world.advance(first)
-    world.advance(2_000_000)
-    for case in world.cases.values():
-        assert case.done, "a request was left without its final answer"
-    balancer = world.balancer
+            checker.advance(first)
+    checker.advance(2_000_000)
+    for record in checker.records.values():
+        assert record.done, "a request was left without its final answer"
+    balancer = checker.balancer
     assert not balancer.requests and not balancer.context.timers and not balancer.lifecycle.ordering.queues
     assert all(not s.in_flight for s in balancer.endpoints.values())
 
@@ -263,8 +275,10 @@
 @pytest.mark.parametrize("proxies", [1, 3, 8])
 @pytest.mark.parametrize("multiple", [1, 3, 6])
 @pytest.mark.parametrize("gap_us", [0, 500, 15_000])
-def test_a_proxy_keeps_to_its_part_of_a_cold_servers_budget(proxies: int, multiple: int, gap_us: int) -> None:
-    """Rule 4 by one proxy: the work sent in any fall window against its part of the whole."""
+def test_a_proxy_keeps_to_its_part_of_a_cold_endpoints_budget(
+    proxies: int, multiple: int, gap_us: int
+) -> None:
+    """The work that one proxy sends in any overload window stays within its part of the budget."""
     unsafe = RequestClass(objective_us=400_000, client_timeout_us=1_000_000)
     cold = Settings(
         (unsafe,), cold_capacity=0.25, warm_up_us=8_000_000, overload_multiple=multiple, proxy_count=proxies
@@ -280,10 +294,14 @@
         for action in balancer.handle(now_us, RequestArrived(f"r{n}", 0, 400_000)):
             if isinstance(action, Send):
                 sent_us += [now_us] * (action.endpoint_id == 1)
-                end = AttemptEnded(f"r{n}", 0, action.endpoint_id, Outcome.SUCCESS, 10_000, finished=True)
-                balancer.handle(now_us, end)
+                end_attempt = AttemptEnded(
+                    f"r{n}", 0, action.endpoint_id, Outcome.SUCCESS, 10_000, finished=True
+                )
+                balancer.handle(now_us, end_attempt)
     warm_us = START_US + cold.warm_up_us
     for first in (t for t in sent_us if t + cold.overload_window_us <= warm_us):
-        span = [t for t in sent_us if first <= t < first + cold.overload_window_us]
+        sent_in_window = [t for t in sent_us if first <= t < first + cold.overload_window_us]
         capacity = 0.25 + 0.75 * (first - START_US) / cold.warm_up_us
-        assert len(span) * 10_000 <= max(multiple * capacity * cold.overload_window_us / proxies, 10_000)
+        assert len(sent_in_window) * 10_000 <= max(
+            multiple * capacity * cold.overload_window_us / proxies, 10_000
+        )
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""What a cold endpoint gets from a whole fleet of balancers that share nothing, in simulated time."""
+"""Slow start: the load on a cold endpoint from a fleet of independent balancers, in simulated time."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 ENDPOINTS = 8
 COLD = ENDPOINTS
 COLD_AT_S = 6.0
-TOLD_LATE_S = 2.0
-LOAD = 2.0  # overload: the others give way to a cold endpoint
+MAX_LIST_DELAY_S = 2.0
+LOAD = 2.0  # overload: requests are diverted to the cold endpoint
 TIMEOUT_US = 1_200_000
-SPREAD = 0.8  # of the balancers' traffic: some get several times the mean
+SPREAD = 0.8  # sigma of the balancers' traffic: some get several times the mean
 
 
 @dataclass(frozen=True)
-class Start:
-    """How cold an endpoint starts, and what pushes it over."""
+class ColdStart:
+    """The capacity of an endpoint after its start, and the load that overloads it."""
 
     capacity: float
     warm_up_s: float
@@ -54,18 +54,18 @@
 
 @dataclass
 class Fleet:
-    """Balancers, their traffic, and endpoints that answer after a random time."""
+    """Balancers, their traffic, and endpoints with random response times."""
 
-    start: Start
+    start: ColdStart
     size: int
     seed: int
     rng: random.Random = field(init=False)
-    calls_at: list[float] = field(default_factory=list)  # to the cold endpoint
+    sent_at_s: list[float] = field(default_factory=list)  # to the cold endpoint
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.agenda: list[tuple[float, int, int, Event]] = []
-        self.numbers = itertools.count()
+        self.event_queue: list[tuple[float, int, int, Event]] = []
+        self.sequence = itertools.count()
         self.attempts: dict[tuple[int, str], int] = {}
         self.balancers = [Balancer(self.settings(index), self.seed + index) for index in range(self.size)]
         weights = [self.rng.lognormvariate(0, SPREAD) for _ in self.balancers]
@@ -87,14 +87,14 @@
         )
 
     def at(self, at_s: float, index: int, event: Event) -> None:
-        heapq.heappush(self.agenda, (at_s, next(self.numbers), index, event))
+        heapq.heappush(self.event_queue, (at_s, next(self.sequence), index, event))
 
     def arrival(self, now_s: float, index: int) -> None:
-        event = RequestArrived(f"r{next(self.numbers)}", 0, TIMEOUT_US)
+        event = RequestArrived(f"r{next(self.sequence)}", 0, TIMEOUT_US)
         self.at(now_s + self.rng.expovariate(self.rates[index]), index, event)
 
     def run(self) -> None:
-        """All endpoints are there; the last one goes, and starts cold. Some are told of it twice."""
+        """List all endpoints, then remove and restart the last one. Some balancers are notified twice."""
         listed = tuple(ListedEndpoint(number) for number in range(1, ENDPOINTS + 1))
         gone = EndpointList(EndpointListKind.DELTA, (ListedEndpoint(COLD, status=EndpointStatus.GONE),))
         cold = ListedEndpoint(COLD, started_us=int(COLD_AT_S * 1e6))
@@ -102,13 +102,13 @@
         for index in range(self.size):
             self.at(0.0, index, EndpointList(EndpointListKind.FULL, listed))
             self.at(COLD_AT_S - 1.0, index, gone)
-            told_s = COLD_AT_S + self.rng.uniform(0.2, TOLD_LATE_S)
-            self.at(told_s, index, back)
+            listed_s = COLD_AT_S + self.rng.uniform(0.2, MAX_LIST_DELAY_S)
+            self.at(listed_s, index, back)
             if self.rng.random() < 0.5:
-                self.at(told_s + self.rng.uniform(0.1, 3.0), index, back)
+                self.at(listed_s + self.rng.uniform(0.1, 3.0), index, back)
             self.arrival(0.0, index)
-        while self.agenda[0][0] < COLD_AT_S + self.start.warm_up_s:
-            now_s, _, index, event = heapq.heappop(self.agenda)
+        while self.event_queue[0][0] < COLD_AT_S + self.start.warm_up_s:
+            now_s, _, index, event = heapq.heappop(self.event_queue)
             if isinstance(event, RequestArrived):
                 self.arrival(now_s, index)
             for action in self.balancers[index].handle(int(now_s * 1e6), event):
@@ -125,7 +125,7 @@
         self.attempts[index, action.request_id] = number + 1
         is_cold = action.endpoint_id == COLD and now_s > COLD_AT_S
         if is_cold:
-            self.calls_at.append(now_s)
+            self.sent_at_s.append(now_s)
         capacity = self.start.capacity_at(now_s) if is_cold else 1.0
         took_s = self.rng.expovariate(1 / self.start.work_s) / capacity
         served = took_s * 1e6 < action.timeout_us
@@ -137,23 +137,23 @@
 
 
 STARTS = {
-    "mild": Start(0.14, 20.0, 4.0, 3.0, 0.045),
-    "colder": Start(0.03, 20.0, 3.0, 1.0, 0.1),
-    "short": Start(0.05, 10.0, 2.0, 1.0, 0.05),
+    "mild": ColdStart(0.14, 20.0, 4.0, 3.0, 0.045),
+    "colder": ColdStart(0.03, 20.0, 3.0, 1.0, 0.1),
+    "short": ColdStart(0.05, 10.0, 2.0, 1.0, 0.05),
 }
 
 
-# Guards against a budget that holds in one size of fleet only: it binds however few or many there are.
+# Guards against a budget that is kept only for some fleet sizes.
 @pytest.mark.parametrize("size", [1, 2, 5, 20, 67, 200])
 @pytest.mark.parametrize("name", STARTS)
 def test_a_cold_endpoint_stays_within_its_budget_of_calls(name: str, size: int) -> None:
     start = STARTS[name]
     fleet = Fleet(start, size, seed=41)
     fleet.run()
-    assert fleet.calls_at  # it is not simply left alone
+    assert fleet.sent_at_s  # the endpoint is used at all
     first = 0
-    for last, at_s in enumerate(fleet.calls_at):
-        while fleet.calls_at[first] <= at_s - start.window_s:
+    for last, at_s in enumerate(fleet.sent_at_s):
+        while fleet.sent_at_s[first] <= at_s - start.window_s:
             first += 1
         calls = start.multiple * start.capacity_at(at_s) * start.window_s / start.work_s
         assert last - first + 1 <= budget(calls), f"{at_s - COLD_AT_S:.2f} s after its start"
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -1,4 +1,4 @@
-"""What people are shown of the decisions: looking changes nothing."""
+"""Endpoint views: what they contain, and that they change nothing."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from tests.helpers import START_US, Driver, sends, trip
 
 
-def test_a_look_names_open_silent_and_cold_servers() -> None:
+def test_views_report_open_overdue_and_half_open_endpoints() -> None:
     driver = Driver(servers=3)
     trip(driver.balancer.endpoints[0].breakers[0], START_US)
     _, actions = driver.arrive()
     (send,) = sends(actions)
     views = {view.endpoint_id: view for view in driver.balancer.endpoint_views(START_US + 60_000_000)}
     assert views[send.endpoint_id].overdue and views[send.endpoint_id].in_flight == 1
-    assert views[0].half_open and views[0].open_until_us == 0  # its rest would be over by then
+    assert views[0].half_open and views[0].open_until_us == 0  # its cooldown has ended by then
     now = {view.endpoint_id: view for view in driver.balancer.endpoint_views(START_US)}
     assert now[0].open_until_us == START_US + FIRST_COOLDOWN_US and not now[0].half_open
     assert not now[send.endpoint_id].overdue
 
 
-def test_a_look_at_some_of_them() -> None:
+def test_views_of_selected_endpoints() -> None:
     driver = Driver(servers=5)
     assert [view.endpoint_id for view in driver.balancer.endpoint_views(START_US, [3, 99, 1])] == [3, 1]
 
 
-def test_a_look_at_a_cold_server_follows_the_clock() -> None:
+def test_the_view_of_a_warming_endpoint_follows_the_clock() -> None:
     settings = Settings(classes=(RequestClass(1, 1),), cold_capacity=0.2, warm_up_us=1_000_000)
     balancer = Balancer(settings, 1)
     balancer.handle(
@@ -47,15 +47,15 @@
     assert shares == pytest.approx([0.2, 0.6, 1.0])
 
 
-def test_looking_decides_nothing() -> None:
-    looked, left = Driver(seed=5), Driver(seed=5)
+def test_views_do_not_change_later_decisions() -> None:
+    viewed, unviewed = Driver(seed=5), Driver(seed=5)
     for step in range(40):
-        looked.balancer.endpoint_views(looked.now_us + 10_000_000)
-        one, other = looked.arrive(), left.arrive()
+        viewed.balancer.endpoint_views(viewed.now_us + 10_000_000)
+        one, other = viewed.arrive(), unviewed.arrive()
         assert one == other
-        for driver, (name, actions) in ((looked, one), (left, other)):
+        for driver, (name, actions) in ((viewed, one), (unviewed, other)):
             for send in sends(actions):
                 driver.end(name, send.endpoint_id, Outcome.ERROR if step % 3 else Outcome.SUCCESS)
             driver.now_us += 30_000
-    assert looked.balancer.random.getstate() == left.balancer.random.getstate()
-    assert looked.balancer.admission.mean_in_flight == left.balancer.admission.mean_in_flight
+    assert viewed.balancer.random.getstate() == unviewed.balancer.random.getstate()
+    assert viewed.balancer.admission.mean_in_flight == unviewed.balancer.admission.mean_in_flight
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire: each line read and written, bad input named plainly, a scripted exchange with the adapter."""
+"""The simulator's text protocol: parsing, formatting, invalid input, and exchanges with the adapter."""
 
 from __future__ import annotations
 
@@ -173,7 +173,7 @@
         ('{"lanes": [{"giveUpUs": 1, "effect": "odd"}]}', "odd"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(boot: str, word: str) -> None:
+def test_invalid_settings_are_reported_with_their_key(boot: str, word: str) -> None:
     with pytest.raises(WireError, match=word):
         parse_settings(boot)
     replies, errors = run(
@@ -198,7 +198,7 @@
         "pong verdict=200",
     ],
 )
-def test_a_bad_line_is_named_and_the_rest_goes_on(line: str) -> None:
+def test_an_invalid_line_is_reported_and_skipped(line: str) -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
@@ -212,7 +212,7 @@
     assert any(reply.startswith("pass_on requestId=t/good") for reply in replies)
 
 
-def test_an_unknown_instance_is_named() -> None:
+def test_an_unknown_instance_is_reported() -> None:
     replies, errors = run(
         "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
     )
@@ -220,7 +220,7 @@
     assert "gateway_8" in errors
 
 
-def test_things_finished_already_are_ignored() -> None:
+def test_events_for_finished_requests_are_ignored() -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
@@ -236,7 +236,7 @@
     assert errors == ""
 
 
-def test_a_killed_instance_is_forgotten_and_may_start_again() -> None:
+def test_a_destroyed_instance_is_removed_and_can_be_launched_again() -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
@@ -251,7 +251,7 @@
     assert replies[1] == "by i=gateway_0"
 
 
-def test_the_adapter_answers_a_script_the_same_way_twice() -> None:
+def test_the_adapter_output_is_deterministic() -> None:
     script = [*START]
     for n in range(40):
         script += [
@@ -278,7 +278,7 @@
     assert outputs[0].stderr == ""
 
 
-def test_every_setting_reaches_the_interface() -> None:
+def test_every_setting_is_parsed() -> None:
     boot = {
         "balancers": 4,
         "index": 3,
