--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints. Every exchange on them, an attempt or a health check, ends with one outcome."""
+"""Connection pool for endpoints. Each exchange, an attempt or a health check, ends with one outcome."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-# What a connect fails with for want of something on this machine: descriptors, memory, ports, permission.
+# Connect errors caused by this machine: out of descriptors, memory or ports, or no permission.
 LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE,
@@ -38,18 +38,17 @@
         errno.EPERM,
     )
 )
-# Part of the time after which endpoints close idle connections. Guards against a request that crosses the
-# endpoint's close: it would end as a reset, which may have run.
+# Idle connections are closed after this share of the endpoints' own idle timeout. Otherwise a request may
+# cross the endpoint's close and end as a reset, after which it may or may not have run.
 IDLE_SHARE = 0.7
-IDLE_UNSTATED_S = 5.0
-# After an answer a connection rests before it is used again. Guards against a second answer that comes some
-# milliseconds late: on a connection taken again it would pass for the answer to the next request. Ten
-# milliseconds: for the lateness, and for how much longer than the first it may be on its way. Not more, as
-# each that rests is one that a busy endpoint has to be connected to anew.
-REST_S = 0.01
-CONNECT_UNSTATED_S = 1.0
-# A process may be held up for so long between its look at the clock and its write.
-HOLD_UP_S = 0.15
+DEFAULT_IDLE_S = 5.0
+# Delay after a response before its connection is reused. An endpoint may send a second response some
+# milliseconds later, which would be taken for the response to the next request. Ten milliseconds cover its
+# delay and its longer transit time. A longer delay would cost busy endpoints more new connections.
+REUSE_DELAY_S = 0.01
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
+# Longest stall of the process that is allowed for between reading the clock and writing.
+STALL_TOLERANCE_S = 0.15
 
 EndpointId = int
 
@@ -57,7 +56,8 @@
 class PooledConnection(asyncio.BaseProtocol):
     """One connection to an endpoint; carries one exchange at a time.
 
-    A subclass says how an exchange is written and what is read; whether it is idle or busy is up to the pool.
+    A subclass implements writing the request and reading the response; the pool tracks idle and busy
+    connections.
     """
 
     def __init__(self, pool: Upstream, endpoint: Endpoint) -> None:
@@ -67,40 +67,40 @@
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.idle_since = 0.0
-        # Of the rules that it is made under.
+        # The configuration epoch in which the connection was made.
         self.epoch = pool.current_epoch() if pool.current_epoch is not None else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The endpoint has accepted: write the exchange, unless it may no longer be sent."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        # With no room in the buffer, pause_writing and resume_writing tell exactly when bytes are held back.
+        """Write the exchange once connected, unless it may no longer be sent."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
+        # With a limit of 0, pause_writing and resume_writing report exactly when bytes are buffered.
         self.transport.set_write_buffer_limits(high=0)
         exchange = self.exchange
         if exchange is None or exchange.done:
             self.abort()
         elif not self.pool.is_epoch_current(self.epoch) or not self.pool.may_begin(self.endpoint, exchange):
-            # Guards against a drain, other rules, or the end of its request (its client has left, another
-            # attempt was answered), that came while the connection was being made.
+            # While connecting, the endpoint began to drain, the configuration changed, or the request ended
+            # (its client disconnected, or another attempt was answered).
             exchange.never_sent()
             self.abort()
         else:
             self.write(exchange)
 
     def write(self, exchange: Exchange) -> None:
-        """Send the exchange's request."""
+        """Send the exchange's request on this connection."""
         raise NotImplementedError
 
     def read_unread(self) -> None:
-        """Take in what the endpoint has sent and the loop has not read yet."""
+        """Process data from the endpoint that the event loop has not read yet."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: an exchange on it is lost."""
+        """Remove the connection from the pool, and end its exchange as lost."""
         self.pool.forget(self)
         if self.exchange is not None:
             self.exchange.lost()
 
     def abort(self) -> None:
-        """Close at once, without an outcome for the exchange."""
+        """Close at once, without ending the exchange."""
         self.exchange = None
         self.pool.forget(self)
         if self.connecting is not None:
@@ -109,7 +109,7 @@
             self.transport.abort()
 
     def fail(self) -> None:
-        """What came is no response that can be passed on: as good as a broken connection."""
+        """Handle an invalid response like a lost connection: close it, and end the exchange as lost."""
         exchange = self.exchange
         self.abort()
         if exchange is not None:
@@ -117,13 +117,13 @@
 
     @property
     def has_no_exchange(self) -> bool:
-        """Whether no exchange is on it: it is looked at before its next one (`is_quiet`)."""
+        """Whether no exchange is in progress; `is_quiet` checks the connection before its next one."""
         return self.exchange is None
 
     def is_quiet(self) -> bool:
-        """Whether nothing waits to be read, neither data nor an end.
+        """Whether there is nothing to read, neither data nor the end of the stream.
 
-        Guards against what came unasked since the last answer: it would pass for the answer to the next.
+        Unsolicited data since the last response would be taken for the response to the next request.
         """
         return unread_input.is_quiet(self.transport)
 
@@ -133,15 +133,14 @@
     """An endpoint at one address, and the idle connections to it."""
 
     address: Address
-    protocol: str = ""  # in which it is spoken to; "" is HTTP/1.1
-    stop_at: float | None = (
-        None  # time.monotonic() from which nothing new may be written, once it drains or is gone
-    )
-    idle: list[PooledConnection] = field(default_factory=list)  # the one used last comes last
+    protocol: str = ""  # protocol of its requests; "" is HTTP/1.1
+    # time.monotonic() from which no new exchange may be written; None unless it drains or is gone.
+    stop_at: float | None = None
+    idle: list[PooledConnection] = field(default_factory=list)  # the most recently used one last
 
 
 class Upstream:
-    """The endpoints that discovery has named and the connections to them."""
+    """The endpoints from service discovery, and the pooled connections to them."""
 
     def __init__(
         self,
@@ -154,27 +153,27 @@
         budget: Budget | None = None,
         reuse_delay_s: float = 0.0,
     ) -> None:
-        """`reuse_delay_s`: seconds that a connection rests after an answer, before it is used again."""
+        """Create an empty pool. `reuse_delay_s`: seconds after a response before its connection is reused."""
         self.loop = loop
         self.budget = budget if budget is not None else Budget()
         self.reads = ReadBuffer(self.budget)
         self.limit = connections
         self.connections_elsewhere = 0  # connections that another process of this gateway holds
-        self.current_epoch: Callable[[], int] | None = None  # as `Proxy.current_epoch`
-        self.on_open: Callable[[], None] | None = None  # a connection to an endpoint has been begun
-        self.connect_timeout_s = connect_timeout_us / 1e6 or CONNECT_UNSTATED_S
-        self.idle_s = (idle_us / 1e6 or IDLE_UNSTATED_S) * IDLE_SHARE
-        self.drain_grace_s = max(0.0, drain_grace_us / 1e6 - HOLD_UP_S)
-        # The loop's own time stands still within one turn, which a crowd can make long.
+        self.current_epoch: Callable[[], int] | None = None  # see `Proxy.current_epoch`
+        self.on_open: Callable[[], None] | None = None  # called when a new connection is started
+        self.connect_timeout_s = connect_timeout_us / 1e6 or DEFAULT_CONNECT_TIMEOUT_S
+        self.idle_s = (idle_us / 1e6 or DEFAULT_IDLE_S) * IDLE_SHARE
+        self.drain_grace_s = max(0.0, drain_grace_us / 1e6 - STALL_TOLERANCE_S)
+        # Not loop.time(): it stands still during a loop iteration, which can be long under load.
         self.now: Callable[[], float] = time.monotonic
-        # Called before something is sent: takes in what is known of endpoints and stands unread.
+        # Called before anything is sent: reads endpoint updates that are still unread in the sockets.
         self.catch_up: Callable[[], None] = lambda: None
         self.reuse_delay_s = reuse_delay_s
-        # For connections to all endpoints; a certificate that does not fit means no connection.
+        # For connections to all endpoints; a certificate that does not match makes the connect fail.
         self.tls: ssl.SSLContext | None = None
-        self.tls_name: str | None = None  # whom certificates must name; None: the address
-        self.authority: bytes | None = None  # PEM, for transports with a TLS of their own
-        # Called by `close`: for transports with connections of their own.
+        self.tls_name: str | None = None  # expected certificate name; None: the address
+        self.authority: bytes | None = None  # CA in PEM, for transports with a TLS library of their own
+        # Called by `close`, for transports that manage their own connections.
         self.on_close: list[Callable[[], None]] = []
         self.endpoints: dict[EndpointId, Endpoint] = {}
         self.connections: set[PooledConnection] = set()
@@ -191,13 +190,13 @@
         protocol: str = "",
         is_late: bool = False,
     ) -> None:
-        """Update an endpoint; another address or protocol closes the idle connections to the one before.
+        """Add or update an endpoint. A new address or protocol closes the idle connections to the old one.
 
-        `is_late`: if it drains, its grace is over.
+        `is_late`: if the endpoint drains, its grace period is already over.
         """
         endpoint = self.endpoints.setdefault(endpoint_id, Endpoint(address, protocol))
         if endpoint.address != address or endpoint.protocol != protocol:
-            # Another machine. Guards against a connection to the one before that is busy now and rests later.
+            # A different machine: a connection to the old one that is busy now must not be reused later.
             self.close_idle(endpoint_id)
             endpoint.stop_at = self.now()
             endpoint = self.endpoints[endpoint_id] = Endpoint(address, protocol)
@@ -207,7 +206,7 @@
             self.drain_endpoint(endpoint_id, is_late)
 
     def drain_endpoint(self, endpoint_id: EndpointId, is_late: bool = False) -> None:
-        """The endpoint drains or is gone: nothing new to it after the grace. `is_late`: it is over."""
+        """Send nothing new to the endpoint after its grace period. `is_late`: the period is already over."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None:
             return
@@ -223,23 +222,23 @@
             self.drain_endpoint(endpoint_id, is_late)
 
     def may_send(self, endpoint: Endpoint) -> bool:
-        """Whether something new may be written to the endpoint now, by all that this gateway was told."""
+        """Whether a new exchange may be written to the endpoint, by all updates received until now."""
         self.catch_up()
         return endpoint.stop_at is None or self.now() < endpoint.stop_at
 
     def may_begin(self, endpoint: Endpoint, exchange: Exchange) -> bool:
         """Whether the exchange's first byte may be written to the endpoint now.
 
-        Its client is looked at last: reading what is known of endpoints takes its time.
+        The client's connection is checked last, because reading pending endpoint updates takes time.
         """
         return self.may_send(endpoint) and exchange.may_begin()
 
     def is_epoch_current(self, epoch: int) -> bool:
-        """Whether what was begun in this epoch may still be sent."""
+        """Whether an exchange that was started in this epoch may still be sent."""
         return self.current_epoch is None or 0 <= self.current_epoch() == epoch
 
     def connecting_counts(self) -> dict[EndpointId, int]:
-        """How many exchanges wait for a connection to each endpoint."""
+        """Return how many exchanges wait for a connection, by endpoint."""
         waiting = Counter(id(c.endpoint) for c in self.connections if c.connecting is not None)
         return {
             endpoint_id: waiting[id(endpoint)]
@@ -250,11 +249,16 @@
     # Exchanges
 
     def carry(
-        self, endpoint_id: EndpointId, exchange: Exchange, timeout_s: float, kind: type[PooledConnection]
+        self,
+        endpoint_id: EndpointId,
+        exchange: Exchange,
+        timeout_s: float,
+        connection_class: type[PooledConnection],
     ) -> None:
-        """Have an exchange carried by an idle connection of this kind, or else by a new one.
+        """Send an exchange on an idle connection of class `connection_class`, or else on a new one.
 
-        It ends as TIMEOUT after so many seconds, and as NEVER_SENT if nothing may be sent to the endpoint.
+        It ends as TIMEOUT after `timeout_s` seconds, and as NEVER_SENT if nothing may be sent to the
+        endpoint.
         """
         endpoint = self.endpoints.get(endpoint_id)
         exchange.deadline_at = self.now() + timeout_s
@@ -263,17 +267,17 @@
             return
         exchange.timer = self.loop.call_later(timeout_s, self.on_timeout, exchange)
         while (connection := self.take_idle(endpoint)) is not None:
-            if type(connection) is kind and connection.is_quiet():
+            if type(connection) is connection_class and connection.is_quiet():
                 connection.write(exchange)
                 return
             connection.abort()
-        self.connect(endpoint, exchange, kind)
+        self.connect(endpoint, exchange, connection_class)
 
     def on_timeout(self, exchange: Exchange) -> None:
-        """End an exchange whose time is over, unless its response is here.
+        """End an exchange that has timed out, unless its response has arrived.
 
-        Guards against a loop that was held up and runs its timers before it reads: what the endpoint has sent
-        in time would be lost, and the endpoint blamed.
+        After a stall the loop runs timers before it reads. A response that came in time would be lost, and
+        the endpoint blamed for it.
         """
         if exchange.done:
             return
@@ -283,22 +287,25 @@
         exchange.give_up(Outcome.TIMEOUT)
 
     def take_idle(self, endpoint: Endpoint) -> PooledConnection | None:
-        """Take the connection to use again: of those that have rested, the one used last.
+        """Take the most recently used connection whose reuse delay is over; None if there is none.
 
-        Where no new one can be made, one that has hardly rested is better than closing another endpoint's.
+        Where no new connection can be made, one within its delay is taken: better than closing one to another
+        endpoint.
         """
         idle = endpoint.idle
-        rested = bisect_right(idle, self.loop.time() - self.reuse_delay_s, key=attrgetter("idle_since"))
-        if rested or (idle and not self.has_capacity()):
-            return idle.pop(max(0, rested - 1))
+        ready_count = bisect_right(idle, self.loop.time() - self.reuse_delay_s, key=attrgetter("idle_since"))
+        if ready_count or (idle and not self.has_capacity()):
+            return idle.pop(max(0, ready_count - 1))
         return None
 
-    def connect(self, endpoint: Endpoint, exchange: Exchange, kind: type[PooledConnection]) -> None:
-        """Carry the exchange by a new connection; it ends as NEVER_SENT if there is no capacity for one."""
+    def connect(
+        self, endpoint: Endpoint, exchange: Exchange, connection_class: type[PooledConnection]
+    ) -> None:
+        """Send the exchange on a new connection; it ends as NEVER_SENT if there is no capacity for one."""
         if not self.has_capacity() and not self.close_oldest_idle():
             self.loop.call_soon(exchange.never_sent)
             return
-        connection = kind(self, endpoint)
+        connection = connection_class(self, endpoint)
         connection.exchange, exchange.connection = exchange, connection
         self.connections.add(connection)
         connection.connecting = self.loop.create_task(self.open(connection, exchange))
@@ -306,19 +313,22 @@
             self.on_open()
 
     def is_below_limit(self) -> bool:
-        """Whether one more connection is within this pool's own limit."""
+        """Whether one more connection would be within this pool's own limit."""
         return len(self.connections) + self.connections_elsewhere < self.limit
 
     async def open(self, connection: PooledConnection, exchange: Exchange) -> None:
-        """Connect within `connect_timeout_s` seconds; a failure to do so ends the exchange."""
+        """Connect within `connect_timeout_s` seconds; a failure ends the exchange.
+
+        A timeout after a stall and a local error count as NEVER_SENT: the endpoint is not to blame.
+        """
         began_at = self.now()
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.connect_transport(connection)
-        except (OSError, TimeoutError, ValueError) as error:  # the last from an address that is none
+        except (OSError, TimeoutError, ValueError) as error:  # ValueError: an invalid address
             self.forget(connection)
-            was_held_up = self.now() - began_at > self.connect_timeout_s + HOLD_UP_S
-            if was_held_up or getattr(error, "errno", None) in LOCAL_ERRORS:
+            was_stalled = self.now() - began_at > self.connect_timeout_s + STALL_TOLERANCE_S
+            if was_stalled or getattr(error, "errno", None) in LOCAL_ERRORS:
                 exchange.never_sent()
             else:
                 exchange.lost()
@@ -326,7 +336,7 @@
             connection.connecting = None
 
     async def connect_transport(self, connection: PooledConnection) -> None:
-        """Connect to the endpoint, with TLS where the pool has it. Raises OSError or ValueError."""
+        """Connect to the endpoint, over TLS if the pool is configured so. Raises OSError or ValueError."""
         host, port = connection.endpoint.address
         if self.tls is None:
             await connect_tcp(self.loop, connection, host, port)
@@ -344,7 +354,7 @@
         connection.endpoint.idle.append(connection)
 
     def forget(self, connection: PooledConnection) -> None:
-        """Stop counting a connection, and never use it again."""
+        """Remove a connection from the pool: it is no longer counted or reused."""
         self.connections.discard(connection)
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
@@ -361,7 +371,7 @@
             self.close_idle(endpoint_id)
 
     def close_oldest_idle(self) -> bool:
-        """Close an idle connection for a new one to be made. Returns whether there was one."""
+        """Close the longest idle connection to make capacity for a new one. Returns whether there was one."""
         idle = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
         if not idle:
             return False
@@ -369,7 +379,7 @@
         return True
 
     def clean_up(self) -> None:
-        """Close what has been idle for long, and forget endpoints that are gone. Called periodically."""
+        """Close connections over the idle timeout, and remove stopped endpoints. Called periodically."""
         oldest = self.loop.time() - self.idle_s
         for endpoint_id, endpoint in list(self.endpoints.items()):
             while endpoint.idle and endpoint.idle[0].idle_since < oldest:
@@ -378,8 +388,8 @@
                 del self.endpoints[endpoint_id]
 
     def close(self) -> None:
-        """Call what is in `on_close`, then close all connections at once."""
-        for end in self.on_close:
-            end()
+        """Call the `on_close` callbacks, then close all connections at once."""
+        for callback in self.on_close:
+            callback()
         for connection in list(self.connections):
             connection.abort()
--- a/badgergap/proxy/upstream/exchange.py
+++ b/badgergap/proxy/upstream/exchange.py
@@ -1,15 +1,16 @@
-"""One request to one endpoint: what it was answered, and how it ended.
+"""One request to one endpoint: its response and its outcome.
 
-| what happens first | before all of it is written | after |
+| first event | before the whole request is written | after |
 | --- | --- | --- |
 | a complete response | SUCCESS, ERROR or REJECTED, by its status | the same |
 | the connection is lost, or its input is invalid | CONNECT_FAILED: never ran | RESET: may have run |
-| its time is over | CONNECT_FAILED | TIMEOUT |
+| it times out | CONNECT_FAILED | TIMEOUT |
 | it is cancelled | CANCELLED | CANCELLED |
-| its endpoint drains, its request is over, no capacity | NEVER_SENT | |
+| its endpoint drains, its request has ended, no capacity | NEVER_SENT | |
 
-A stream may have run once any byte of it has left the process; with `ExchangeSpec.runs_when_complete`, as for
-the platform's requests, once the last one has. `Exchange.written` says so.
+A streamed request may have run once any byte of it has left the process; with
+`ExchangeSpec.runs_when_complete`, as for the platform's requests, once the last byte has. `Exchange.written`
+records this.
 """
 
 from __future__ import annotations
@@ -23,31 +24,31 @@
 from badgergap.balancing.interface import Outcome
 
 HEAD_LIMIT = 16 * 1024  # bytes of a response's head
-INTERIM_LIMIT = 8  # responses of the kind 1xx ahead of the final one
+INTERIM_LIMIT = 8  # 1xx responses before the final one
 
 
 @dataclass(slots=True)
 class Answer:
-    """A complete response, as an endpoint or this gateway gave it."""
+    """A complete response from an endpoint or from this gateway."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: bytes = b""
 
     def header(self, name: bytes) -> bytes:
-        """The first value of a header whose name is given in lower case; empty if there is none."""
+        """Return the first value of a header, empty if there is none. `name`: in lower case."""
         return next((value for key, value in self.headers if key == name), b"")
 
 
-# Called once, with the outcome, and the answer if there is one that has not been passed on.
+# Called once, with the outcome, and the response if there is one that has not been forwarded yet.
 Ended = Callable[[Outcome, Answer | None], None]
 
 
 class Carrier(Protocol):
-    """What an exchange is sent on."""
+    """The connection or stream that an exchange is sent on."""
 
     def abort(self) -> None:
-        """The exchange is over: end it in a way that the endpoint notices."""
+        """Close or reset it, so that the endpoint notices the end of the exchange."""
 
 
 class Exchange:
@@ -69,8 +70,8 @@
         self._ended = ended
         self.connection: Carrier | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.deadline_at: float | None = None  # time.monotonic() from which it is not begun any more
-        self.written = False  # the endpoint may have run it: see the rule above
+        self.deadline_at: float | None = None  # time.monotonic() from which it may no longer be started
+        self.written = False  # the endpoint may have run the request, by the rule above
         self.done = False
         self.start_prevented = False
 
@@ -89,25 +90,28 @@
 
     @property
     def has_pending_timeout(self) -> bool:
-        """Whether it is out, and will end by its own timeout; one whose body is committed will not."""
+        """Whether it is in progress and has a running timeout; committing the body cancels the timeout."""
         return not self.done and self.timer is not None and not self.timer.cancelled()
 
     def may_begin(self) -> bool:
-        """Whether it is still to be sent; asked just before its first byte."""
+        """Whether it may still be sent; called just before its first byte is written."""
         if self.done or self.start_prevented:
             return False
         return self.deadline_at is None or time.monotonic() < self.deadline_at
 
     def lost(self) -> None:
-        """The connection is lost, or what came on it was no response."""
+        """End because the connection was lost or the response was invalid."""
         self.end(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
 
     def never_sent(self) -> None:
-        """Nothing was sent, for a reason that lies with this gateway: the endpoint is not to blame."""
+        """End because nothing was sent, for a reason within this gateway: the endpoint is not to blame."""
         self.end(Outcome.NEVER_SENT)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting: the endpoint learns of it by the close of its connection."""
+        """End with this outcome before a response, and abort the connection so that the endpoint notices.
+
+        An outcome other than CANCELLED becomes CONNECT_FAILED if the request was not written.
+        """
         if self.done:
             return
         connection = self.connection
--- a/badgergap/proxy/upstream/health_check.py
+++ b/badgergap/proxy/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints over HTTP/1.1: one small GET, on connections that only health checks use."""
+"""Health checks of endpoints over HTTP/1.1: one small GET, on connections reserved for health checks."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 TIMEOUT_S = 1.0
 BODY_LIMIT = 64 * 1024
-# A response with its framing. Guards against a header, a chunk extension or a trailer that does not end and
-# would grow inside the parser.
+# Bytes of a response with its framing. An endless header, chunk extension or trailer would otherwise grow
+# without a bound inside the parser.
 RAW_LIMIT = 2 * HEAD_LIMIT + 2 * BODY_LIMIT
 
 
 class HealthChecker:
-    """Carries out the balancer's health checks, and feeds each result to it.
+    """Runs the balancer's health checks, and feeds each result to it.
 
-    With load reports of any mode it asks for `/stats`, whose body is a report; otherwise for `/health/live`.
+    If load reports are enabled, in any mode, it requests `/stats`, whose body is a load report; otherwise
+    `/health/live`.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._payload = b"GET " + path + b" HTTP/1.1\r\nHost: service.internal\r\n\r\n"
 
     def check(self, endpoint_id: EndpointId) -> None:
-        """Send one health check; its outcome, round-trip time and load report go to the balancer."""
+        """Send one health check, and feed its outcome, round-trip time and load report to the balancer."""
         sent_us = self._now_us()
 
         def ended(outcome: Outcome, answer: Answer | None) -> None:
@@ -53,16 +54,16 @@
 
 
 class HealthCheckConnection(PooledConnection, asyncio.Protocol):
-    """Sends a payload, and reads a response of bounded size to its end.
+    """A connection for health checks: sends a payload and reads a complete response of bounded size.
 
-    Its own class beside that of streams: health checks and requests never share a connection.
+    A class apart from that of requests, so that health checks and requests never share a connection.
     """
 
     def __init__(self, pool: Upstream, endpoint: Endpoint) -> None:
         super().__init__(pool, endpoint)
         self.answer = Answer()
         self.size = 0
-        self.raw_size = 0  # bytes since the request went out, however they are framed
+        self.raw_size = 0  # bytes since the request was sent, framing included
         self.interim_count = 0
         self.chunks: list[bytes] = []
         self.complete = False
@@ -79,24 +80,24 @@
         self.raw_size = 0
         self.interim_count = 0
         exchange.connection = self
-        exchange.written = True  # unless pause_writing says otherwise from within write
+        exchange.written = True  # pause_writing may reset it within write
         transport.write(exchange.payload)
-        if transport.is_closing():  # the write itself met a broken connection
+        if transport.is_closing():  # the write found the connection broken
             exchange.written = False
 
     def pause_writing(self) -> None:
-        """Part of the request is held back: it does not count as written."""
+        """Part of the request is buffered: it does not count as written."""
         if self.exchange is not None:
             self.exchange.written = False
 
     def resume_writing(self) -> None:
-        """The request has left the process completely: it counts as written."""
+        """The whole request has left the process: it counts as written."""
         if self.exchange is not None:
             self.exchange.written = True
 
     def data_received(self, data: bytes) -> None:
-        """Parse the response; over RAW_LIMIT bytes, or malformed, it fails the check."""
-        if self.exchange is None:  # nothing was asked
+        """Parse the response; one that is malformed or over RAW_LIMIT bytes fails the check."""
+        if self.exchange is None:  # no request was sent
             self.abort()
             return
         self.raw_size += len(data)
@@ -106,7 +107,7 @@
         except httptools.HttpParserError:
             clean = False
         if self.complete:
-            # What comes right behind a whole answer spoils the connection, not the answer.
+            # Data after a complete response makes the connection unusable, but the response is valid.
             self.conclude(clean)
         elif not clean or self.raw_size > RAW_LIMIT:
             self.fail()
@@ -114,10 +115,10 @@
     # Parser
 
     def on_message_begin(self) -> None:
-        """Begin a response. Raises ValueError if the final one has come already."""
+        """Start a new response. Raises ValueError if the final one is complete already."""
         if self.complete:
-            # The parser turns it into its own error, and leaves the first answer as it is.
-            raise ValueError("a second answer to one request")
+            # The parser converts it to its own error; the first response stays as it is.
+            raise ValueError("second response to one request")
         self.answer, self.chunks, self.size = Answer(), [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -125,7 +126,7 @@
         self.answer.headers.append((name.lower(), value))
         self.size += len(name) + len(value)
         if self.size > HEAD_LIMIT:
-            raise ValueError("head too long")
+            raise ValueError("response head too long")
 
     def on_headers_complete(self) -> None:
         """Check the head. Raises ValueError on too many interim responses or too long a body."""
@@ -133,30 +134,30 @@
         if self.parser.get_status_code() < 200:
             self.interim_count += 1
             if self.interim_count > INTERIM_LIMIT:
-                raise ValueError("too many interim answers")
-        # The parser takes nothing but digits for a length.
+                raise ValueError("too many interim responses")
+        # The parser accepts only digits as a length.
         elif int(self.answer.header(b"content-length") or 0) > BODY_LIMIT:
-            raise ValueError("body too long")
+            raise ValueError("response body too long")
 
     def on_body(self, body: bytes) -> None:
         """Add bytes of the body. Raises ValueError if it is over BODY_LIMIT bytes."""
         self.chunks.append(body)
         self.size += len(body)
         if self.size > BODY_LIMIT:
-            raise ValueError("body too long")
+            raise ValueError("response body too long")
 
     def on_message_complete(self) -> None:
-        """Note that the final response is complete, and whether the connection may be kept."""
-        self.complete = self.parser.get_status_code() >= 200  # else an interim answer: the final one follows
-        # Asked here and not later: once the message is over the parser has forgotten how it was framed, and
-        # calls every connection one that closes.
+        """Record that the final response is complete, and whether the connection may be kept alive."""
+        self.complete = self.parser.get_status_code() >= 200  # otherwise an interim response
+        # Read here because after the message the parser has dropped its framing, and reports every connection
+        # as one that closes.
         self.keep_alive = self.parser.should_keep_alive()
 
     def conclude(self, clean: bool) -> None:
         """End the exchange, and return the connection to the pool, or close it.
 
-        Only now that the parser has read all there was may the next request go out on this connection.
-        `clean`: nothing came behind the response.
+        Called only after the parser has consumed all input, so that the next request may be sent on this
+        connection. `clean`: no data followed the response.
         """
         exchange, answer = self.exchange, self.answer
         assert exchange is not None
@@ -171,7 +172,7 @@
 
 
 def outcome_of(answer: Answer) -> Outcome:
-    """What a health check's complete response says of its endpoint."""
+    """Return the outcome that a health check's complete response means for its endpoint."""
     if answer.status == 200:
         return Outcome.SUCCESS
     if answer.status in (503, 504) and answer.header(b"not-started").strip() == b"1":
--- a/badgergap/proxy/upstream/response_state.py
+++ b/badgergap/proxy/upstream/response_state.py
@@ -1,4 +1,4 @@
-"""How far the response on an HTTP/1.1 connection to an endpoint has come."""
+"""States of the response on an HTTP/1.1 connection to an endpoint."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 
 class ResponseState(enum.Enum):
-    """How far the response to the request on a connection has come.
+    """State of the response to the request on a connection.
 
-    | state | what comes next is | leads to |
+    | state | next input is | next states |
     | --- | --- | --- |
     | HEAD | parsed: interim heads, the final one | BODY; COMPLETE without a body; TUNNEL after 101 |
-    | BODY | parsed: content, trailers | DIRECT once the length is known and the head passed on; COMPLETE |
-    | DIRECT | content, passed on unparsed | COMPLETE when all of its length has come |
-    | TUNNEL | anything, passed on unparsed | COMPLETE when the connection ends |
+    | BODY | parsed: content, trailers | DIRECT once the length is known and the head forwarded; COMPLETE |
+    | DIRECT | content, forwarded unparsed | COMPLETE when all of its length is received |
+    | TUNNEL | anything, forwarded unparsed | COMPLETE when the connection ends |
     | COMPLETE | nothing | HEAD when the next request is written |
 
-    A body without a length and the tunnel are COMPLETE at the connection's end, any other one is broken off.
+    At the end of the connection a body without a length and a tunnel are COMPLETE; any other body is
+    truncated.
     """
 
     HEAD = enum.auto()
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 to endpoints as streams: one exchange at a time on a connection, each with exactly one outcome.
+"""Streamed HTTP/1.1 to endpoints: one exchange at a time on a connection, each with exactly one outcome.
 
-`StreamAttempt` states what an outcome says of whether the request may have run. A response that counts as the
-endpoint's failure is held, up to HOLD bytes, so that a retry can go to another endpoint; a longer one is
-passed on as it comes, and counts as a failure all the same. Where `ExchangeSpec.buffers_success` is set a
-good response is held too, while it is known to fit or for HOLD_S, and a failure that does not fit is no
-response.
+`StreamAttempt` describes what an outcome means for whether the request may have run. A response that counts
+as a failure of the endpoint is held, up to HOLD bytes, so that a retry can go to another endpoint; a longer
+one is forwarded as it arrives, and still counts as a failure. With `ExchangeSpec.buffers_success` a success
+is held too, if its length is known to fit, or for HOLD_S if its length is unknown; a failure that does not
+fit is invalid.
 """
 
 from __future__ import annotations
@@ -26,15 +26,16 @@
 from badgergap.proxy.upstream.response_state import ResponseState
 from badgergap.proxy.upstream.stream_attempt import NO_BODY, ExchangeSpec, StreamAttempt, outcome_of
 
-BUFFER = 64 * 1024  # bytes written to an endpoint and not yet sent, beyond which the client is not read
-LAST_READ = 256 * 1024  # bytes read of what stands in a broken connection
-HOLD_S = 0.05  # for the end of a good answer whose length is not said
-# Of what frames a body: so much, and so many times the body. Guards against an extension of a chunk, or a
-# trailer, that does not end and would grow inside the parser; a body may come in chunks of one byte.
+WRITE_BUFFER_LIMIT = 64 * 1024  # bytes buffered for an endpoint, beyond which reading from the client pauses
+UNREAD_LIMIT = 256 * 1024  # most bytes read from a broken connection's socket
+HOLD_S = 0.05  # longest wait for the end of a held success of unknown length
+# Limit on the framing of a body: FRAMING_LIMIT bytes, plus FRAMING_SHARE times the body, which may come in
+# chunks of one byte. An endless chunk extension or trailer would otherwise grow without a bound inside the
+# parser.
 FRAMING_LIMIT, FRAMING_SHARE = 4 * HEAD_LIMIT, 32
 
 
-# Names of this module: one look-up each, on the path of every read.
+# Module-level aliases: one lookup instead of two on the path of every read.
 HEAD, BODY, DIRECT = ResponseState.HEAD, ResponseState.BODY, ResponseState.DIRECT
 TUNNEL, COMPLETE = ResponseState.TUNNEL, ResponseState.COMPLETE
 
@@ -46,7 +47,7 @@
 
     @property
     def http1_connection(self) -> Http1Connection | None:
-        """The HTTP/1.1 connection that carries the attempt, if there is one."""
+        """The HTTP/1.1 connection of the attempt, if there is one."""
         return self.connection if isinstance(self.connection, Http1Connection) else None
 
     def send_body(self, data: bytes) -> None:
@@ -66,7 +67,7 @@
         self.sent_at = self.progress_at = self.loop.time()
 
     def flow(self, on: bool) -> None:
-        """Read the endpoint's response on, or pause while the client takes no more."""
+        """Resume reading the response, or pause it while the client does not accept more."""
         self.client_paused = not on
         self.progress_at = self.loop.time()
         connection = self.http1_connection
@@ -82,16 +83,16 @@
 def carry(
     upstream: Upstream, server: int, timeout_s: float, spec: ExchangeSpec, listener: AttemptListener
 ) -> Http1Attempt:
-    """Start an attempt over HTTP/1.1, for an endpoint that has so many seconds to begin its response."""
+    """Start an attempt over HTTP/1.1; the endpoint has `timeout_s` seconds to begin its response."""
     exchange = Http1Attempt(spec, listener, upstream.loop)
     upstream.carry(server, exchange, timeout_s, Http1Connection)
     return exchange
 
 
 class Http1Connection(PooledConnection, asyncio.BufferedProtocol):
-    """A connection for `Http1Attempt`s, one after another. `ResponseState` has its states.
+    """A connection for consecutive `Http1Attempt`s. `ResponseState` lists its states.
 
-    `attempt` is the exchange that it carries, as `exchange` is; None between two.
+    `attempt` and `exchange` are both the current attempt; None between two.
     """
 
     def __init__(self, pool: Upstream, endpoint: Endpoint) -> None:
@@ -104,18 +105,18 @@
         self.interim_count = 0
         self.state = HEAD
         self.keep_alive = False
-        self.until_close = False  # only the connection's end tells the body's
+        self.until_close = False  # the body ends with the connection
         self.peer_ended = False  # the endpoint has closed its side
-        self.length_unknown = False  # a good answer is held that does not say its length
-        self.body_left = 0  # of a body whose length is known
+        self.length_unknown = False  # a success of unknown length is held
+        self.body_left = 0  # bytes left of a body of known length
         self.outcome = Outcome.SUCCESS
-        self.held_answer: Answer | None = None  # a failure, or a success that is held as well
+        self.held_answer: Answer | None = None  # a failure, or a success with `buffers_success`
         self.held_chunks: list[bytes] = []
         self.hold_limit = HOLD
-        self.raw_size = self.body_size = 0  # bytes of the answer as they come, and of its body
-        self.counted_held = 0  # bytes of the response held here, as the budget counts them
-        self.counted_unsent = 0  # bytes of the request not yet taken by the endpoint, likewise
-        self.write_blocked = False  # the endpoint takes no more for now
+        self.raw_size = self.body_size = 0  # bytes of the response, framing included, and of its body
+        self.counted_held = 0  # bytes of the held response that the budget counts
+        self.counted_unsent = 0  # unsent bytes of the request that the budget counts
+        self.write_blocked = False  # the endpoint does not accept more for now
 
     # Transport
 
@@ -124,11 +125,11 @@
         return self.pool.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """The first `nbytes` of the shared buffer were read from this endpoint."""
+        """Process the `nbytes` that were read from this endpoint into the shared buffer."""
         self.data_received(self.pool.reads.take(nbytes))
 
     def write(self, exchange: Exchange) -> None:
-        """Send an attempt's head, and as much of its body as is held."""
+        """Send an attempt's head, and the part of its body that is held."""
         transport = self.transport
         assert transport is not None and isinstance(exchange, Http1Attempt)
         self.exchange = exchange
@@ -137,7 +138,7 @@
         self.reset_response()
         self.interim_count = 0
         spec = exchange.spec
-        if not spec.upload.is_held:  # its request has had its answer, and its body is gone
+        if not spec.upload.is_held:  # the request was answered, and its body released
             exchange.never_sent()
             self.abort()
             return
@@ -152,17 +153,17 @@
         payload = spec.head.lines() + (b"expect: 100-continue\r\n\r\n" if expects else b"\r\n") + held
         exchange.sent_at = exchange.progress_at = exchange.loop.time()
         exchange.written = True
-        transport.write(payload)  # may tell from within that not all of it has left the process
+        transport.write(payload)  # may call pause_writing if not all of it is sent
         if spec.runs_when_complete:
             exchange.written = spec.upload.complete and not self.write_blocked and not transport.is_closing()
             return
-        # Nothing has left the process: the write met a broken connection, or all of it waits.
+        # Nothing has left the process: the connection is broken, or the whole payload is still buffered.
         if transport.is_closing() or transport.get_write_buffer_size() >= len(payload):
             exchange.written = False
-        transport.set_write_buffer_limits(high=BUFFER)
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_LIMIT)
 
     def reset_response(self) -> None:
-        """Forget the response before, ahead of a request."""
+        """Clear the state of the previous response before a request."""
         self.headers = []
         self.trailer_fields = []
         self.held_chunks = []
@@ -181,18 +182,18 @@
         self.count_held(0)
 
     def send(self, data: bytes) -> None:
-        """Send more of a request, or of a tunnel."""
+        """Send more of a request or a tunnel; does nothing on a closing connection."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def count_held(self, held: int) -> None:
-        """Tell the budget how many bytes of a response are held here."""
+        """Report to the budget how many bytes of a response are held here."""
         if held != self.counted_held:
             self.pool.budget.change(held - self.counted_held)
             self.counted_held = held
 
     def count_unsent(self) -> None:
-        """Tell the budget how many bytes of a request the endpoint has not taken yet."""
+        """Report to the budget how many bytes of a request are still unsent."""
         unsent = (
             self.transport.get_write_buffer_size() if self.transport is not None and self.write_blocked else 0
         )
@@ -200,7 +201,7 @@
         self.counted_unsent = unsent
 
     def pause_writing(self) -> None:
-        """The endpoint takes no more for now: pause the client's upload."""
+        """Pause the client's upload while the endpoint does not accept more."""
         self.write_blocked = True
         self.count_unsent()
         if self.attempt is not None and self.exchange is not None:
@@ -208,7 +209,7 @@
             self.attempt.spec.upload.pace(False)
 
     def resume_writing(self) -> None:
-        """All that was written has left the process: resume the client's upload."""
+        """Resume the client's upload, since all written data has left the process."""
         self.write_blocked = False
         self.count_unsent()
         if self.attempt is not None and self.exchange is not None:
@@ -221,9 +222,9 @@
             self.attempt.spec.upload.pace(True)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the endpoint has sent and pass it on; what was not requested closes the connection."""
+        """Parse and forward data from the endpoint; unsolicited data closes the connection."""
         exchange = self.attempt
-        if exchange is None or self.exchange is None:  # nothing was asked
+        if exchange is None or self.exchange is None:  # no request was sent
             self.abort()
             return
         exchange.written = exchange.written or not exchange.spec.runs_when_complete
@@ -232,14 +233,14 @@
             exchange.spec.download.data(data)
             return
         if self.state is DIRECT:
-            self.pass_direct(exchange, data)
+            self.forward_direct(exchange, data)
             return
         clean = True
         self.raw_size += len(data)
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade as switch:
-            rest = data[switch.args[0] :]
+        except httptools.HttpParserUpgrade as upgrade:
+            rest = data[upgrade.args[0] :]
             if self.state is not TUNNEL:
                 clean = False
             elif rest:
@@ -247,22 +248,22 @@
         except httptools.HttpParserError:
             clean = False
         if self.exchange is not exchange:
-            return  # it has ended from within
+            return  # a callback of the parser has ended it
         if self.state is COMPLETE:
-            # What comes right behind a whole answer spoils the connection, not the answer.
+            # Data after a complete response makes the connection unusable, but the response is valid.
             self.conclude(clean)
         elif not clean or self.raw_size > FRAMING_LIMIT + FRAMING_SHARE * self.body_size:
             self.fail()
         elif self.held_answer is not None and self.length_unknown and exchange.spec.buffers_success:
             self.length_unknown = False
-            exchange.loop.call_later(HOLD_S, self.pass_late, exchange)
+            exchange.loop.call_later(HOLD_S, self.release_unfinished, exchange)
         elif self.body_left > 0 and exchange.response_started:
-            # The rest of a body of known length needs no parser: it would copy every byte.
+            # The rest of a body of known length bypasses the parser, which would copy every byte.
             self.state = DIRECT
             self.parser = httptools.HttpResponseParser(self)
 
-    def pass_direct(self, exchange: Http1Attempt, data: bytes) -> None:
-        """Pass on the rest of a body of known length. What comes behind it spoils the connection."""
+    def forward_direct(self, exchange: Http1Attempt, data: bytes) -> None:
+        """Forward the rest of a body of known length. Data after it makes the connection unusable."""
         rest, clean = self.body_left - len(data), True
         if rest < 0:
             data, rest, clean = data[: self.body_left], 0, False
@@ -272,8 +273,8 @@
             self.state = COMPLETE
             self.conclude(clean)
 
-    def pass_late(self, exchange: Http1Attempt) -> None:
-        """A held response of unknown length has not ended within HOLD_S: what there is of it is passed on."""
+    def release_unfinished(self, exchange: Http1Attempt) -> None:
+        """Forward a held response of unknown length that has not ended within HOLD_S."""
         if (
             self.attempt is exchange
             and self.held_answer is not None
@@ -286,7 +287,7 @@
                 self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: complete a response that ends with it, or else the attempt is lost."""
+        """Complete a response that ends with the connection, or else end the attempt as lost."""
         self.pool.forget(self)
         self.write_blocked = False
         self.count_unsent()
@@ -303,15 +304,16 @@
             exchange.lost()
 
     def abort(self) -> None:
-        """Close at once, without an outcome, and release what is held of the response."""
+        """Close at once without ending the exchange, and release the held response's memory."""
         self.count_held(0)
         super().abort()
 
     def eof_received(self) -> bool:
-        """The endpoint has closed its side; over TLS by its close_notify, as a cut connection is no end.
+        """Record that the endpoint has closed its side; over TLS only a close_notify counts as a close.
 
-        Guards against an endpoint that closes and takes no more of a request: until that is sent the
-        transport would not call its connection lost, and the attempt would hang until its time is over.
+        An endpoint may close without reading the rest of a request. The transport would wait to send that
+        rest before it reports the connection as lost, and the attempt would hang until its timeout; so it is
+        aborted.
         """
         self.peer_ended = True
         if self.transport is not None and self.transport.get_write_buffer_size():
@@ -319,12 +321,12 @@
         return False
 
     def read_unread(self) -> None:
-        """Take in what the endpoint has sent and the loop has not read yet.
+        """Process data from the endpoint that the event loop has not read yet.
 
-        Guards against losing the answer of an endpoint that rejects an upload and closes: the next write
-        meets the reset, while the answer still stands unread in the socket.
+        An endpoint may reject an upload and close: the next write fails with a reset while the response is
+        still unread in the socket, and would be lost.
         """
-        for data in unread_input.read_now(self.transport, LAST_READ):
+        for data in unread_input.read_now(self.transport, UNREAD_LIMIT):
             self.data_received(data)
             if self.exchange is None:
                 break
@@ -332,20 +334,20 @@
     # Parser
 
     def on_message_begin(self) -> None:
-        """Begin a response. Raises ValueError if the final one is complete already."""
+        """Start a new response. Raises ValueError if the final one is complete already."""
         if self.state is COMPLETE:
-            # The parser turns it into its own error, and leaves the first answer as it is.
-            raise ValueError("a second answer to one request")
+            # The parser converts it to its own error; the first response stays as it is.
+            raise ValueError("second response to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header or trailer field. Raises ValueError if they are over HEAD_LIMIT bytes."""
         self.head_size += len(name) + len(value) + 4
         if self.head_size > HEAD_LIMIT:
-            raise ValueError("head too long")
+            raise ValueError("response head too long")
         (self.headers if self.state is HEAD else self.trailer_fields).append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Pass the response's head on, or hold it. Raises ValueError if the body would be too long."""
+        """Forward the response's head, or hold it. Raises ValueError if the body would be too long."""
         exchange = self.attempt
         assert exchange is not None
         status = self.parser.get_status_code()
@@ -355,63 +357,63 @@
             return
         self.state = BODY
         if status == 101:
-            self.switch(exchange, headers)
+            self.start_tunnel(exchange, headers)
             return
         spec = exchange.spec
         head = self.read_head(spec, status, headers)
         if spec.response_limit is not None and (head.length or 0) > spec.response_limit:
-            raise ValueError("body too long")
+            raise ValueError("response body too long")
         self.body_left = head.length or 0 if head.has_body else 0
         self.keep_alive = self.parser.should_keep_alive() and not self.until_close
         self.outcome = outcome_of(status, headers, exchange.spec.is_failure)
         fits = spec.buffers_success and (head.length is None or head.length <= self.hold_limit)
         if self.outcome is Outcome.SUCCESS and not fits:
-            exchange.start_response(self.passed(head))
+            exchange.start_response(self.client_head(head))
         else:
             self.held_answer = Answer(status, headers if spec.buffers_success else response_headers(headers))
             self.held_head = head
             self.length_unknown = self.outcome is Outcome.SUCCESS and head.has_body and head.length is None
         if not head.has_body:
-            # The parser would wait for the body that the length names: it is done with here.
+            # The parser would wait for a body of the stated length: replace it.
             self.state = COMPLETE
             self.parser = httptools.HttpResponseParser(self)
 
     def on_interim(self, exchange: Http1Attempt, status: int, headers: Headers) -> None:
-        """A response of the kind 1xx. Raises ValueError, into the parser, for one too many."""
+        """Handle a 1xx response. Raises ValueError, through the parser, if there are too many."""
         self.interim_count += 1
         if self.interim_count > INTERIM_LIMIT:
-            raise ValueError("too many interim answers")
+            raise ValueError("too many interim responses")
         if status == 100:
             exchange.on_continue()
         else:
             exchange.spec.download.interim(status, response_headers(headers))
 
-    def switch(self, exchange: Http1Attempt, headers: Headers) -> None:
-        """101: from here on a tunnel. Raises ValueError, into the parser, for one that was not asked for."""
+    def start_tunnel(self, exchange: Http1Attempt, headers: Headers) -> None:
+        """Start a tunnel after a 101. Raises ValueError, through the parser, for an unrequested upgrade."""
         upgrade = next((value for name, value in headers if name == b"upgrade"), b"")
         if not exchange.spec.allows_upgrade or upgrade.lower() != b"websocket":
-            raise ValueError("an upgrade that nobody asked for")
+            raise ValueError("upgrade that was not requested")
         self.state = TUNNEL
-        kept = [*response_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
-        exchange.start_response(AnswerHead(101, kept, None, has_body=True, upgraded=True))
+        forwarded = [*response_headers(headers), (b"connection", b"Upgrade"), (b"upgrade", b"websocket")]
+        exchange.start_response(AnswerHead(101, forwarded, None, has_body=True, upgraded=True))
 
-    def passed(self, head: AnswerHead) -> AnswerHead:
-        """A response's head as the client gets it. Raises InvalidHeadError."""
+    def client_head(self, head: AnswerHead) -> AnswerHead:
+        """Return a response's head as it is sent to the client. Raises InvalidHeadError."""
         return replace(head, headers=response_headers(head.headers))
 
     def read_head(self, spec: ExchangeSpec, status: int, headers: Headers) -> AnswerHead:
-        """The head, with its fields as they came, and what frames the body. Raises InvalidHeadError."""
+        """Return the head with its fields unchanged and the body's framing. Raises InvalidHeadError."""
         lengths = {value for name, value in headers if name == b"content-length"}
         codings = [value.lower() for name, value in headers if name == b"transfer-encoding"]
         if (codings and (lengths or codings != [b"chunked"])) or len(lengths) > 1:
-            raise InvalidHeadError("an answer of ambiguous length")
-        length = int(lengths.pop()) if lengths else None  # the parser takes nothing but digits
+            raise InvalidHeadError("response length is ambiguous")
+        length = int(lengths.pop()) if lengths else None  # the parser accepts only digits
         has_body = not (spec.is_head or status in NO_BODY)
         self.until_close = has_body and length is None and not codings
         return AnswerHead(status, headers, length, has_body)
 
     def on_body(self, body: bytes) -> None:
-        """Pass bytes of the body on, or hold them. Raises ValueError if the body is too long."""
+        """Forward bytes of the body, or hold them. Raises ValueError if the body is too long."""
         exchange = self.attempt
         if exchange is None or self.exchange is None or self.state is COMPLETE:
             return
@@ -419,7 +421,7 @@
         self.body_size += len(body)
         limit = exchange.spec.response_limit
         if limit is not None and self.body_size > limit:
-            raise ValueError("body too long")
+            raise ValueError("response body too long")
         if exchange.response_started:
             exchange.spec.download.data(body)
             return
@@ -428,25 +430,25 @@
             self.count_held(self.body_size)
         if self.body_size > self.hold_limit:
             if exchange.spec.buffers_success and self.outcome is not Outcome.SUCCESS:
-                raise ValueError("a failure that is too long")
+                raise ValueError("failure response too long")
             self.pass_held(exchange)
 
     def pass_held(self, exchange: Http1Attempt) -> None:
-        """Pass on what is held of a response: from here on it is the final one. Raises InvalidHeadError."""
-        exchange.pass_held(self.passed(self.held_head), self.held_chunks)
+        """Forward a held response, which makes it the final one. Raises InvalidHeadError."""
+        exchange.pass_held(self.client_head(self.held_head), self.held_chunks)
         self.held_chunks = []
         self.count_held(0)
 
     def on_message_complete(self) -> None:
-        """Note that the final response is complete."""
+        """Record that the final response is complete."""
         if self.state is BODY:
             self.state = COMPLETE
 
     def conclude(self, clean: bool) -> None:
-        """End the exchange, whose response is complete, and return the connection to the pool, or close it.
+        """End the exchange after a complete response, and return the connection to the pool, or close it.
 
-        Only now that the parser has read all there was may the next request go out on this connection.
-        `clean`: nothing came behind the response.
+        Called only after the parser has consumed all input, so that the next request may be sent on this
+        connection. `clean`: no data followed the response.
         """
         exchange = self.attempt
         assert exchange is not None
