--- a/badgergap/proxy/endpoints/directory.py
+++ b/badgergap/proxy/endpoints/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints of one proxy: what its sources say merged, and drains by hand, passed on as they change."""
+"""The endpoints of one proxy: merges its sources and manual drains, and publishes each change."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-CATCH_UP_S = 0.005  # between two looks at discovery's sockets: much less than the grace of a drain
+CATCH_UP_S = 0.005  # least time between reads of discovery's sockets: far below a drain's grace period
 
-# Called for each change by hand: the endpoint's name, who asked for it, and whether it is out now.
+# Called for each manual drain and its end: the endpoint's name, who requested it, whether it is drained now.
 ManualDrainListener = Callable[[str, str, bool], None]
 
 
 class EndpointDirectory:
-    """Takes what the sources say, and tells the connections (`upstream`) and the balancer (`feed`)."""
+    """Receives the sources' updates, and passes them to the connections and to the balancer (`feed`)."""
 
     def __init__(
         self,
@@ -55,33 +55,34 @@
             )
             self.add_source(self.discovery)
         self.manual_drain_listeners: list[ManualDrainListener] = []
-        # Offered each update of a source; True: it was taken elsewhere, and comes back by `apply_update`.
+        # Called with each update; True: it was handled elsewhere, and comes back by `apply_update`.
         self.intercept_update: Callable[[str, EndpointUpdate], bool] | None = None
-        # Whether a source is to be watched and fetched from at all.
+        # Whether a source may be watched and fetched from.
         self.may_follow: Callable[[str], bool] = lambda source: True
-        # Called before a drain is undone, with the endpoint's name and who asked; False: it is not done here.
+        # Called before a drain is undone, with the endpoint's name and who requested it; False: it is not
+        # undone here.
         self.may_undrain: Callable[[str, str], bool] | None = None
 
     # Sources
 
     def add_source(self, source: EndpointSource) -> None:
-        """Add a source before the start. It hands its updates to `receive_update`, under its name."""
+        """Add a source, before `start`. It passes its updates to `receive_update` under its name."""
         self.sources[source.name] = source
         self.start_times[source.name] = StartTimes(self.now_us)
         self.registry.add_source(source.name, source.rank, source.dynamic, source.fallback)
 
     def start(self) -> None:
-        """Start all sources; updates may come from within the call."""
+        """Start all sources; updates may be received during the call."""
         for source in self.sources.values():
             source.start()
 
     def close(self) -> None:
-        """Close all sources: they send no more updates."""
+        """Close all sources; they send no further updates."""
         for source in self.sources.values():
             source.close()
 
     def reload(self, config: Config) -> None:
-        """Follow discovery to the address that a new configuration names."""
+        """Move to the discovery address of a new configuration, if it has changed."""
         if (
             self.discovery is not None
             and config.discovery is not None
@@ -92,7 +93,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether there are endpoints, and discovery's list (where there is one) counts as that of now."""
+        """Whether there are endpoints, and discovery's list, if there is a discovery, is up to date."""
         return bool(self.upstream.endpoints) and (self.discovery is None or self.discovery.is_current)
 
     def watch(self, on: bool) -> None:
@@ -109,30 +110,30 @@
     # Updates
 
     def catch_up(self) -> None:
-        """Take in what discovery has sent and the loop has not read yet, if that was not done just now."""
+        """Process updates from discovery that the event loop has not read yet, at most every CATCH_UP_S."""
         now = time.monotonic()
         if self.discovery is not None and now - self.caught_up_at > CATCH_UP_S:
             self.caught_up_at = now
             self.discovery.read_unread()
 
     def receive_update(self, source: str, update: EndpointUpdate) -> None:
-        """Take an update from a source, unless `intercept_update` takes it."""
+        """Apply an update from a source, unless `intercept_update` handles it."""
         if self.intercept_update is None or not self.intercept_update(source, update):
             self.apply_update(source, update)
 
     def apply_update(self, source: str, update: EndpointUpdate) -> None:
-        """Merge an update in, and pass on what it changes.
+        """Merge an update into the registry, and publish what it changes.
 
-        That another source than the platform fails, or has nothing new, is between it and the registry: the
-        balancer's answer to a failure is to ask the platform again.
+        A failure or an empty change of a source other than the platform ends at the registry, because the
+        balancer responds to a failure by calling the platform again.
         """
-        update = self.start_times[source].taken(update)
+        update = self.start_times[source].convert(update)
         update = replace(self.registry.receive(self.now_us(), source, update), is_late=update.is_late)
         if source == PLATFORM or update.entries or update.kind is EndpointListKind.FULL:
             self.publish_update(update)
 
     def publish_update(self, update: EndpointUpdate) -> None:
-        """Pass a merged update on: first to the connections, then to the balancer."""
+        """Publish a merged update, first to the connections, then to the balancer."""
         if update.kind in (EndpointListKind.FULL, EndpointListKind.DISK):
             listed_ids = (entry.listed.endpoint_id for entry in update.entries)
             self.upstream.drain_unlisted(listed_ids, update.is_late)
@@ -143,19 +144,19 @@
             )
         self.feed(update.as_event())
 
-    # Drains by hand
+    # Manual drains
 
     def drain(self, name: str, by: str, action: str = "") -> None:
-        """Drain an endpoint by hand: in effect when this returns.
+        """Drain an endpoint manually; in effect on return.
 
-        Raises EndpointRegistryError for an endpoint that is unknown, and for one drain too many.
+        Raises EndpointRegistryError if the endpoint is unknown or there are too many drains.
         """
         was_drained = name in self.registry.drains
         self.publish_update(self.registry.drain(self.now_us(), name, by, action))
         self._notify_manual_drain(name, by, was_drained)
 
     def undrain(self, name: str, by: str) -> None:
-        """Undo a drain by hand. Raises EndpointRegistryError for an endpoint that is unknown."""
+        """Undo a manual drain. Raises EndpointRegistryError if the endpoint is unknown."""
         if self.may_undrain is not None and not self.may_undrain(name, by):
             return
         was_drained = name in self.registry.drains
--- a/badgergap/proxy/endpoints/discovery_call.py
+++ b/badgergap/proxy/endpoints/discovery_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery, from its connection to its end."""
+"""One HTTP call to service discovery, from connecting to its end."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 log = logging.getLogger(__name__)
 
-# A watch sends a line every 2 s. Guards against one that is open and says nothing more, as when the machine
-# at its other end has vanished: the list would go stale unseen. A change counts as announced 6 s late at
-# the latest, and by then the next call should have been answered.
+# A watch sends a line every 2 s. One that stays open but sends nothing, for example because the machine at
+# the other end has vanished, would let the list go stale unnoticed. A change counts as announced at most 6 s
+# late, and the next call should have been answered by then.
 SILENCE_S = 3.5
 CONNECT_S = 1.0
-MOVE_ANSWER_S = 1.5  # in place of SILENCE_S, until a service has answered its first watch after a move
+MOVE_ANSWER_S = 1.5  # replaces SILENCE_S until the first watch after a move is answered
 LATE_S = 0.05
-LINE_LIMIT = 8 * 1024 * 1024  # bytes, also of a message of several lines
+LINE_LIMIT = 8 * 1024 * 1024  # bytes, also for a message of several lines
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call to discovery: a watch that goes on, or the full list once.
+    """One call to discovery: a continuous watch, or one fetch of the full list.
 
-    It reports each message by `Discovery.on_list`, an unreadable one of a watch by `on_unreadable`, and its
-    end, unless that was by `end`, by `on_call_failed`.
+    It calls `Discovery.on_list` for each message, `on_unreadable` for an unreadable one of a watch, and
+    `on_call_failed` at its end, unless that was by `end`.
     """
 
     def __init__(self, discovery: Discovery, target: str, watch: bool) -> None:
@@ -44,13 +44,13 @@
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.messages = MessageSplitter()
-        self.partial_bytes = 0  # bytes of a message that is not complete
-        self.over = False
-        self.silent = False  # it is over because nothing came for too long
-        self.answered = False  # something has come: of the list, or that there is nothing new
-        self.silence: asyncio.TimerHandle | None = None
+        self.partial_bytes = 0  # bytes of an incomplete message
+        self.ended = False
+        self.silent = False  # it ended because nothing was received for too long
+        self.answered = False  # body data was received: part of a list, or a keep-alive line
+        self.silence_timer: asyncio.TimerHandle | None = None
         self.is_parsing = False
-        self.is_late = False  # what is being read stood in the socket for longer than LATE_S
+        self.is_late = False  # the data being read was in the socket for longer than LATE_S
         self.task = discovery.loop.create_task(self.open())
 
     async def open(self) -> None:
@@ -62,9 +62,9 @@
             self.fail(f"no connection: {error}")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the GET, unless the call is over; from here on silence is timed."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        if self.over:
+        """Send the GET request, unless the call has ended, and start the silence timer."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
+        if self.ended:
             self.transport.abort()
             return
         host, port = self.address
@@ -72,43 +72,45 @@
         self.restart_silence_timer()
 
     def restart_silence_timer(self) -> None:
-        """Something has come, or is awaited from now on."""
-        if self.silence is not None:
-            self.silence.cancel()
+        """Restart the timer that fails the call when discovery sends nothing."""
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
         moved = self.watch and not self.answered and self.discovery.moving_until
-        self.silence = self.discovery.loop.call_later(MOVE_ANSWER_S if moved else SILENCE_S, self.fall_silent)
+        self.silence_timer = self.discovery.loop.call_later(
+            MOVE_ANSWER_S if moved else SILENCE_S, self.on_silence
+        )
 
-    def fall_silent(self) -> None:
+    def on_silence(self) -> None:
         """Fail the call because discovery has sent nothing for too long."""
         self.silent = True
-        self.fail("silent for too long")
+        self.fail("no data for too long")
 
     def data_received(self, data: bytes) -> None:
-        """Parse what discovery has sent; malformed input fails the call."""
+        """Parse data from discovery; malformed input fails the call."""
         self.is_late = unread_input.data_age_s(self.transport) > LATE_S
         self.is_parsing = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.fail(f"malformed answer: {error}")
+            self.fail(f"malformed response: {error}")
         finally:
             self.is_parsing = False
-        if not self.over:
-            self.restart_silence_timer()  # with the limit that holds after this answer
+        if not self.ended:
+            self.restart_silence_timer()  # with the limit that applies after this response
 
     def read_unread(self) -> None:
-        """Read what discovery has sent and the loop has not read yet."""
-        if self.over or self.is_parsing or self.transport is None or self.transport.is_closing():
-            return  # what is being parsed may lead here
+        """Process data from discovery that the event loop has not read yet."""
+        if self.ended or self.is_parsing or self.transport is None or self.transport.is_closing():
+            return  # data being parsed may lead to this call
         if unread_input.is_quiet(self.transport):
             return
         for data in unread_input.read_now(self.transport, LINE_LIMIT):
             self.data_received(data)
-            if self.over:
+            if self.ended:
                 break
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: the call has failed, unless it is over."""
+        """Fail the call, unless it has ended, because the connection is lost."""
         self.fail("connection lost")
 
     def on_headers_complete(self) -> None:
@@ -118,23 +120,23 @@
             self.fail(f"answered {status}")
 
     def on_body(self, body: bytes) -> None:
-        """Take bytes of the body, and read each complete line of a watch; fails over LINE_LIMIT bytes."""
-        if self.over:
+        """Buffer the body, and process each complete line of a watch; fails over LINE_LIMIT bytes."""
+        if self.ended:
             return
         self.buffer += body
         self.answered = True
         if len(self.buffer) + self.partial_bytes > LINE_LIMIT:
-            self.fail("a line too long")
+            self.fail("line too long")
         elif self.watch:
             *lines, rest = self.buffer.split(b"\n")
             self.buffer = rest
             for line in lines:
-                if not self.over:
+                if not self.ended:
                     self.read_line(bytes(line))
 
     def on_message_complete(self) -> None:
-        """Read the list that was fetched; a watch that ends has failed."""
-        if self.over:
+        """Process a fetched list; a watch that ends has failed."""
+        if self.ended:
             return
         if self.watch:
             self.fail("the watch ended")
@@ -144,11 +146,11 @@
                 self.discovery.on_call_failed(self)
 
     def read_line(self, line: bytes) -> None:
-        """Read one line of a watch, and report a message that it completes or that is unreadable."""
+        """Process one line of a watch, and report a message that it completes or that is unreadable."""
         try:
             message = self.messages.add_line(line)
         except ValueError as error:
-            log.warning("skipped what discovery said: %s", error)
+            log.warning("discovery: skipped an unreadable message: %s", error)
             self.discovery.on_unreadable(self)
             message = None
         self.partial_bytes = sum(map(len, self.messages.lines))
@@ -156,26 +158,26 @@
             self.discovery.on_unreadable(self)
 
     def read(self, text: bytes) -> bool:
-        """Report a message. Returns whether it could be read."""
+        """Decode and report a message. Returns whether it was readable."""
         try:
             self.discovery.on_list(json.loads(text), self)
         except (ValueError, RecursionError) as error:
-            log.warning("skipped what discovery said: %s: %.200r", error, text)
+            log.warning("discovery: skipped an unreadable message: %s: %.200r", error, text)
             return False
         return True
 
     def end(self) -> None:
-        """End without a report."""
-        self.over = True
-        if self.silence is not None:
-            self.silence.cancel()
+        """End the call without reporting a failure."""
+        self.ended = True
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
 
-    def fail(self, why: str) -> None:
-        """End the call and report it as failed, once; `why` is logged."""
-        if self.over:
+    def fail(self, reason: str) -> None:
+        """End the call and report it as failed, once; `reason` is logged."""
+        if self.ended:
             return
         self.end()
-        log.info("discovery: %s", why)
+        log.info("discovery: %s", reason)
         self.discovery.on_call_failed(self)
--- a/badgergap/proxy/endpoints/endpoint_list.py
+++ b/badgergap/proxy/endpoints/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's JSON: from a message to an `EndpointUpdate`."""
+"""Parses discovery's JSON endpoint lists into `EndpointUpdate`s."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def parse_entry(raw: Any, names: Names) -> Entry:
-    """One endpoint of a list. Raises ValueError, or ConfigError for its address."""
+    """Parse one endpoint of a list. Raises ValueError, or ConfigError for an invalid address."""
     try:
         weight, since_ms = float(raw.get("weight", 1.0)), int(raw.get("since_ms", 0))
         if not 0.0 < weight < math.inf or since_ms < 0:
             raise ValueError("weight or since_ms is out of range")
         if not isinstance(raw["name"], str) or not raw["name"]:
-            raise ValueError("name is no text")
+            raise ValueError("name is empty or not a string")
         listed = ListedEndpoint(
             endpoint_id=endpoint_id_of(raw["name"]),
             status=STATUSES[raw["status"]],
@@ -40,12 +40,12 @@
 
 
 def parse_list(raw: Any, names: Names, full: EndpointListKind = EndpointListKind.FULL) -> EndpointUpdate:
-    """One message of discovery. An entry that cannot be read is named in the log and left out.
+    """Parse one message from discovery. Invalid entries are logged and skipped.
 
-    Raises ValueError for a message that is no list.
+    `full`: the kind of update that a full list becomes. Raises ValueError for a message that is not a list.
     """
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
-        raise ValueError("a list without endpoints")
+        raise ValueError("message has no list of endpoints")
     entries: list[Entry] = []
     for item in raw["endpoints"]:
         try:
@@ -56,6 +56,6 @@
 
 
 def version_of(raw: dict[str, Any]) -> int:
-    """The version number of a list; 0 where it has none."""
+    """Return the version number of a list, or 0 if it has none."""
     index = raw.get("index", 0)
     return index if isinstance(index, int) else 0
--- a/badgergap/proxy/endpoints/message_splitter.py
+++ b/badgergap/proxy/endpoints/message_splitter.py
@@ -1,4 +1,4 @@
-"""Splits the lines of a watch into messages."""
+"""Assembles the lines of a watch into messages."""
 
 from __future__ import annotations
 
@@ -8,26 +8,28 @@
 
 
 class MessageSplitter:
-    """Joins the lines of a watch to messages: one a line, or indented over several lines."""
+    """Joins the lines of a watch into JSON messages, each on one line or indented over several."""
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []  # of a message that is not complete
-        self.depth = 0  # brackets of it that are open
+        self.lines: list[bytes] = []  # of an incomplete message
+        self.depth = 0  # its number of open brackets
 
     def add_line(self, line: bytes) -> bytes | None:
-        """The message that this line ends, if it ends one. Raises ValueError for what can be none.
+        """Return the message that this line completes, or None. Raises ValueError for an incomplete message.
 
-        An empty line is a sign of life. Guards against one in the midst of a message: that will never be
-        complete, and would swallow those that follow.
+        An empty line is a keep-alive. Within a message it means that the rest will never come: the incomplete
+        message is dropped, as it would otherwise absorb those that follow.
         """
         if not line.strip():
             if self.lines:
                 self.lines, self.depth = [], 0
-                raise ValueError("a message without its end")
+                raise ValueError("incomplete message")
             return None
-        bare = STRING.sub(b"", line)
+        unquoted = STRING.sub(b"", line)
         self.lines.append(line)
-        self.depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+        self.depth += (
+            unquoted.count(b"{") + unquoted.count(b"[") - unquoted.count(b"}") - unquoted.count(b"]")
+        )
         if self.depth > 0:
             return None
         message, self.lines, self.depth = b"\n".join(self.lines), [], 0
--- a/badgergap/proxy/endpoints/registry.py
+++ b/badgergap/proxy/endpoints/registry.py
@@ -1,17 +1,17 @@
-"""The endpoints as all sources together name them, and the drains by hand. Pure: no I/O, no clock.
-
-The rules, stated once:
-
-1. An endpoint is known by its name. Of the sources that have named it, that of the lowest rank is believed.
-2. A dynamic source that reported an endpoint gone, or sent a full list without it, still counts: weaker
-   sources do not bring the endpoint back until that source names it again. A static source that no longer
-   names an endpoint has no say about it.
-3. A drain by hand turns an endpoint that is ready into one that is out, whatever any source reports of it,
-   under whatever start time or address, until it is undone by hand. It never brings back one that is gone.
-4. What a fallback source names counts only until a dynamic source has sent an update that is no error. Then
-   its endpoints are gone, but for those that another source names.
-5. What goes on to the balancer keeps the kind of the update that caused it: a full list stays a full list (of
-   all that is known), a delta names what changed.
+"""Merges the endpoint lists of all sources with the manual drains. Pure: no I/O, no clock.
+
+Rules:
+
+1. An endpoint is identified by its name. Of the sources that list it, the one with the lowest rank wins.
+2. If a dynamic source reports an endpoint as gone, or sends a full list without it, the endpoint stays gone
+   for sources of higher rank until that source lists it again. A static source that no longer lists an
+   endpoint has no effect on it.
+3. A manual drain changes the status of an endpoint from ready to out, whatever status, start time or address
+   its sources report, until it is undone manually. It never brings back an endpoint that is gone.
+4. The endpoints of a fallback source count only until a dynamic source has sent an update other than an
+   error. Then they are gone, except those that another source lists.
+5. An update to the balancer has the kind of the source's update: a full list becomes a full list of all
+   endpoints, a delta lists what changed.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from badgergap.errors import BadgergapError
 from badgergap.proxy.endpoints.sources import EndpointUpdate, Entry
 
-# Names that a dynamic source reported gone. Beyond it the oldest are forgotten: a weaker source that still
-# names one of them is believed again.
+# Endpoints kept that a dynamic source reported as gone. Beyond the limit the oldest are forgotten, and a
+# source of higher rank that still lists one of them counts again.
 GONE_LIMIT = 1024
-# Drains by hand. Beyond it a further one is rejected.
+# Manual drains; further ones are rejected.
 DRAIN_LIMIT = 1024
 
 
 class EndpointRegistryError(BadgergapError, ValueError):
-    """A drain by hand, or its end, cannot be carried out; the message says why."""
+    """A manual drain, or undoing one, is not possible; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What one source reported last of one endpoint. `at_us`: microseconds of the gateway's clock."""
+    """The latest report of one source on one endpoint. `at_us`: microseconds of the gateway's clock."""
 
     entry: Entry
     at_us: int
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ManualDrain:
-    """A drain by hand: of what, by whom, when (microseconds of the gateway's clock), by which action id."""
+    """A manual drain: endpoint name, author, time (microseconds of the gateway's clock) and action id."""
 
     name: str
     by: str
@@ -61,7 +61,7 @@
 class SourceState:
     """A source's records and health, both times in microseconds.
 
-    `last_update_us`: of its last update that was no error; `failing_since_us`: 0 while it does not fail.
+    `last_update_us`: time of its latest update other than an error. `failing_since_us`: 0 while it works.
     """
 
     name: str
@@ -71,15 +71,15 @@
     last_update_us: int = 0
     failing_since_us: int = 0
     records: dict[str, EndpointRecord] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)  # the names among them that are gone
+    gone: set[str] = field(default_factory=set)  # names in `records` whose status is gone
 
     @property
     def endpoint_count(self) -> int:
-        """The number of endpoints that the source names and that are not gone."""
+        """The number of endpoints that the source lists and that are not gone."""
         return len(self.records) - len(self.gone)
 
     def record(self, records: dict[str, EndpointRecord]) -> None:
-        """Take records in, each in place of the one before of the same name."""
+        """Add records, each replacing an earlier one of the same name."""
         self.records.update(records)
         for name, record in records.items():
             if record.gone:
@@ -95,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedEndpoint:
-    """One endpoint as merged. `source` is the one believed.
+    """One endpoint after merging. `source`: the one whose record is used.
 
-    `statements`: each source that has named it, the strongest first, with its status there, and when.
+    `statements`: source name, status and time of each source's record, in the order of rank.
     """
 
     entry: Entry
@@ -107,21 +107,21 @@
 
 
 class EndpointRegistry:
-    """Merges what the sources report. Its methods return what has to be passed on."""
+    """Merges the sources' updates. Its methods return the update for the balancer and the connections."""
 
     def __init__(self) -> None:
         self.sources: dict[str, SourceState] = {}
         self.drains: dict[str, ManualDrain] = {}
 
     def add_source(self, name: str, rank: int, dynamic: bool, fallback: bool = False) -> None:
-        """Add a source without records, in the order of `rank` (the lowest is believed first)."""
+        """Add a source without records. Sources are kept in the order of `rank`, the lowest first."""
         self.sources[name] = SourceState(name, rank, dynamic, fallback)
         self.sources = dict(sorted(self.sources.items(), key=lambda item: item[1].rank))
 
-    # What sources report
+    # Source updates
 
     def receive(self, now_us: int, source: str, update: EndpointUpdate) -> EndpointUpdate:
-        """Take a source's update; returns what the balancer and the connections have to learn of it."""
+        """Merge a source's update, and return the update for the balancer and the connections."""
         state = self.sources[source]
         if update.kind is EndpointListKind.ERROR:
             state.failing_since_us = state.failing_since_us or now_us
@@ -134,7 +134,7 @@
         state.record(records)
         self._trim_gone(state)
         if len(self.sources) == 1 and not self.drains:
-            return update  # nothing to merge: as the source reported it
+            return update  # nothing to merge
         if update.kind is not EndpointListKind.DELTA:
             return EndpointUpdate(update.kind, self._listed())
         entries = self._merged(records)
@@ -146,11 +146,11 @@
         return [name for state in self.sources.values() if state.fallback for name in state.records]
 
     def _is_fallback_replaced(self) -> bool:
-        """Whether a dynamic source has sent an update, so that fallback sources no longer count."""
+        """Whether a dynamic source has sent an update, which ends the use of fallback sources."""
         return any(state.dynamic and state.last_update_us for state in self.sources.values())
 
     def _records_of(self, name: str) -> list[tuple[SourceState, EndpointRecord]]:
-        """The records of an endpoint, the strongest source first; a replaced fallback's count as gone."""
+        """Return the records of an endpoint in the order of rank; those of a replaced fallback as gone."""
         found = []
         for state in self.sources.values():
             record = state.records.get(name)
@@ -162,7 +162,7 @@
         return found
 
     def _apply_absences(self, state: SourceState, records: dict[str, EndpointRecord], now_us: int) -> None:
-        """A full list has come: what it lacks is gone, or for a static source no longer named."""
+        """Apply what a full list lacks: gone for a dynamic source, forgotten for a static one."""
         for name in state.records.keys() - records.keys():
             if not state.dynamic:
                 state.forget(name)
@@ -171,7 +171,7 @@
                 state.record({name: EndpointRecord(entry, now_us)})
 
     def _trim_gone(self, state: SourceState) -> None:
-        """Forget the oldest of the names that are gone, beyond GONE_LIMIT."""
+        """Forget the oldest endpoints that are gone, beyond GONE_LIMIT."""
         excess = len(state.gone) - GONE_LIMIT
         if excess <= 0:
             return
@@ -179,12 +179,12 @@
         for name in oldest_first[:excess]:
             state.forget(name)
 
-    # By hand
+    # Manual drains
 
     def drain(self, now_us: int, name: str, by: str, action: str = "") -> EndpointUpdate:
-        """Drain an endpoint by hand; one that is drained already keeps its first drain.
+        """Drain an endpoint manually; one that is drained already keeps its first drain.
 
-        Raises EndpointRegistryError for an unknown endpoint, and beyond DRAIN_LIMIT.
+        Raises EndpointRegistryError for an unknown endpoint, and beyond DRAIN_LIMIT drains.
         """
         if name not in self.drains:
             entry = self.entry(name)
@@ -196,7 +196,7 @@
         return EndpointUpdate(EndpointListKind.DELTA, self._merged((name,)))
 
     def undrain(self, name: str) -> EndpointUpdate:
-        """Undo a drain by hand, also of an endpoint that no source names any more.
+        """Undo a manual drain, also of an endpoint that no source lists any more.
 
         Raises EndpointRegistryError for an unknown endpoint.
         """
@@ -209,28 +209,28 @@
         return EndpointUpdate(EndpointListKind.DELTA, self._merged((name,)))
 
     def restore(self, drains: Iterable[ManualDrain]) -> None:
-        """Take over drains kept from before, ahead of any update. Those beyond the limit are left out."""
+        """Restore stored drains before the first update. Those beyond DRAIN_LIMIT are dropped."""
         for drain in list(drains)[:DRAIN_LIMIT]:
             self.drains[drain.name] = drain
 
-    # What is known
+    # Queries
 
     def entry(self, name: str) -> Entry | None:
-        """The endpoint as the balancer knows it, or None for one that no source has ever named."""
+        """Return the merged endpoint, or None for one that no source has listed."""
         records = self._records_of(name)
         return self._with_drain(name, records[0][1]) if records else None
 
     def _with_drain(self, name: str, record: EndpointRecord) -> Entry:
-        """The entry that a record holds, out where it is drained by hand."""
+        """Return the record's entry, with status OUT if it is ready and manually drained."""
         entry = record.entry
         if name in self.drains and entry.listed.status is EndpointStatus.READY:
             return _with_status(entry, EndpointStatus.OUT)
         return entry
 
     def view(self, limit: int | None = None, gone_since_us: int = 0) -> tuple[MergedEndpoint, ...]:
-        """Endpoints as merged: at most `limit`, those drained by hand first.
+        """Return merged endpoints: at most `limit`, manually drained ones first.
 
-        Of the endpoints that are gone, those that the believed source has reported so since `gone_since_us`.
+        Endpoints that are gone are included if the source used reported so at `gone_since_us` or later.
         """
         views: list[MergedEndpoint] = []
         drained = (name for name in self.drains if self._records_of(name))
@@ -239,19 +239,19 @@
             if limit is not None and len(views) >= limit:
                 break
             records = self._records_of(name)
-            source, believed = records[0]
-            if believed.gone and believed.at_us < gone_since_us:
+            source, used = records[0]
+            if used.gone and used.at_us < gone_since_us:
                 continue
             statements = tuple((state.name, each.entry.listed.status, each.at_us) for state, each in records)
-            entry = self._with_drain(name, believed)
+            entry = self._with_drain(name, used)
             views.append(MergedEndpoint(entry, source.name, statements, self.drains.get(name)))
         return tuple(views)
 
     @property
     def endpoint_count(self) -> int:
-        """How many endpoints there are that are not gone."""
+        """The number of merged endpoints that are not gone."""
         present: set[str] = set()
-        named: set[str] = set()  # by the stronger sources
+        named: set[str] = set()  # by sources of lower rank
         for state in self.sources.values():
             if not (state.fallback and self._is_fallback_replaced()):
                 present |= state.records.keys() - state.gone - named
--- a/badgergap/proxy/endpoints/sources.py
+++ b/badgergap/proxy/endpoints/sources.py
@@ -1,8 +1,8 @@
-"""What a source of endpoints reports, and the protocol that every source implements.
+"""The updates of an endpoint source, and the protocol that every source implements.
 
-A source (the platform's discovery, a file, a watched store) turns its own format into an `EndpointUpdate` and
-hands each to the proxy, which merges the updates of all of them (`registry.py`). The proxy never learns what
-kind it is.
+A source (the platform's discovery, a file, a watched store) converts its own format to `EndpointUpdate`s and
+passes them to the proxy, which merges the updates of all sources (`registry.py`). The proxy does not depend
+on the type of a source.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from badgergap.balancing.interface import EndpointList, EndpointListKind, ListedEndpoint
 from badgergap.proxy.lifecycle.config import Address
 
-PLATFORM = "platform"  # the name of the source that the platform's configuration sets
+PLATFORM = "platform"  # the name of the source from the platform's configuration
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One endpoint of a list: what the balancer needs of it, and how to reach it."""
+    """One endpoint of a list: the balancer's data on it, and how to reach it."""
 
     listed: ListedEndpoint
     address: Address
     name: str
-    protocol: str = ""  # in which it is spoken to; "" is HTTP/1.1
+    protocol: str = ""  # protocol of its requests; "" is HTTP/1.1
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A full list, a change or a failure, as a source reports it."""
+    """A full list, a delta or a failure, reported by a source."""
 
     kind: EndpointListKind
     entries: tuple[Entry, ...] = ()
-    is_late: bool = False  # it stood unread for a while: the drains that it reports have had their grace
+    is_late: bool = False  # it was unread for a while: the grace period of the drains in it is over
 
     def as_event(self) -> EndpointList:
-        """For the balancer."""
+        """Return the update as an event for the balancer."""
         return EndpointList(self.kind, tuple(entry.listed for entry in self.entries))
 
 
@@ -47,44 +47,43 @@
 class EndpointSource(Protocol):
     """One source of endpoints.
 
-    `rank` orders sources: where several name one endpoint, the lowest rank that does is believed. A source
-    that is not `dynamic` (a file) has no say about what it no longer names; a dynamic one that stops naming
-    an endpoint has reported it gone. What a `fallback` source names counts only until a dynamic one has sent
-    an update.
+    `rank` orders sources: if several list an endpoint, the lowest rank wins. An endpoint that a `dynamic`
+    source stops listing is gone; one that a static source (a file) stops listing is left to the other
+    sources. The endpoints of a `fallback` source count only until a dynamic source has sent an update.
     """
 
     @property
     def name(self) -> str:
-        """The name that its updates and records go by."""
+        """The name that identifies its updates and records."""
 
     @property
     def rank(self) -> int:
-        """Its order among the sources; the lowest is believed."""
+        """Its precedence among the sources; the lowest wins."""
 
     @property
     def dynamic(self) -> bool:
-        """Whether an endpoint that it stops naming is gone."""
+        """Whether an endpoint that it stops listing is gone."""
 
     @property
     def fallback(self) -> bool:
         """Whether its endpoints count only until a dynamic source has sent an update."""
 
     def start(self) -> None:
-        """Begin to send updates; the first may come from within the call."""
+        """Start sending updates; the first may be sent during the call."""
 
     def watch(self, on: bool) -> None:
-        """The balancer wants changes from now on, or no more. May do nothing."""
+        """Start or stop watching for changes, for the balancer. May do nothing."""
 
     def fetch(self) -> None:
-        """The balancer wants the whole list once. May do nothing."""
+        """Fetch the full list once, for the balancer. May do nothing."""
 
     def describe(self) -> str:
-        """Where its list comes from and how that goes, for operators."""
+        """Return the origin of its list and its state, for operators."""
 
     def close(self) -> None:
-        """Send no more updates."""
+        """Stop sending updates."""
 
 
 def endpoint_id_of(name: str) -> int:
-    """The id of an endpoint by its name: the same at every gateway and after every restart."""
+    """Return the id of an endpoint, a hash of its name: the same at every gateway and after every restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest())
--- a/badgergap/proxy/endpoints/start_times.py
+++ b/badgergap/proxy/endpoints/start_times.py
@@ -1,4 +1,4 @@
-"""Start times of endpoints on the gateway's own clock, whatever is done to the wall clock."""
+"""Converts start times of endpoints to the gateway's clock, independent of steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -18,35 +18,36 @@
 
 
 class StartTimes:
-    """Turns the start times that one source names, by the wall clock, into those of the gateway's clock.
+    """Converts the start times of one source from the wall clock to the gateway's clock.
 
-    The two clocks agree until the wall clock is stepped. A start that is heard of for the first time is taken
-    by the wall clock of then: by the gateway's own, an endpoint that has just started would count as warm
-    after a step back, and as cold for an hour after a step forward. Whole seconds: slewing is no step.
+    The two clocks agree until the wall clock is stepped. A start time is converted by the offset between the
+    clocks when it is first listed. Without that, an endpoint that has just started would count as warm after
+    a step back, and as cold for an hour after a step forward. The offset is in whole seconds, so that slewing
+    does not count as a step.
     """
 
     def __init__(self, now_us: Callable[[], int], wall_us: Callable[[], int] = wall_clock_us) -> None:
         self._now_us = now_us
         self._wall_us = wall_us
-        # By name: the start as it was listed last, and as it was taken.
-        self._known: dict[str, tuple[int, int]] = {}
+        # By endpoint name: the start time as last listed, and its converted value.
+        self._converted: dict[str, tuple[int, int]] = {}
 
-    def taken(self, update: EndpointUpdate) -> EndpointUpdate:
-        """Return an update with its start times on the gateway's clock."""
+    def convert(self, update: EndpointUpdate) -> EndpointUpdate:
+        """Return the update with its start times on the gateway's clock."""
         step_us = round((self._now_us() - self._wall_us()) / US_PER_S) * US_PER_S
-        entries = tuple(self._taken(entry, step_us) for entry in update.entries)
+        entries = tuple(self._convert_entry(entry, step_us) for entry in update.entries)
         if update.kind is EndpointListKind.FULL:
             listed = {entry.name for entry in entries}
-            self._known = {name: times for name, times in self._known.items() if name in listed}
+            self._converted = {name: times for name, times in self._converted.items() if name in listed}
         return replace(update, entries=entries) if entries != update.entries else update
 
-    def _taken(self, entry: Entry, step_us: int) -> Entry:
+    def _convert_entry(self, entry: Entry, step_us: int) -> Entry:
         listed_us = entry.listed.started_us
         if listed_us == 0:
             return entry
-        known = self._known.get(entry.name)
+        known = self._converted.get(entry.name)
         if known is None or known[0] != listed_us:
-            known = self._known[entry.name] = (listed_us, listed_us + step_us)
+            known = self._converted[entry.name] = (listed_us, listed_us + step_us)
         if known[1] == listed_us:
             return entry
         return replace(entry, listed=replace(entry.listed, started_us=known[1]))
--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -108,7 +108,7 @@
             _, watch = await it.registry.watches.get()
             watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
             assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
-            assert "skipped what discovery said" in caplog.text
+            assert "discovery: skipped an unreadable message" in caplog.text
 
     run(test())
 
@@ -306,7 +306,7 @@
         async with gateway() as it:
             await told(it)
             asked = []
-            for _ in range(discovery.UNREADABLE_MOST + 1):
+            for _ in range(discovery.UNREADABLE_LIMIT + 1):
                 first, watch = await it.registry.watches.get()
                 asked.append(int(first.partition("index=")[2].split()[0]))
                 watch.write(chunk(news(entry("h1", "nowhere"), entry("h2", it.host.address), index=9)))
@@ -421,8 +421,8 @@
                 if it.proxy.directory.discovery is not None
                 else None
             )
-            assert call is not None and call.silence is not None
-            assert call.silence.when() - it.proxy.loop.time() > 60.0  # the first word's time is over
+            assert call is not None and call.silence_timer is not None
+            assert call.silence_timer.when() - it.proxy.loop.time() > 60.0  # the first word's time is over
             second.stop()
 
     run(test())
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -517,7 +517,7 @@
     says: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It counts as told from the first moment of a process, which begins with an older one."""
-    monkeypatch.setattr(discovery, "FIRST_S", 60.0)
+    monkeypatch.setattr(discovery, "FIRST_MESSAGE_S", 60.0)
 
     async def test() -> None:
         async with gateway(settings={**settings(), "membershipMode": "pushed"}) as it:
--- a/tests/site/test_drains.py
+++ b/tests/site/test_drains.py
@@ -108,7 +108,7 @@
 ) -> None:
     DrainStore(tmp_path).save(DRAINS)
     stored = (tmp_path / "drains.json").read_bytes()
-    monkeypatch.setattr(manual_drains, "READ_AGAIN_S", 0.0)
+    monkeypatch.setattr(manual_drains, "READ_RETRY_DELAY_S", 0.0)
     left, opened = failures, Path.open
 
     def failing(path: Path, mode: str = "r") -> IO[Any]:
