--- a/tests/proxy/endpoints/test_discovery.py
+++ b/tests/proxy/endpoints/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list and the watch over real sockets."""
+"""Fetches and watches of discovery over real sockets."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from tests.sockets import Gateway, Registry, chunk, entry, gateway, news, run, settings
 
 
-async def told(it: Gateway) -> tuple[EndpointListKind, list[str]]:
-    """The next list event: its kind and its hosts' states, by name."""
+async def next_update(it: Gateway) -> tuple[EndpointListKind, list[str]]:
+    """Return the next EndpointList event: its kind, and name and status of each endpoint."""
     event = await it.event(EndpointList)
     names = {endpoint_id_of(f"h{n}"): f"h{n}" for n in range(9)}
     return event.kind, [f"{names[s.endpoint_id]} {s.status.value}" for s in event.endpoints]
 
 
-def test_the_watch_starts_from_what_is_known_and_brings_changes() -> None:
+def test_watch_starts_at_stored_version_and_reports_changes() -> None:
     async def test() -> None:
         async with gateway() as it:
-            assert await told(it) == (EndpointListKind.DISK, ["h0 ready"])
+            assert await next_update(it) == (EndpointListKind.DISK, ["h0 ready"])
             first, watch = await it.registry.watches.get()
             assert first == "GET /registry/instances?stream=1&index=7 HTTP/1.1"
             h1 = entry(
@@ -42,31 +42,30 @@
             watch.write(chunk(news(h1)) + chunk("\n"))
             event = await it.event(EndpointList)
             assert event.kind is EndpointListKind.DELTA
-            (server,) = event.endpoints
-            assert (server.zone, server.kind, server.group, server.weight) == (1, 0, 3, 1.5)
-            assert server.started_us == 1_700_000_000_123_000
+            (listed,) = event.endpoints
+            assert (listed.zone, listed.kind, listed.group, listed.weight) == (1, 0, 3, 1.5)
+            assert listed.started_us == 1_700_000_000_123_000
             watch.write(chunk(news(entry("h1", it.host.address, "left"))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 gone"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 gone"])
             watch.write(chunk(news(entry("h2", it.host.address), snapshot=True)))
-            assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
-            assert (
-                it.proxy.upstream.endpoints[endpoint_id_of("h0")].stop_at is not None
-            )  # the full list lacks it
+            assert await next_update(it) == (EndpointListKind.FULL, ["h2 ready"])
+            # Not in the full list.
+            assert it.proxy.upstream.endpoints[endpoint_id_of("h0")].stop_at is not None
 
     run(test())
 
 
-def test_a_line_in_pieces_is_one_line() -> None:
+def test_line_split_over_chunks_is_joined() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             line = news(entry("h1", it.host.address))
             watch.write(chunk(line[:30]))
             await watch.drain()
             watch.write(chunk(line[30:] + news(entry("h2", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
-            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h2 ready"])
 
     run(test())
 
@@ -88,133 +87,133 @@
 
 
 @pytest.mark.parametrize("bad", BAD_ENTRIES)
-def test_a_bad_entry_is_skipped(bad: object, caplog: pytest.LogCaptureFixture) -> None:
+def test_invalid_entry_is_skipped(bad: object, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(bad, entry("h2", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert "skipped a list entry" in caplog.text
 
     run(test())
 
 
 @pytest.mark.parametrize("bad", ["no json", "[]", '{"index":9}', '{"endpoints":{}}', "\xff"])
-def test_a_bad_line_is_skipped(bad: str, caplog: pytest.LogCaptureFixture) -> None:
+def test_invalid_line_is_skipped(bad: str, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(bad + "\n") + chunk(news(entry("h2", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h2 ready"])
             assert "discovery: skipped an unreadable message" in caplog.text
 
     run(test())
 
 
 @pytest.mark.parametrize("end", [b"0\r\n\r\n", b"no chunk\r\n", b""])
-def test_a_watch_that_breaks_is_an_error_and_asked_for_again(end: bytes) -> None:
+def test_broken_watch_is_reported_and_reopened(end: bytes) -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(index=12)) + end)
-            assert await told(it) == (EndpointListKind.DELTA, [])
+            assert await next_update(it) == (EndpointListKind.DELTA, [])
             watch.close()
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
             first, _ = await it.registry.watches.get()
             assert "index=12" in first
-            assert it.proxy.upstream.endpoints  # the old list stands
+            assert it.proxy.upstream.endpoints  # the old list is kept
 
     run(test())
 
 
-def test_a_silent_watch_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "SILENCE_S", 0.05)
 
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             await it.registry.watches.get()
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
             await it.registry.watches.get()
 
     run(test())
 
 
-def test_discovery_that_is_down_is_an_error() -> None:
+def test_unreachable_discovery_is_reported() -> None:
     async def test() -> None:
         async with gateway(discovery="127.0.0.1:1") as it:
-            await told(it)
-            assert await told(it) == (EndpointListKind.ERROR, [])
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            await next_update(it)
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
 
     run(test())
 
 
-def test_the_whole_list_once() -> None:
+def test_fetch_of_the_full_list() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             it.registry.whole = news(entry("h3", it.host.address), snapshot=True).encode()
             it.proxy.carry_out(FetchEndpoints())
-            assert await told(it) == (EndpointListKind.FULL, ["h3 ready"])
+            assert await next_update(it) == (EndpointListKind.FULL, ["h3 ready"])
             it.registry.whole = b"no list"
             it.proxy.carry_out(FetchEndpoints())
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
 
     run(test())
 
 
-def test_a_pushed_list_comes_unasked_and_is_listened_to_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pushed_list_is_watched_from_the_start_and_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "REOPEN_S", 0.0)
 
     async def test() -> None:
         async with gateway(settings={**settings(), "membershipMode": "pushed"}) as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.close()
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
 
     run(test())
 
 
-def test_an_address_that_changes_is_followed() -> None:
+def test_changed_address_is_applied() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(entry("h0", "127.0.0.1:9"))))
-            await told(it)
+            await next_update(it)
             host = it.proxy.upstream.endpoints[endpoint_id_of("h0")]
             assert host.address == ("127.0.0.1", 9)
             watch.write(chunk(news(entry("h0", it.host.address, "leaving"))))
-            assert await told(it) == (EndpointListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
+            assert await next_update(it) == (EndpointListKind.DELTA, [f"h0 {EndpointStatus.DRAINING.value}"])
             assert not it.proxy.upstream.may_send(host)
 
     run(test())
 
 
-def test_a_move_keeps_the_hosts_and_hears_the_old_service_out() -> None:
+def test_move_keeps_endpoints_and_the_old_watch_until_answered() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, old = await it.registry.watches.get()
             second = Registry()
             await second.start()
             it.proxy.reload(replace(it.proxy.latest_config, discovery=parse_address(second.address)))
             first, new = await second.watches.get()
-            assert "index=0" in first  # the numbers of the old service may mean nothing there
+            assert "index=0" in first  # version numbers of the two services are unrelated
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
-            old.close()  # no error: the service has moved
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])
+            old.close()  # not an error after a move
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
-            assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
+            assert await next_update(it) == (EndpointListKind.FULL, ["h2 ready"])
             new.close()
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
             first, _ = await second.watches.get()
             assert "index=3" in first
             second.stop()
@@ -222,10 +221,10 @@
     run(test())
 
 
-def test_a_new_service_that_is_not_up_yet_is_tried_again_soon() -> None:
+def test_new_service_that_refuses_connections_is_retried_soon() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             await it.registry.watches.get()
             second = Registry()
             await second.start()
@@ -241,7 +240,7 @@
             third.listener = await asyncio.start_server(third.accept, address, int(port))
             _, new = await third.watches.get()
             new.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             third.stop()
 
     run(test())
@@ -251,78 +250,81 @@
 STEADY = {**settings(), "contract": {"mustAskInUs": 3_600_000_000, "stopSendingWithinUs": 0}}
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """However long the settings let a list stand: what a silent watch misses counts as told soon after."""
+def test_silent_watch_is_reopened_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a reopen that waits for the polling time of the settings.
+
+    Changes that a silent watch misses count as announced soon after, however long that time is.
+    """
 
     async def test() -> None:
         async with gateway(settings=STEADY) as it:
-            await told(it)
+            await next_update(it)
             it.proxy.carry_out(WatchEndpoints())
             _, watch = await it.registry.watches.get()
             monkeypatch.setattr(discovery_call, "SILENCE_S", 0.05)
             watch.write(chunk(news(entry("h1", it.host.address), index=12)))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])
             first, watch = await it.registry.watches.get()
             assert "index=12" in first
             watch.write(chunk(news(entry("h1", it.host.address, "leaving"), index=13)))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 draining"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 draining"])
 
     run(test())
 
 
 @pytest.mark.parametrize("bad", ["no json", '{"endpoints":{}}', news(7, index=43)[:-1], '{"index":43,'])
-def test_what_a_spoilt_line_told_is_asked_for_again(bad: str) -> None:
-    """The number of the next version hid it: the drain that it told of was never heard."""
+def test_unreadable_message_is_requested_again(bad: str) -> None:
+    """Guards against a lost drain: its message was unreadable, and the next version number hid the loss."""
 
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(index=42)))
-            assert await told(it) == (EndpointListKind.DELTA, [])
+            assert await next_update(it) == (EndpointListKind.DELTA, [])
             watch.write(chunk(bad + "\n") + chunk("\n"))
             first, again = await it.registry.watches.get()
             assert "index=42" in first
-            await told_empty(it, bad)
-            watch.write(chunk(news(entry("h2", it.host.address), index=44)))  # the old one is heard meanwhile
-            assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
+            await expect_empty_update(it, bad)
+            watch.write(chunk(news(entry("h2", it.host.address), index=44)))  # the old watch is still read
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h2 ready"])
             again.write(chunk(news(entry("h0", it.host.address, "leaving"), index=44)))
-            assert await told(it) == (EndpointListKind.DELTA, ["h0 draining"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h0 draining"])
             again.close()
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
             first, _ = await it.registry.watches.get()
             assert "index=44" in first
 
     run(test())
 
 
-async def told_empty(it: Gateway, bad: str) -> None:
-    if "endpoints" in bad and "{}" not in bad:  # what could be read of it was told
-        assert await told(it) == (EndpointListKind.DELTA, [])
+async def expect_empty_update(it: Gateway, bad: str) -> None:
+    if "endpoints" in bad and "{}" not in bad:  # the readable part is reported
+        assert await next_update(it) == (EndpointListKind.DELTA, [])
 
 
-def test_a_line_that_stays_spoilt_is_asked_for_so_often_and_no_more() -> None:
+def test_requests_for_an_unreadable_message_are_limited() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
-            asked = []
+            await next_update(it)
+            requested_versions = []
             for _ in range(discovery.UNREADABLE_LIMIT + 1):
                 first, watch = await it.registry.watches.get()
-                asked.append(int(first.partition("index=")[2].split()[0]))
+                requested_versions.append(int(first.partition("index=")[2].split()[0]))
                 watch.write(chunk(news(entry("h1", "nowhere"), entry("h2", it.host.address), index=9)))
-                assert await told(it) == (EndpointListKind.DELTA, ["h2 ready"])
-            assert asked == [7, 7, 0, 0] and it.registry.watches.empty()
+                assert await next_update(it) == (EndpointListKind.DELTA, ["h2 ready"])
+            assert requested_versions == [7, 7, 0, 0] and it.registry.watches.empty()
             assert it.proxy.directory.discovery is not None and it.proxy.directory.discovery.index == 9
             watch.write(chunk(news(entry("h3", it.host.address), index=10)))
-            assert await told(it) == (EndpointListKind.DELTA, ["h3 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h3 ready"])
 
     run(test())
 
 
-def test_a_list_may_come_indented_and_cut_anywhere() -> None:
+def test_list_may_be_indented_and_split_anywhere() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             for step, indent in ((1, 2), (7, 0), (4096, 1)):
                 raw = json.loads(news(entry("h1", it.host.address, since_ms=step), index=step))
@@ -332,38 +334,42 @@
                     watch.write(chunk(text[begin : begin + step]))
                 event = await it.event(EndpointList)
                 assert [s.started_us for s in event.endpoints] == [step * 1000]
-                assert await told(it) == (EndpointListKind.DELTA, [])
+                assert await next_update(it) == (EndpointListKind.DELTA, [])
             assert it.registry.watches.empty()
 
     run(test())
 
 
-def test_a_pushed_list_that_is_reset_is_asked_for_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the agent has counts as told whether or not a watch is open: half a second was too long."""
+def test_reset_watch_of_a_pushed_list_is_reopened_with_a_short_backoff(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The agent's updates count as announced also without an open watch, so half a second was too long."""
 
     async def test() -> None:
         async with gateway(settings=PUSHED) as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk(news(index=8)))
-            assert await told(it) == (EndpointListKind.DELTA, [])
+            assert await next_update(it) == (EndpointListKind.DELTA, [])
             loop, waits = asyncio.get_running_loop(), list[float]()
             later = loop.call_later
 
-            def noted(delay_s: float, call: Callable[..., object], *args: Any, **more: Any) -> Any:
+            def recording_call_later(
+                delay_s: float, call: Callable[..., object], *args: Any, **more: Any
+            ) -> Any:
                 if getattr(call, "__self__", None) is it.proxy.directory.discovery:
                     waits.append(delay_s)
                 return later(delay_s, call, *args, **more)
 
-            monkeypatch.setattr(loop, "call_later", noted)
+            monkeypatch.setattr(loop, "call_later", recording_call_later)
             for _ in range(3):
                 watch.transport.abort()
                 _, watch = await it.registry.watches.get()
-            # Slower where nothing comes of it, and at once again after the first word.
+            # The delay doubles without an answer, and is reset by the first message.
             assert waits == [pytest.approx(discovery.REOPEN_S * n) for n in (1, 2, 4)]
-            assert waits[0] * 1e6 < 50_000  # what the protocol page allows beyond the settings' time
+            assert waits[0] * 1e6 < 50_000  # allowed by the protocol beyond the time in the settings
             watch.write(chunk(news(index=9)))
-            assert await told(it) == (EndpointListKind.DELTA, [])
+            assert await next_update(it) == (EndpointListKind.DELTA, [])
             watch.transport.abort()
             await it.registry.watches.get()
             assert waits[3] == waits[0]
@@ -371,10 +377,10 @@
     run(test())
 
 
-def test_two_moves_in_a_row_lead_to_the_last_address_and_hear_the_first_out() -> None:
+def test_two_moves_lead_to_the_last_address_and_keep_the_first_watch() -> None:
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, old = await it.registry.watches.get()
             second, third = Registry(), Registry()
             for registry in (second, third):
@@ -383,9 +389,9 @@
             first, new = await third.watches.get()
             assert "index=0" in first
             old.write(chunk(news(entry("h1", it.host.address), index=99)))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])
             new.write(chunk(news(entry("h2", it.host.address), snapshot=True, index=3)))
-            assert await told(it) == (EndpointListKind.FULL, ["h2 ready"])
+            assert await next_update(it) == (EndpointListKind.FULL, ["h2 ready"])
             assert (
                 it.proxy.directory.discovery is not None
                 and it.proxy.directory.discovery.previous_watch is None
@@ -396,17 +402,17 @@
     run(test())
 
 
-def test_a_new_service_that_takes_the_call_and_says_nothing_is_asked_again(
+def test_new_service_that_accepts_but_sends_nothing_is_retried(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What it has counts as told 4 s after the move."""
+    """The new service's updates count as announced 4 s after the move."""
     assert discovery_call.MOVE_ANSWER_S * 2 + discovery.MOVE_RETRY_S < 4.0
     monkeypatch.setattr(discovery_call, "MOVE_ANSWER_S", 0.05)
     monkeypatch.setattr(discovery_call, "SILENCE_S", 3600.0)
 
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             await it.registry.watches.get()
             second = Registry()
             await second.start()
@@ -414,7 +420,7 @@
             await second.watches.get()
             _, new = await second.watches.get()
             new.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             await asyncio.sleep(0)
             call = (
                 it.proxy.directory.discovery.current_watch
@@ -422,41 +428,42 @@
                 else None
             )
             assert call is not None and call.silence_timer is not None
-            assert call.silence_timer.when() - it.proxy.loop.time() > 60.0  # the first word's time is over
+            # No longer limited by MOVE_ANSWER_S.
+            assert call.silence_timer.when() - it.proxy.loop.time() > 60.0
             second.stop()
 
     run(test())
 
 
-def test_after_a_spoilt_line_the_versions_go_on_though_the_next_watch_ends() -> None:
-    """The version stood still for ever: each later watch was told all again."""
+def test_version_advances_after_an_unreadable_line_and_a_broken_watch() -> None:
+    """Guards against a version that never advanced again: each later watch received everything anew."""
 
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             _, watch = await it.registry.watches.get()
             watch.write(chunk("no json\n"))
             _, again = await it.registry.watches.get()
             again.close()
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
             first, third = await it.registry.watches.get()
             assert "index=7" in first
             third.write(chunk(news(index=50)))
-            assert await told(it) == (EndpointListKind.DELTA, [])
+            assert await next_update(it) == (EndpointListKind.DELTA, [])
             third.close()
-            assert await told(it) == (EndpointListKind.ERROR, [])
+            assert await next_update(it) == (EndpointListKind.ERROR, [])
             assert "index=50" in (await it.registry.watches.get())[0]
 
     run(test())
 
 
-def test_a_new_service_whose_first_word_is_spoilt_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_service_whose_first_message_is_unreadable_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_call, "SILENCE_S", 3600.0)
     monkeypatch.setattr(discovery_call, "MOVE_ANSWER_S", 3600.0)
 
     async def test() -> None:
         async with gateway() as it:
-            await told(it)
+            await next_update(it)
             await it.registry.watches.get()
             second = Registry()
             await second.start()
@@ -466,7 +473,7 @@
             first, new = await second.watches.get()
             assert "index=0" in first
             new.write(chunk(news(entry("h1", it.host.address))))
-            assert await told(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
+            assert await next_update(it) == (EndpointListKind.DELTA, ["h1 ready"])  # and no error in between
             second.stop()
 
     run(test())
--- a/tests/proxy/endpoints/test_start_times.py
+++ b/tests/proxy/endpoints/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times of endpoints while the wall clock is stepped."""
+"""Start times of endpoints across steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 WARM_UP_US = 60_000_000
 
 
-# Guards against a wall clock that is stepped: by the gateway's own, an endpoint that had just started counted
-# as warm after a step back, and was pushed over; after a step forward it counted as cold for an hour.
+# Guards against start times that are not converted after a step of the wall clock: an endpoint that had just
+# started counted as warm after a step back, and was overloaded; after a step forward as cold for an hour.
 @pytest.mark.parametrize("step_s", [-3600, -5, 0, 5, 3600])
-def test_an_endpoint_that_starts_after_a_step_of_the_wall_clock_is_cold_and_warms_up(step_s: int) -> None:
+def test_endpoint_started_after_a_wall_clock_step_is_cold_and_warms_up(step_s: int) -> None:
     async def test() -> None:
         contract = {"mustAskInUs": 100_000, "warmAfterUs": WARM_UP_US, "startCapacity": 0.2}
         async with gateway(settings={**settings(), "contract": contract}) as it:
@@ -29,7 +29,7 @@
 
             it.proxy.directory.start_times[PLATFORM]._wall_us = stepped_us
             since_ms = stepped_us() // 1000
-            for index in (8, 9):  # told twice: the second time it is no restart
+            for index in (8, 9):  # listed twice: the second time is not a restart
                 watch.write(chunk(news(entry("h0", it.host.address, since_ms=since_ms), index=index)))
                 await until(lambda: balancer.endpoints[endpoint_id_of("h0")].start_us > 0)
                 endpoint = balancer.endpoints[endpoint_id_of("h0")]
