--- a/badgergap/h3/back.py
+++ b/badgergap/h3/back.py
@@ -194,7 +194,7 @@
             self.size += len(data)
             self.chunks.append(data)
             if self.size > HOLD:
-                self.pass_held(self.held, self.chunks)
+                self.forward_held(self.held, self.chunks)
                 self.chunks = []
         if ended and not self.done:
             self.whole_answer([])
--- a/badgergap/proxy/upstream/stream_attempt.py
+++ b/badgergap/proxy/upstream/stream_attempt.py
@@ -181,7 +181,7 @@
         self.listener.on_response_started(head.status, self.progress_at - self.sent_at)
         self.spec.download.begin(head, self)
 
-    def pass_held(self, head: AnswerHead, chunks: list[bytes]) -> None:
+    def forward_held(self, head: AnswerHead, chunks: list[bytes]) -> None:
         """Forward a held response to the client, with as much of its body as was received."""
         self.start_response(head)
         for chunk in chunks:
--- a/badgergap/proxy/upstream/stream_exchange.py
+++ b/badgergap/proxy/upstream/stream_exchange.py
@@ -282,7 +282,7 @@
             and not exchange.done
         ):
             try:
-                self.pass_held(exchange)
+                self.forward_held(exchange)
             except InvalidHeadError:
                 self.fail()
 
@@ -431,11 +431,11 @@
         if self.body_size > self.hold_limit:
             if exchange.spec.buffers_success and self.outcome is not Outcome.SUCCESS:
                 raise ValueError("failure response too long")
-            self.pass_held(exchange)
+            self.forward_held(exchange)
 
-    def pass_held(self, exchange: Http1Attempt) -> None:
+    def forward_held(self, exchange: Http1Attempt) -> None:
         """Forward a held response, which makes it the final one. Raises InvalidHeadError."""
-        exchange.pass_held(self.client_head(self.held_head), self.held_chunks)
+        exchange.forward_held(self.client_head(self.held_head), self.held_chunks)
         self.held_chunks = []
         self.count_held(0)
 
