--- a/badgergap/proxy/endpoints/registry.py
+++ b/badgergap/proxy/endpoints/registry.py
@@ -228,9 +228,10 @@
         return entry
 
     def view(self, limit: int | None = None, gone_since_us: int = 0) -> tuple[MergedEndpoint, ...]:
-        """Return merged endpoints: at most `limit`, manually drained ones first.
+        """Return the merged endpoints, at most `limit`, manually drained ones first.
 
-        Endpoints that are gone are included if the source used reported so at `gone_since_us` or later.
+        An endpoint that is gone is included if the source whose record is used reported that at
+        `gone_since_us` or later.
         """
         views: list[MergedEndpoint] = []
         drained = (name for name in self.drains if self._records_of(name))
--- a/badgergap/proxy/endpoints/start_times.py
+++ b/badgergap/proxy/endpoints/start_times.py
@@ -45,9 +45,9 @@
         listed_us = entry.listed.started_us
         if listed_us == 0:
             return entry
-        known = self._converted.get(entry.name)
-        if known is None or known[0] != listed_us:
-            known = self._converted[entry.name] = (listed_us, listed_us + step_us)
-        if known[1] == listed_us:
+        converted = self._converted.get(entry.name)
+        if converted is None or converted[0] != listed_us:
+            converted = self._converted[entry.name] = (listed_us, listed_us + step_us)
+        if converted[1] == listed_us:
             return entry
-        return replace(entry, listed=replace(entry.listed, started_us=known[1]))
+        return replace(entry, listed=replace(entry.listed, started_us=converted[1]))
--- a/badgergap/proxy/upstream/connection_pool.py
+++ b/badgergap/proxy/upstream/connection_pool.py
@@ -67,7 +67,7 @@
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.idle_since = 0.0
-        # The configuration epoch in which the connection was made.
+        # The epoch of the settings version in force when the connection was started.
         self.epoch = pool.current_epoch() if pool.current_epoch is not None else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -79,8 +79,8 @@
         if exchange is None or exchange.done:
             self.abort()
         elif not self.pool.is_epoch_current(self.epoch) or not self.pool.may_begin(self.endpoint, exchange):
-            # While connecting, the endpoint began to drain, the configuration changed, or the request ended
-            # (its client disconnected, or another attempt was answered).
+            # While connecting, the endpoint began to drain, the settings changed, or the request ended (its
+            # client disconnected, or another attempt was answered).
             exchange.never_sent()
             self.abort()
         else:
@@ -234,7 +234,10 @@
         return self.may_send(endpoint) and exchange.may_begin()
 
     def is_epoch_current(self, epoch: int) -> bool:
-        """Whether an exchange that was started in this epoch may still be sent."""
+        """Whether an exchange that was started in this epoch may still be sent.
+
+        Never true while the current epoch is negative: this process may not act then.
+        """
         return self.current_epoch is None or 0 <= self.current_epoch() == epoch
 
     def connecting_counts(self) -> dict[EndpointId, int]:
@@ -289,7 +292,7 @@
     def take_idle(self, endpoint: Endpoint) -> PooledConnection | None:
         """Take the most recently used connection whose reuse delay is over; None if there is none.
 
-        Where no new connection can be made, one within its delay is taken: better than closing one to another
+        If no new connection can be made, one within its delay is taken rather than closing one to another
         endpoint.
         """
         idle = endpoint.idle
