--- a/badgergap/consensus/drain_agreement.py
+++ b/badgergap/consensus/drain_agreement.py
@@ -1,4 +1,4 @@
-"""Endpoints drained by hand: agreed by the group, and carried out in the gateway."""
+"""Manual drains of endpoints: agreed by the group, and carried out in the gateway."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from badgergap.consensus.background_tasks import BackgroundTasks
 from badgergap.consensus.errors import NotAgreedError
 from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S, REPEAT_S
-from badgergap.consensus.replicated_state import BACK_ALREADY, OUT_ALREADY
+from badgergap.consensus.replicated_state import ALREADY_DRAINED, NOT_DRAINED
 from badgergap.consensus.versions import ANY_PARENT, Outcome, ProposeVersion, VersionContent
 from badgergap.proxy.endpoints.registry import DRAIN_LIMIT, EndpointRegistryError, ManualDrain
 from badgergap.proxy.pools import proxy_of
 from badgergap.proxy.proxy import Proxy
 
-GROUP = "the group"  # who drains and reinstates, where the group agreed on it
+GROUP = "the group"  # the author of drains and reinstatements that the group agreed on
 MIN_ATTEMPT_S = 0.1
 
 DrainKind = Literal["out", "back"]
@@ -25,7 +25,7 @@
 
 
 class DrainAgreement:
-    """Endpoints are drained by the version in force, by a newer one, or for now here alone."""
+    """Drains endpoints by the version in force or a newer one, or at this gateway alone until agreed."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         on_agreed: Callable[[], None],
         proxies: Callable[[], Mapping[str, Proxy]],
     ) -> None:
-        """`is_not_drained`: whether the newest version that is known here does not drain an endpoint.
+        """`is_not_drained`: whether the newest version known here does not drain an endpoint.
 
-        `on_agreed` has to have `follow` called with the versions that are known then.
+        `on_agreed` must cause a call of `follow` with the versions known at that time.
         """
         self.tasks = tasks
         self.is_not_drained = is_not_drained
@@ -47,11 +47,11 @@
         self.proxies = proxies
         self.acting = VersionContent()
         self.newest = VersionContent()
-        # Drained here by hand, and not by the group's agreement yet.
-        self.being_agreed: dict[str, asyncio.Task[None]] = {}
+        # Drained manually at this gateway, while the group's agreement is pending.
+        self.pending_drains: dict[str, asyncio.Task[None]] = {}
 
     def join(self, proxy: Proxy) -> None:
-        """Follow what is drained and reinstated by hand at this gateway."""
+        """Listen for manual drains and reinstatements at this gateway."""
         self.main = proxy
         proxy.directory.may_undrain = self._may_reinstate
         proxy.directory.manual_drain_listeners.append(self._on_drained_here)
@@ -61,24 +61,24 @@
         return self.main
 
     def _agreed(self) -> Mapping[str, str]:
-        """Endpoints that the group has drained, and who drained each."""
+        """Return the endpoints that the group has drained, and who drained each."""
         return {**self.newest.out, **self.acting.out}
 
     def follow(self, acting: VersionContent, newest: VersionContent) -> None:
-        """Drain and reinstate by these versions."""
+        """Drain and reinstate endpoints as these versions require."""
         self.acting = acting
         self.newest = newest
         self.apply()
 
     def apply(self) -> None:
-        """Drain what the group has drained, and reinstate what neither it nor anybody here has."""
+        """Drain what the group has drained; reinstate what neither it nor a pending local drain covers."""
         agreed = self._agreed()
         drains = self._main().directory.registry.drains
         for name, by in agreed.items():
             if name not in drains:
                 self._drain(name, by)
         for name in list(drains):
-            if name not in agreed and name not in self.being_agreed:
+            if name not in agreed and name not in self.pending_drains:
                 self._reinstate(name)
 
     def _drain(self, name: str, by: str) -> None:
@@ -87,7 +87,7 @@
         try:
             proxy.directory.drain(name, by)
         except EndpointRegistryError:
-            # No source names it yet: it is drained as soon as one does.
+            # Not in any endpoint list yet: the drain takes effect as soon as it is.
             if len(drains) < DRAIN_LIMIT:
                 drains[name] = ManualDrain(name, by, proxy.clock.now_us())
 
@@ -97,34 +97,34 @@
         except EndpointRegistryError:
             self._main().directory.registry.drains.pop(name, None)
 
-    # By hand at this gateway
+    # Manual drains at this gateway
 
     def _may_reinstate(self, name: str, by: str) -> bool:
-        """Only the group's agreement reinstates an endpoint that the group has drained."""
+        """Whether an endpoint may be reinstated now: one that the group drained needs its agreement."""
         if by == GROUP:
             return True
-        waiting = self.being_agreed.get(name)
-        if waiting is None and name not in self._main().directory.registry.drains:
+        pending = self.pending_drains.get(name)
+        if pending is None and name not in self._main().directory.registry.drains:
             return True
         self.tasks.spawn(self.agree(name, "back", by, None))
-        if waiting is None:
+        if pending is None:
             return False
-        waiting.cancel()
-        return self.is_not_drained(name)  # the group never heard of it
+        pending.cancel()
+        return self.is_not_drained(name)  # the group did not agree on the drain
 
     def _on_drained_here(self, name: str, by: str, out: bool) -> None:
-        """An endpoint was drained at this gateway, by hand or by the group's agreement."""
-        if out and name not in self._agreed() and name not in self.being_agreed:
+        """Propose to the group a drain at this gateway that is neither agreed nor pending."""
+        if out and name not in self._agreed() and name not in self.pending_drains:
             task = self.tasks.spawn(self.agree(name, "out", by, None))
-            self.being_agreed[name] = task
-            task.add_done_callback(lambda _: self.being_agreed.pop(name, None))
+            self.pending_drains[name] = task
+            task.add_done_callback(lambda _: self.pending_drains.pop(name, None))
 
     # Agreement
 
     async def agree(self, name: str, kind: DrainKind, by: str, within_s: float | None) -> None:
-        """Have the group agree that an endpoint is drained, or is not. `within_s` None: until it does.
+        """Have the group agree that an endpoint is drained, or is not. `within_s` None: no time limit.
 
-        Raises NotAgreedError.
+        Raises NotAgreedError if the group refuses or the time is over.
         """
         deadline = None if within_s is None else time.monotonic() + within_s
         id = uuid.uuid4().hex
@@ -133,23 +133,26 @@
             proposal = ProposeVersion(id, kind, name, by, "by hand", ANY_PARENT, True)
             outcome = await self.propose(proposal, max(MIN_ATTEMPT_S, left_s))
             if outcome is not None:
-                if outcome.version or outcome.why in (OUT_ALREADY, BACK_ALREADY):
-                    self.on_agreed()  # reinstates what was drained here alone, where nothing new comes of it
+                if outcome.version or outcome.why in (ALREADY_DRAINED, NOT_DRAINED):
+                    self.on_agreed()  # also ends a local drain when no new version results
                     return
                 if deadline is not None:
                     raise NotAgreedError(outcome.why)
-                await asyncio.sleep(REPEAT_S)  # too many proposals wait just now
+                await asyncio.sleep(REPEAT_S)  # refused, for example because too many proposals wait
                 id = uuid.uuid4().hex
             elif deadline is not None and time.monotonic() >= deadline:
                 raise NotAgreedError("the group has not agreed yet")
 
     async def drain(self, name: str, by: str, within_s: float) -> None:
-        """Have the group agree that an endpoint is drained. Raises NotAgreedError; it goes on trying."""
-        waiting = self.being_agreed.get(name)
-        if waiting is None:
+        """Have the group agree that an endpoint is drained.
+
+        Raises NotAgreedError if it does not agree in time. A drain that was already pending stays so.
+        """
+        pending = self.pending_drains.get(name)
+        if pending is None:
             await self.agree(name, "out", by, within_s)
             return
-        await asyncio.wait({waiting}, timeout=within_s)
-        if not waiting.done() or waiting.cancelled():
+        await asyncio.wait({pending}, timeout=within_s)
+        if not pending.done() or pending.cancelled():
             raise NotAgreedError("the group has not agreed yet")
-        waiting.result()
+        pending.result()
--- a/badgergap/consensus/replicated_state.py
+++ b/badgergap/consensus/replicated_state.py
@@ -1,9 +1,9 @@
-"""The state that a group's log leads to: versions, in one order. Pure, and the same at every member.
+"""The replicated state machine: the versions that result from a group's log, the same at every member.
 
-A version is made by one `ProposeVersion`. It contradicts the one before it or not (`compatibility`); one that
-does comes into force with an `EnforceVersion`, which the leader adds once all who act have it or have stopped
-acting. `acting` is the newest version with nothing that contradicts still ahead of it: what a member with a
-lease acts on.
+Performs no I/O. Each `ProposeVersion` creates a version, which may contradict the one before it (see
+`compatibility`). A contradicting version comes into force with an `EnforceVersion`, which the leader adds
+after every member that acts holds the version or has stopped acting. `acting` is the version that a member
+with a lease acts on: the newest one before the first contradicting version that is not in force.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
     VersionHeader,
 )
 
-VERSIONS_KEPT = 1000  # of their headers; older ones are forgotten
+VERSIONS_KEPT = 1000  # headers of versions; older ones are discarded
 BODIES_KEPT = 64  # settings that can be shown, compared and rolled back to
-OUTCOMES_KEPT = 512  # proposals that are known by their id when they come again
+OUTCOMES_KEPT = 512  # outcomes by which a repeated proposal is recognized
 BODY_LIMIT = 1024 * 1024  # bytes of one version's settings, or of a list
-OUT_LIMIT = 1000  # endpoints drained by hand
-WAITING_LIMIT = 64  # versions that are known and wait to come into force
+DRAINED_LIMIT = 1000  # manually drained endpoints
+WAITING_LIMIT = 64  # versions that wait to come into force
 BANNED_LIMIT = 1000
 COMPONENTS_LIMIT = 16  # other components with a state in the log
 COMPONENT_STATE_LIMIT = 512 * 1024  # bytes of one such state
 FORMAT = 1
 
-OUT_ALREADY, BACK_ALREADY = "it is out by hand already", "it is not out by hand"
+ALREADY_DRAINED, NOT_DRAINED = "it is out by hand already", "it is not out by hand"
 
 
 class StoredState(msgspec.Struct, array_like=True):
-    """The state as a snapshot holds it."""
+    """The encoding of the state in a snapshot."""
 
     newest: VersionContent
-    steps: list[VersionContent]
+    pending_contents: list[VersionContent]
     headers: list[VersionHeader]
     bodies: dict[int, str]
     enforced: int
@@ -59,17 +59,17 @@
 
 
 class GroupState:
-    """All that a group has agreed on."""
+    """The agreed state of a group."""
 
     def __init__(self, group: str = "", contradiction_us: int = 0) -> None:
-        # The longest that two members act on what contradicts, as the group was founded: members whose files
-        # differ must not compute each other's leases by them. 0: no group yet.
+        # The longest that two members may act on contradicting versions, fixed when the group was founded:
+        # members whose settings files differ must compute the same lease duration. 0: no group yet.
         self.contradiction_us = contradiction_us
-        self.group = group  # drawn when the group was founded; "": none yet
+        self.group = group  # the identifier computed when the group was founded; "": none yet
         self.banned: list[str] = []
         self.newest = VersionContent()
-        # Contents from the acting one on, while one that contradicts waits; else empty.
-        self.steps: deque[VersionContent] = deque()
+        # Contents from the acting version on, while a contradicting version waits; else empty.
+        self.pending_contents: deque[VersionContent] = deque()
         self.headers: deque[VersionHeader] = deque(maxlen=VERSIONS_KEPT)
         self.bodies: OrderedDict[int, str] = OrderedDict()
         self.enforced = 0
@@ -78,12 +78,12 @@
 
     @property
     def acting(self) -> VersionContent:
-        """What a member with a lease acts on."""
-        return self.steps[0] if self.steps else self.newest
+        """The content that a member with a lease acts on."""
+        return self.pending_contents[0] if self.pending_contents else self.newest
 
     @property
     def waiting(self) -> int:
-        """The newest version that contradicts its predecessor and is not enforced yet; 0: none."""
+        """The newest contradicting version that is not enforced yet; 0: none."""
         return max((header.number for header in self.headers if self.is_waiting(header)), default=0)
 
     def is_waiting(self, header: VersionHeader) -> bool:
@@ -91,7 +91,7 @@
         return header.contradicts and header.number > self.enforced
 
     def header(self, number: int) -> VersionHeader | None:
-        """The header of a version, if it is still remembered."""
+        """Return the header of a version, or None if it is no longer kept."""
         return next((header for header in self.headers if header.number == number), None)
 
     # Commands
@@ -99,7 +99,7 @@
     def apply(self, data: bytes) -> Outcome | None:
         """Apply a committed command; returns the outcome of a proposal.
 
-        Raises UnreadableRecordError for a command of a later release; then nothing has changed.
+        Raises UnreadableRecordError for a command of a later release, and then changes nothing.
         """
         try:
             command = _command_decoder.decode(data)
@@ -110,7 +110,7 @@
                 return self._apply_proposal(command)
             case EnforceVersion():
                 self.enforced = max(self.enforced, min(command.version, self.newest.number))
-                self._forget_steps()
+                self._drop_superseded_contents()
             case BanMember():
                 self._ban(command)
             case StoreComponentState():
@@ -118,7 +118,7 @@
         return None
 
     def _apply_proposal(self, proposal: ProposeVersion) -> Outcome:
-        """A proposal that comes again, by its id, has the outcome that it had before."""
+        """Apply a proposal; a repeated one, with the same id, has the outcome of the first."""
         outcome = self.outcomes.get(proposal.id)
         if outcome is None:
             try:
@@ -146,29 +146,29 @@
     # Versions
 
     def check_proposal(self, proposal: ProposeVersion) -> None:
-        """Raises ProposalError for a proposal that cannot be the next version."""
+        """Raise ProposalError for a proposal that cannot become the next version."""
         if proposal.parent >= 0 and proposal.parent != self.newest.settings_at:
             raise ProposalError(f"conflict: version {self.newest.settings_at} has come in between")
-        if len(self.steps) > WAITING_LIMIT:
+        if len(self.pending_contents) > WAITING_LIMIT:
             raise ProposalError(f"{WAITING_LIMIT} changes wait to come into force")
         if len(proposal.body) > BODY_LIMIT:
             raise ProposalError(f"over {BODY_LIMIT} bytes")
         out = self.newest.out
         if proposal.kind == "out" and proposal.body in out:
-            raise ProposalError(OUT_ALREADY)
-        if proposal.kind == "out" and len(out) >= OUT_LIMIT:
-            raise ProposalError(f"{OUT_LIMIT} hosts are out by hand already")
+            raise ProposalError(ALREADY_DRAINED)
+        if proposal.kind == "out" and len(out) >= DRAINED_LIMIT:
+            raise ProposalError(f"{DRAINED_LIMIT} hosts are out by hand already")
         if proposal.kind == "back" and proposal.body not in out:
-            raise ProposalError(BACK_ALREADY)
+            raise ProposalError(NOT_DRAINED)
 
     def _add_version(self, proposal: ProposeVersion) -> int:
-        """The number of the new version. Raises ProposalError."""
+        """Add a version and return its number. Raises ProposalError if it cannot be the next version."""
         self.check_proposal(proposal)
         before, number = self.newest, self.newest.number + 1
-        if not self.steps:
-            self.steps.append(before)
+        if not self.pending_contents:
+            self.pending_contents.append(before)
         self.newest = self._next_content(proposal, number)
-        self.steps.append(self.newest)
+        self.pending_contents.append(self.newest)
         self.headers.append(
             VersionHeader(
                 number,
@@ -181,7 +181,7 @@
                 proposal.body if proposal.kind in ("out", "back") else "",
             )
         )
-        self._forget_steps()
+        self._drop_superseded_contents()
         return number
 
     def _next_content(self, proposal: ProposeVersion, number: int) -> VersionContent:
@@ -205,23 +205,23 @@
         while len(self.bodies) > BODIES_KEPT:
             self.bodies.popitem(last=False)
 
-    def _forget_steps(self) -> None:
-        """Forget the contents that nobody can be asked to act on any more."""
+    def _drop_superseded_contents(self) -> None:
+        """Drop the contents that no member may act on any more."""
         barriers = [header.number for header in self.headers if self.is_waiting(header)]
         newest_allowed = min(barriers, default=self.newest.number + 1) - 1
-        while self.steps and self.steps[0].number < newest_allowed:
-            self.steps.popleft()
+        while self.pending_contents and self.pending_contents[0].number < newest_allowed:
+            self.pending_contents.popleft()
         if not barriers:
-            self.steps.clear()
+            self.pending_contents.clear()
 
     # Snapshots
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """Encode the whole state."""
         return msgspec.msgpack.encode(
             StoredState(
                 self.newest,
-                list(self.steps),
+                list(self.pending_contents),
                 list(self.headers),
                 dict(self.bodies),
                 self.enforced,
@@ -234,7 +234,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Take over a snapshot. Raises UnreadableRecordError; then nothing has changed."""
+        """Replace the state with a snapshot.
+
+        Raises UnreadableRecordError for a snapshot of a later release, and then changes nothing.
+        """
         try:
             stored = _state_decoder.decode(data)
         except msgspec.MsgspecError as error:
@@ -245,7 +248,7 @@
         self.banned = stored.banned
         self.contradiction_us = stored.contradiction_us
         self.newest = stored.newest
-        self.steps = deque(stored.steps)
+        self.pending_contents = deque(stored.pending_contents)
         self.headers = deque(stored.headers, maxlen=VERSIONS_KEPT)
         self.bodies = OrderedDict(sorted(stored.bodies.items()))
         self.enforced = stored.enforced
--- a/tests/compatibility/test_consensus_bytes.py
+++ b/tests/compatibility/test_consensus_bytes.py
@@ -236,7 +236,7 @@
             newest=consensus_versions.VersionContent(
                 number=2, settings="s3", out={"s4": "s5"}, endpoint_list="s6", settings_at=7
             ),
-            steps=[
+            pending_contents=[
                 consensus_versions.VersionContent(
                     number=8, settings="s9", out={"s10": "s11"}, endpoint_list="s12", settings_at=13
                 )
