--- a/badgergap/consensus/election.py
+++ b/badgergap/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote and vote, at those who ask and those who answer. Pure."""
+"""Elections: pre-votes and votes, for candidates and voters. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Election(RaftCore):
-    """Becomes a candidate when no leader is heard, and votes for others."""
+    """Stands for election when there is no contact with a leader, and votes for others."""
 
     def __init__(self, id: str, persistent: PersistentState, now_us: int, random: random.Random) -> None:
-        self.votes: dict[str, bool] = {}  # by identity: those that answered, and whether they granted it
-        self.in_pre_vote = False  # the votes counted are pre-votes
+        self.votes: dict[str, bool] = {}  # by identity: whether the vote was granted
+        self.in_pre_vote = False  # whether `votes` are pre-votes
         super().__init__(id, persistent, now_us, random)
 
     def _clear_votes(self) -> None:
@@ -33,13 +33,13 @@
         return bool(self.leader) and now_us - self.leader_contact_us < ELECTION_TIMEOUT_US
 
     def _log_is_current(self, last_term: int, last_index: int) -> bool:
-        """Whether a log that ends so holds at least what this one does (section 5.4.1 of the paper)."""
+        """Whether a log that ends there is at least as up to date as this one (paper, section 5.4.1)."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
     # The candidate
 
     def _start_pre_vote(self, now_us: int) -> None:
-        """Ask whether an election could be won; changes no term, so that nobody is disturbed by it."""
+        """Find out whether an election could be won, without raising the term and disturbing a leader."""
         request = PreVoteRequest(self.term + 1, self.log.last_index, self.log.last_term)
         self._become_candidate(in_pre_vote=True)
         for peer_id in self._other_voters():
@@ -96,10 +96,10 @@
         self._send(sender, PreVoteResponse(self.term, request.term, granted))
 
     def _disturbs_leader(self, now_us: int, message: RaftMessage) -> bool:
-        """Whether this asks for a vote of a later term while a leader is heard (section 4.2.3 of the thesis).
+        """Whether this requests a vote for a later term despite leader contact (section 4.2.3 of the thesis).
 
-        A member that was removed, or that hears nobody, would otherwise raise the term again and again
-        and depose a leader that the others hear.
+        Otherwise a member that was removed, or that receives no messages, would raise the term again and
+        again and depose a leader that the others still follow.
         """
         is_later_vote = isinstance(message, RequestVote) and message.term > self.term
         return is_later_vote and self._has_leader_contact(now_us)
--- a/badgergap/consensus/follower_replication.py
+++ b/badgergap/consensus/follower_replication.py
@@ -1,4 +1,4 @@
-"""The follower's part: entries and snapshots from the leader. Pure."""
+"""The follower's side of replication: entries and snapshots from the leader. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The chunks of a snapshot that have arrived."""
+    """A snapshot of which a part has arrived."""
 
     index: int
     term: int
@@ -29,14 +29,14 @@
 
 
 class FollowerReplication(RaftCore):
-    """Makes this member's log the leader's."""
+    """Makes this member's log match the leader's."""
 
     def __init__(self, id: str, persistent: PersistentState, now_us: int, random: random.Random) -> None:
         self.incoming_snapshot: IncomingSnapshot | None = None
         super().__init__(id, persistent, now_us, random)
 
-    def _heed_leader(self, now_us: int, leader: str) -> None:
-        """The leader of this term was heard."""
+    def _record_leader_contact(self, now_us: int, leader: str) -> None:
+        """Record a message from the leader of this term: follow it and restart the election timeout."""
         if self.role is not Role.FOLLOWER:
             self._become_follower(now_us, self.term, leader)
         self.leader = leader
@@ -47,7 +47,7 @@
         if request.term < self.term:
             self._send(sender, AppendEntriesResponse(self.term, False, 0, request.sent_at_us))
             return
-        self._heed_leader(now_us, sender)
+        self._record_leader_contact(now_us, sender)
         snapshot_index = self.log.snapshot.index
         if request.previous_index < snapshot_index:
             trimmed = self._without_compacted(request)
@@ -63,7 +63,10 @@
         self._accept_entries(sender, request)
 
     def _without_compacted(self, request: AppendEntries) -> AppendEntries:
-        """The same request from this member's snapshot on: all up to it is committed and so the same."""
+        """Return the request without the entries that this member's snapshot covers.
+
+        Those are committed, and so the same as the leader's.
+        """
         snapshot = self.log.snapshot
         entries = tuple(entry for entry in request.entries if entry.index > snapshot.index)
         return msgspec.structs.replace(
@@ -71,7 +74,10 @@
         )
 
     def _find_match_hint(self, previous_index: int) -> int:
-        """Where the leader should look next: before the whole term that does not match (section 5.3)."""
+        """Return the index that the leader should try next, before the conflicting term.
+
+        Skips the whole term at once (section 5.3 of the paper).
+        """
         conflicting_term = self.log.term_at(previous_index)
         hint = min(self.log.last_index, previous_index - 1)
         while hint > self.commit_index and self.log.term_at(hint) == conflicting_term:
@@ -98,7 +104,7 @@
         if request.term < self.term:
             self._send(sender, InstallSnapshotResponse(self.term, index, 0, request.sent_at_us))
             return
-        self._heed_leader(now_us, sender)
+        self._record_leader_contact(now_us, sender)
         if index > self.commit_index:
             received_bytes = self._receive_chunk(request)
             if received_bytes < request.total_bytes:
@@ -112,7 +118,7 @@
         )
 
     def _receive_chunk(self, request: InstallSnapshot) -> int:
-        """Add a chunk if it is the next one; returns how many bytes are here now."""
+        """Add a chunk if it is the next one; returns the number of bytes received so far."""
         incoming = self.incoming_snapshot
         index, term = request.last_included_index, request.last_included_term
         if incoming is None or (incoming.index, incoming.term) != (index, term) or request.offset == 0:
@@ -130,8 +136,8 @@
         )
 
     def _install(self, snapshot: Snapshot) -> None:
-        entries_stay = self.log.install(snapshot)
-        self.writes.install(snapshot.index, entries_stay, self.log.last_index)
+        entries_kept = self.log.install(snapshot)
+        self.writes.install(snapshot.index, entries_kept, self.log.last_index)
         self.commit_index = snapshot.index
         self.applied_index = snapshot.index
         self.actions.append(RestoreSnapshot(snapshot))
--- a/badgergap/consensus/leader_replication.py
+++ b/badgergap/consensus/leader_replication.py
@@ -1,5 +1,6 @@
-"""The leader's part: new entries, their replication, snapshots for those far behind, and the commit index.
-Pure.
+"""The leader's side of replication: new entries, snapshots for members far behind, and the commit index.
+
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
     InstallSnapshotResponse,
 )
 
-BATCH_BYTES = 256 * 1024  # of entries in one message
+BATCH_BYTES = 256 * 1024  # limit on the entries in one message
 SNAPSHOT_CHUNK_BYTES = 128 * 1024
 
 
 class LeaderReplication(RaftCore):
-    """Adds entries and brings them to the other members, voters and learners alike."""
+    """Adds entries to the log and replicates them to the other members, voters and learners alike."""
 
     def __init__(self, id: str, persistent: PersistentState, now_us: int, random: random.Random) -> None:
         self.first_own_index = 0  # the leader's first entry in its term
@@ -44,16 +45,17 @@
 
     @property
     def is_established_leader(self) -> bool:
-        """Whether this leader has an entry of its own term committed, and so knows all that was committed."""
+        """Whether an entry of this leader's own term is applied, and so all that was committed before."""
         return self.is_leader and self.applied_index >= self.first_own_index
 
     def confirmed_us(self, now_us: int) -> int:
-        """Of a leader: the latest moment such that a majority has answered what it sent then or later.
+        """Return the latest time at which this member was certainly the leader.
 
-        In microseconds of its own clock; -1 if no majority has answered in this term.
+        A majority has answered messages that it sent at that time or later. The time is in microseconds of
+        its own clock; -1 if no majority has answered in this term.
         """
         times = sorted(self._acknowledged_us(now_us, voter) for voter in self.log.voters)
-        # As many voters as make a majority stand at this position or behind it.
+        # The voters at this position and after it are a majority.
         return times[len(times) - majority(len(times))] if times else -1
 
     def _acknowledged_us(self, now_us: int, voter: str) -> int:
@@ -72,13 +74,13 @@
         self._append(now_us, "noop", b"")
 
     def _track_members(self) -> None:
-        """Keep the progress of each other member, and of none who is a member no more."""
+        """Track the progress of each other member of the configuration, and forget former members."""
         next_index = self.log.last_index + 1
         others = [peer.id for peer in self.log.configuration if peer.id != self.id]
         self.progress = {id: self.progress.get(id) or FollowerProgress(next_index) for id in others}
 
     def _tick_leader(self, now_us: int) -> None:
-        """Step down without a quorum (section 6.2 of the thesis), else send what is due."""
+        """Step down without contact to a quorum (section 6.2 of the thesis), else send what is due."""
         is_unconfirmed = now_us - self.confirmed_us(now_us) > QUORUM_TIMEOUT_US
         if is_unconfirmed and now_us - self.elected_us > QUORUM_TIMEOUT_US:
             self._become_follower(now_us, self.term, "")
@@ -90,7 +92,7 @@
     def propose(self, now_us: int, kind: EntryKind, data: bytes) -> int | None:
         """Add an entry and return its index; None if this member cannot add one now.
 
-        It may still be lost: it is committed once it is applied.
+        The entry may still be lost until it is committed and applied.
         """
         if not self.is_leader or self.stopped:
             return None
@@ -99,7 +101,7 @@
         return self._append(now_us, kind, data)
 
     def _may_change_members(self, new: Configuration) -> bool:
-        """Whether a configuration may follow the present one (section 4.1 of the thesis).
+        """Whether `new` may follow the current configuration (section 4.1 of the thesis).
 
         Majorities of two configurations that differ by one voter overlap. With two voters changed at once, or
         before an entry of the leader's own term is committed, two disjoint majorities could each elect a
@@ -128,7 +130,7 @@
                 self._replicate(now_us, peer.id)
 
     def _replicate(self, now_us: int, peer_id: str) -> None:
-        """Send a member what it lacks, or a heartbeat when that is due."""
+        """Send a member the entries or the snapshot that it lacks, or a heartbeat if one is due."""
         progress = self.progress[peer_id]
         self._retry_unacknowledged(now_us, progress)
         if progress.next_index < self.log.first_index and progress.snapshot is None:
@@ -145,7 +147,7 @@
             self._send_heartbeat(now_us, peer_id, progress)
 
     def _retry_unacknowledged(self, now_us: int, progress: FollowerProgress) -> None:
-        """Take what was sent and not acknowledged within RETRY_US for lost."""
+        """Treat what was not acknowledged within RETRY_US as lost."""
         if not progress.has_unacknowledged or now_us - progress.unacknowledged_since_us <= RETRY_US:
             return
         progress.clear_unacknowledged()
@@ -159,7 +161,7 @@
     def _heartbeat_is_due(self, now_us: int, progress: FollowerProgress) -> bool:
         if now_us - progress.sent_us >= HEARTBEAT_US:
             return True
-        # A follower acts on an entry as soon as it hears that what it already holds is committed.
+        # Notify a follower at once that entries which it already holds are committed.
         committed_there = min(self.commit_index, progress.match_index)
         return progress.snapshot is None and progress.notified_commit < committed_there
 
@@ -180,7 +182,7 @@
         self._send(peer_id, message)
 
     def _next_batch(self, start: int) -> tuple[LogEntry, ...]:
-        """Entries from `start` on, of BATCH_BYTES at most, but at least one."""
+        """Return entries from `start` on: at least one, and otherwise at most BATCH_BYTES."""
         batch: list[LogEntry] = []
         size = 0
         for entry in self.log.entries_from(start):
@@ -208,10 +210,12 @@
         )
         self._send(peer_id, message)
 
-    # Answers
+    # Responses
 
-    def _note_answer(self, now_us: int, sender: str, term: int, sent_at_us: int) -> FollowerProgress | None:
-        """The progress of a member that has answered; None if the answer is not for this leader's term."""
+    def _record_response(
+        self, now_us: int, sender: str, term: int, sent_at_us: int
+    ) -> FollowerProgress | None:
+        """Return the progress of the sender; None if the response is not for this leader's term."""
         progress = self.progress.get(sender)
         if not self.is_leader or term != self.term or progress is None:
             return None
@@ -220,7 +224,7 @@
         return progress
 
     def _on_append_entries_response(self, now_us: int, sender: str, response: AppendEntriesResponse) -> None:
-        progress = self._note_answer(now_us, sender, response.term, response.sent_at_us)
+        progress = self._record_response(now_us, sender, response.term, response.sent_at_us)
         if progress is None:
             return
         if response.success:
@@ -243,14 +247,14 @@
             progress.next_index = max(progress.next_index, progress.match_index + 1)
 
     def _has_lost_entries(self, progress: FollowerProgress, hint: int) -> bool:
-        """Whether a member lacks an entry that it had acknowledged: its disk was rolled back."""
+        """Whether a member lacks an entry that it had acknowledged, because its disk was rolled back."""
         return hint < progress.match_index
 
     def _disown(self, sender: str, progress: FollowerProgress, hint: int) -> None:
-        """Stop counting what a member had acknowledged, and tell it.
+        """Discard a member's acknowledgements and notify it.
 
-        Where its answer was only overtaken by a newer one, the member knows better and ignores this, and its
-        next answer counts again.
+        If its response was merely delivered after a newer one, the member still has the entries: it ignores
+        the notification, and its next response counts again.
         """
         acknowledged_index = progress.match_index
         progress.match_index = 0
@@ -261,7 +265,7 @@
     def _on_install_snapshot_response(
         self, now_us: int, sender: str, response: InstallSnapshotResponse
     ) -> None:
-        progress = self._note_answer(now_us, sender, response.term, response.sent_at_us)
+        progress = self._record_response(now_us, sender, response.term, response.sent_at_us)
         if progress is None or progress.snapshot is None:
             return
         if progress.snapshot.index != response.last_included_index:
@@ -278,7 +282,7 @@
     # The commit index
 
     def _advance_commit_index(self, now_us: int) -> None:
-        """Commit what a majority of the voters has on disk, and tell the followers at once."""
+        """Commit what a majority of the voters has on disk, and notify the followers at once."""
         matches = sorted(self._durable_index_of(voter) for voter in self.log.voters)
         if not matches:
             return
@@ -291,7 +295,7 @@
             if not progress.has_unacknowledged or progress.match_index >= on_majority:
                 self._send_heartbeat(now_us, peer_id, progress)
         if not self.is_voter:
-            self._become_follower(now_us, self.term, "")  # it has led itself out of the group
+            self._become_follower(now_us, self.term, "")  # its removal from the voters is committed
 
     def _durable_index_of(self, voter: str) -> int:
         if voter == self.id:
@@ -300,8 +304,9 @@
         return progress.match_index if progress is not None else 0
 
     def _may_commit(self, index: int) -> bool:
-        """An entry of an earlier term is committed only together with a later one of this term.
+        """Whether `index` may be the commit index: its entry must be of this term.
 
-        Else it could be overwritten although a majority holds it (figure 8 of the Raft paper).
+        An entry of an earlier term is committed only together with a later one of this term. Otherwise it
+        could be overwritten although a majority holds it (figure 8 of the Raft paper).
         """
         return self.log.term_at(index) == self.term
--- a/badgergap/consensus/log.py
+++ b/badgergap/consensus/log.py
@@ -1,7 +1,7 @@
-"""The replicated log as Raft keeps it in memory: a snapshot and the entries behind it. Pure.
+"""The replicated log as Raft keeps it in memory: a snapshot and the entries after it. Performs no I/O.
 
-The structs here are part of messages and of stored records: their fields go by their order, and `kind` by
-its value. Indexes start at 1; index 0 stands for the empty log.
+The structs here are part of messages and of stored records: they are encoded as their fields in order, and
+`kind` as its value. Indexes start at 1; index 0 stands for the empty log.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 EntryKind = Literal["noop", "config", "data"]
 
-ENTRY_OVERHEAD_BYTES = 32  # of an entry beside its data, as sizes are reckoned
+ENTRY_OVERHEAD_BYTES = 32  # estimated size of an entry without its data
 
 
 class Peer(msgspec.Struct, frozen=True, array_like=True):
-    """A member as the log knows it. `id` is drawn when its folder is made, and never used again."""
+    """A member in a configuration. `id` is generated when its data directory is created; never reused."""
 
     id: str
     name: str
@@ -29,7 +29,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry. `kind` is an EntryKind, or one of a later release that this program does not know."""
+    """One log entry. `kind` is an EntryKind, or an unknown kind of a later release."""
 
     index: int
     term: int
@@ -38,7 +38,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state that all entries up to `index` have led to."""
+    """The state after all entries up to `index` are applied."""
 
     index: int
     term: int
@@ -50,22 +50,22 @@
 
 
 def encode_configuration(configuration: Iterable[Peer]) -> bytes:
-    """The data of a "config" entry."""
+    """Encode the data of a "config" entry."""
     return msgspec.msgpack.encode(tuple(configuration))
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    """The configuration in a "config" entry. Raises msgspec.MsgspecError."""
+    """Decode the data of a "config" entry. Raises msgspec.MsgspecError if it is malformed."""
     return msgspec.msgpack.decode(data, type=tuple[Peer, ...])
 
 
 def majority(count: int) -> int:
-    """How many of so many voters are a quorum."""
+    """Return the size of a quorum among `count` voters."""
     return count // 2 + 1
 
 
 class ReplicatedLog:
-    """A snapshot, the entries behind it, and the newest configuration in either."""
+    """A snapshot, the entries after it, and the newest configuration in either."""
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[LogEntry]) -> None:
         self.snapshot = snapshot
@@ -91,19 +91,19 @@
 
     @property
     def voters(self) -> list[str]:
-        """The identities of those who vote, by the newest configuration, committed or not."""
+        """The identities of the voters of the newest configuration, committed or not."""
         return [peer.id for peer in self.configuration if peer.votes]
 
     def entry(self, index: int) -> LogEntry:
-        """The entry at an index that is present."""
+        """Return the entry at `index`, which must be present."""
         return self.entries[index - self.first_index]
 
     def entries_from(self, index: int) -> list[LogEntry]:
-        """All entries from this index on."""
+        """Return all entries from `index` on."""
         return self.entries[index - self.first_index :]
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at an index; None where there is none, compacted away or not yet written."""
+        """Return the term of the entry at `index`; None if it is compacted away or not yet added."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.first_index <= index <= self.last_index:
@@ -111,23 +111,26 @@
         return None
 
     def size_bytes(self) -> int:
-        """The size of the entries, not of the snapshot."""
+        """Return the estimated size of the entries, without the snapshot."""
         return sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in self.entries)
 
     def append(self, entry: LogEntry) -> None:
-        """Add one entry at the end."""
+        """Append one entry."""
         self.entries.append(entry)
         self._adopt_configuration(entry)
 
     def replace_tail(self, truncate_from: int | None, entries: Sequence[LogEntry]) -> None:
-        """Remove all entries from an index on, if one is given, and add others."""
+        """Remove all entries from `truncate_from` on, unless it is None, and append `entries`."""
         if truncate_from is not None:
             del self.entries[truncate_from - self.first_index :]
         self.entries.extend(entries)
         self._find_configuration()
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Begin with a snapshot; True if the entries behind it fit it and stay."""
+        """Replace the start of the log with a snapshot; returns whether the entries after it are kept.
+
+        They are kept if the log has the snapshot's last entry.
+        """
         matches = self.term_at(snapshot.index) == snapshot.term
         remaining = self.entries_from(snapshot.index + 1) if matches else []
         self.snapshot = snapshot
@@ -136,7 +139,7 @@
         return matches
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replace the entries up to `index` by the state that they have led to."""
+        """Replace the entries up to `index` with a snapshot of the resulting `state`."""
         count = index - self.snapshot.index
         configuration = self.snapshot.configuration
         for entry in self.entries[:count]:
--- a/badgergap/consensus/persistence.py
+++ b/badgergap/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""A member's persistent state as records of a log on disk, one for each write. Pure: bytes and back."""
+"""Encodes a member's persistent state as log records on disk, one for each write. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One write as it lies on disk: its fields in this order."""
+    """One write as it is stored on disk; the order of the fields is part of the format."""
 
     format: int
     term: int
@@ -30,7 +30,7 @@
 
 
 def encode(persist: Persist) -> bytes:
-    """The record of one write."""
+    """Encode the record of one write."""
     return msgspec.msgpack.encode(
         Record(
             FORMAT,
@@ -44,7 +44,7 @@
 
 
 def decode(records: Iterable[bytes]) -> PersistentState:
-    """What all the records lead to. Raises UnreadableRecordError for one of a later release."""
+    """Return the state after all records. Raises UnreadableRecordError for a record of a later release."""
     state = PersistentState()
     for data in records:
         record = _decode_record(data)
--- a/badgergap/consensus/persistent_state.py
+++ b/badgergap/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a member must have on disk before it answers (figure 2 of the Raft paper)."""
+"""The state that a member must have on disk before it responds (figure 2 of the Raft paper)."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write to disk, in this order: the snapshot, the term and vote, the truncation, then the entries."""
+    """A write to disk, in this order: the snapshot, the term and vote, the truncation, then the entries."""
 
     token: int
     term: int
     voted_for: str
-    truncate_from: int | None = None  # the first index that is removed
+    truncate_from: int | None = None  # the first index to remove
     entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member's disk holds as it starts."""
+    """The state that a member reads from its disk when it starts."""
 
     term: int = 0
     voted_for: str = ""
@@ -29,7 +29,7 @@
     entries: list[LogEntry] = field(default_factory=list)
 
     def apply(self, persist: Persist) -> None:
-        """Carry out one write: the one rule for disks and for what is read back from them."""
+        """Apply one write. Used both for writing and when the records are read back."""
         if persist.snapshot is not None:
             self.snapshot = persist.snapshot
             self.entries = []
@@ -41,36 +41,38 @@
 
 
 class WriteProgress:
-    """Which writes are durable, and up to which index the log on disk is the log in memory."""
+    """Tracks which writes are durable, and up to which index the log on disk equals the log in memory."""
 
     def __init__(self, durable_index: int) -> None:
         self.durable_index = durable_index
         self.newest_token = 0
         self.durable_token = 0
-        self._pending: list[tuple[int, int]] = []  # token, and the last index on disk once it is durable
+        self._pending: list[
+            tuple[int, int]
+        ] = []  # token, and the last index on disk once that write is durable
 
     def issue(self, last_index: int) -> int:
-        """The token of a new write that brings the log on disk up to an index."""
+        """Return the token of a new write, after which the log on disk ends at `last_index`."""
         self.newest_token += 1
         self._pending.append((self.newest_token, last_index))
         return self.newest_token
 
     def complete(self, token: int, last_index: int) -> None:
-        """All writes up to this one are durable; the log in memory ends at `last_index`."""
+        """Record that all writes up to `token` are durable. The log in memory ends at `last_index`."""
         self.durable_token = max(self.durable_token, token)
         while self._pending and self._pending[0][0] <= token:
             _, index = self._pending.pop(0)
             self.durable_index = max(self.durable_index, min(index, last_index))
 
     def truncate(self, last_index: int) -> None:
-        """Entries behind `last_index` were replaced: writes that are under way no longer vouch for them."""
+        """Record that entries after `last_index` were replaced: pending writes do not cover them."""
         self.durable_index = min(self.durable_index, last_index)
         self._limit_pending(last_index)
 
-    def install(self, snapshot_index: int, entries_stay: bool, last_index: int) -> None:
-        """A snapshot replaced the start of the log, or all of it."""
+    def install(self, snapshot_index: int, entries_kept: bool, last_index: int) -> None:
+        """Record that a snapshot replaced the start of the log, or all of it."""
         self._limit_pending(last_index)
-        if entries_stay:
+        if entries_kept:
             self.durable_index = max(self.durable_index, snapshot_index)
         else:
             self.durable_index = min(self.durable_index, snapshot_index)
--- a/badgergap/consensus/raft.py
+++ b/badgergap/consensus/raft.py
@@ -1,26 +1,30 @@
-"""Consensus on one log, after the published Raft papers. Pure: no sockets, no disk, no clock, no randomness
-of
-its own.
+"""The Raft consensus algorithm for one replicated log.
 
-(D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014; D. Ongaro,
-"Consensus: Bridging Theory and Practice", 2014, called the thesis here: pre-vote 9.6, membership changes by
-one server at a time 4.1, learners 4.2.1, a leader that steps down 6.2, linearizable reads 6.4.)
+The state machine is pure: it performs no I/O, reads no clock and has no source of randomness of its own.
 
-`Raft` takes events and the time, and leaves what is to be done in `actions`. The rules, stated once:
+References: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014 (the
+paper); D. Ongaro, "Consensus: Bridging Theory and Practice", 2014 (the thesis): single-server membership
+changes 4.1, learners 4.2.1, leaders that step down 6.2, linearizable reads 6.4, pre-vote 9.6.
 
-1. A `Persist` is durable, all of it, before any `SendToPeer` whose `after_token` names it or a later one goes
-   out; `on_persisted` reports it. Writes are carried out in their order.
-2. A member votes once a term, for a log that holds at least what its own does, and never while a leader was
-   heard of within the least election timeout (pre-vote asks first, and changes nothing).
+`Raft` receives events with the current time and adds the work that its driver has to do to `actions`. Its
+invariants:
+
+1. All of a `Persist` is durable before any `SendToPeer` is sent whose `after_token` is that write's token or
+   a later one; `on_persisted` reports it. Writes are carried out in order.
+2. A member votes at most once per term, only for a candidate whose log holds at least what its own does, and
+   never within the minimum election timeout of the last contact with a leader. A pre-vote checks this first
+   and changes no state.
 3. A leader commits an entry once a majority of the voters of the newest configuration has it on disk and the
-   entry, or one behind it, is of its own term. It counts itself only once `on_persisted` says so.
-4. One change of the voters at a time, by one voter, and none before an entry of the leader's own term is
-   committed.
-5. A leader that has heard no majority for `QUORUM_TIMEOUT_US` steps down. `confirmed_us`: the latest moment
-   of its own clock at which it certainly was still the leader.
-6. Who is not a voter of its own newest configuration asks for no votes. Votes are by identity, not by name.
-
-Times are microseconds of a clock that only goes forward; each member's is its own.
+   entry, or a later one on that majority, is of its own term. It counts its own copy only after
+   `on_persisted`.
+4. Each configuration change adds or removes at most one voter, is committed before the next one begins, and
+   is not allowed before an entry of the leader's own term is committed.
+5. A leader that has had no contact with a majority for `QUORUM_TIMEOUT_US` steps down. `confirmed_us` is the
+   latest time, by its own clock, at which it certainly was the leader.
+6. A member that is not a voter of its own newest configuration starts no election. Votes are counted by
+   identity, not by name.
+
+Times are microseconds of a monotonic clock; each member has its own.
 """
 
 from __future__ import annotations
@@ -48,10 +52,10 @@
 
 
 class Raft(Election, LeaderReplication, FollowerReplication):
-    """The whole state machine of one member: time, messages and finished writes come in here."""
+    """The Raft state machine of one member, with the entry points for time, messages and finished writes."""
 
     def tick(self, now_us: int) -> None:
-        """Time has passed: send what is due, step down, or ask for votes."""
+        """Do what is due: send heartbeats and entries, step down, or start an election."""
         if self.stopped:
             return
         if self.is_leader:
@@ -62,7 +66,7 @@
                 self._start_pre_vote(now_us)
 
     def receive(self, now_us: int, sender: str, message: RaftMessage) -> None:
-        """A message of the member with the identity `sender`."""
+        """Handle a message from the member with the identity `sender`."""
         if self.stopped:
             return
         if isinstance(message, PreVoteRequest):
@@ -100,14 +104,14 @@
             self.actions.append(Disowned(message.acknowledged_index))
 
     def on_persisted(self, now_us: int, token: int) -> None:
-        """All writes up to this one are durable."""
+        """Record that all writes up to `token` are durable."""
         self.writes.complete(token, self.log.last_index)
         if self.is_leader:
             self._advance_commit_index(now_us)
         self._apply_committed()
 
     def on_disk_failed(self) -> None:
-        """The disk has failed: what it was to hold may be there or not, so nothing more is said."""
+        """Stop for good: pending writes may or may not be on disk, so no further message is safe to send."""
         self.stopped = True
         self.role = Role.FOLLOWER
         self.leader = ""
@@ -118,20 +122,20 @@
 
     @property
     def committed_configuration(self) -> Configuration | None:
-        """The newest configuration; None while it is still to be committed."""
+        """The newest configuration; None while it is not committed."""
         if self.log.configuration_index > self.commit_index:
             return None
         return self.log.configuration
 
     def compact(self, state: bytes) -> None:
-        """Replace all applied entries by the `state` that they have led to."""
+        """Replace all applied entries with a snapshot of the resulting `state`."""
         if self.applied_index <= self.log.snapshot.index:
             return
         self.log.compact(self.applied_index, state)
         self._persist(snapshot=self.log.snapshot, entries=self.log.entries)
 
     def bootstrap(self, now_us: int, snapshot: Snapshot) -> None:
-        """Begin a group with its first state, at the member that founds it; its log must be empty."""
+        """Create a group from its first snapshot. The log of this member, which creates it, must be empty."""
         self.term = max(self.term, snapshot.term)
         self.log.install(snapshot)
         self.commit_index = snapshot.index
@@ -140,9 +144,10 @@
         self._schedule_election(now_us)
 
     def force_single_member(self, now_us: int) -> bool:
-        """An operator's last resort: this member alone is the group from now on.
+        """Make this member the only member of the group, as an operator's last resort.
 
-        False, and nothing is changed, while a leader is heard or if this is no member.
+        Returns False, and changes nothing, while this member has contact with a leader, or if it is not in
+        the configuration.
         """
         if self.stopped or self._has_leader_contact(now_us):
             return False
@@ -152,8 +157,8 @@
         self.term += 1
         self.voted_for = self.id
         self._persist()
-        alone = (msgspec.structs.replace(own, votes=True),)
-        entry = LogEntry(self.log.last_index + 1, self.term, "config", encode_configuration(alone))
+        single_member = (msgspec.structs.replace(own, votes=True),)
+        entry = LogEntry(self.log.last_index + 1, self.term, "config", encode_configuration(single_member))
         self.log.append(entry)
         self._persist(entries=(entry,))
         self._become_leader(now_us)
--- a/badgergap/consensus/raft_actions.py
+++ b/badgergap/consensus/raft_actions.py
@@ -1,4 +1,4 @@
-"""What the Raft core wants done. Its driver carries these out in their order."""
+"""Actions that the Raft core requests. The driver carries them out in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a message once the write `after_token` is durable; 0: at once."""
+    """Send a message once the write `after_token` is durable, or at once if it is 0."""
 
     peer_id: str
     message: RaftMessage
@@ -20,21 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntry:
-    """Apply a committed entry. Entries come in order, none left out and none twice."""
+    """Apply a committed entry. Entries come in order, without gaps or repeats."""
 
     entry: LogEntry
 
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """Replace all that was applied by a snapshot."""
+    """Replace the applied state with a snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Disowned:
-    """This member's disk holds less than it has acknowledged: it must not go on under its identity."""
+    """This member's disk holds less than it has acknowledged, so it must give up its identity."""
 
     acknowledged_index: int
 
--- a/badgergap/consensus/raft_core.py
+++ b/badgergap/consensus/raft_core.py
@@ -1,6 +1,6 @@
-"""The state that all parts of the Raft core share, and how they give out what is to be done. Pure.
+"""The state that all parts of the Raft core share, and the helpers that emit actions. Performs no I/O.
 
-`Raft` in `raft.py` puts the parts together: `election`, `leader_replication` and `follower_replication`.
+`Raft` in `raft.py` combines the parts: `election`, `leader_replication` and `follower_replication`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from badgergap.consensus.raft_messages import RaftMessage
 
 HEARTBEAT_US = 100_000
-ELECTION_TIMEOUT_US = 400_000  # the least time without a leader; up to twice as long by chance
-QUORUM_TIMEOUT_US = 1_000_000  # a leader that hears no majority for so long steps down
-RETRY_US = 300_000  # entries that were not acknowledged are sent again
+ELECTION_TIMEOUT_US = 400_000  # minimum time without a leader; a random delay at most doubles it
+QUORUM_TIMEOUT_US = 1_000_000  # a leader without contact to a majority steps down after it
+RETRY_US = 300_000  # unacknowledged entries are sent again after it
 NEVER_US = -(1 << 60)
 
 
 class Role(Enum):
-    """What a member is in its term."""
+    """The role of a member in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -32,32 +32,30 @@
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What a leader knows of one other member."""
+    """A leader's replication state for one other member."""
 
     next_index: int  # the next entry to send
-    match_index: int = 0  # up to where its log on disk is the leader's
-    acknowledged_us: int = -1  # when the newest message that it answered was sent; -1: none in this term
+    match_index: int = 0  # up to here its log on disk equals the leader's
+    acknowledged_us: int = -1  # send time of the newest message that it answered; -1: none in this term
     last_contact_us: int = 0
     sent_us: int = NEVER_US
-    unacknowledged_since_us: int = (
-        -1
-    )  # when entries or a chunk were sent that it has not acknowledged; -1: none
-    notified_commit: int = 0  # the newest commit index that it was sent
-    snapshot: Snapshot | None = None  # being sent
+    unacknowledged_since_us: int = -1  # send time of unacknowledged entries or of a snapshot chunk; -1: none
+    notified_commit: int = 0  # the newest commit index sent to it
+    snapshot: Snapshot | None = None  # in transfer to it
     snapshot_offset: int = 0
 
     @property
     def has_unacknowledged(self) -> bool:
-        """Whether entries or a chunk of a snapshot are on their way."""
+        """Whether entries or a snapshot chunk are sent and not yet acknowledged."""
         return self.unacknowledged_since_us >= 0
 
     def clear_unacknowledged(self) -> None:
-        """What was on its way has arrived, or is taken for lost."""
+        """Mark what was sent as acknowledged or lost."""
         self.unacknowledged_since_us = -1
 
 
 class RaftCore:
-    """Term, vote, log and role of one member. `actions` is what its driver has to carry out next."""
+    """Term, vote, log and role of one member. Its driver carries out `actions` next."""
 
     def __init__(self, id: str, persistent: PersistentState, now_us: int, random: random.Random) -> None:
         self.id = id
@@ -69,12 +67,12 @@
         self.commit_index = self.log.snapshot.index
         self.applied_index = self.log.snapshot.index
         self.role = Role.FOLLOWER
-        self.leader = ""  # its identity; "": not known
+        self.leader = ""  # the identity of the leader; "": not known
         self.leader_contact_us = NEVER_US
         self.elected_us = 0
         self.election_due_us = 0
-        self.progress: dict[str, FollowerProgress] = {}  # of a leader, by identity
-        self.stopped = False  # its disk has failed, or it was disowned: it says nothing more
+        self.progress: dict[str, FollowerProgress] = {}  # kept by a leader, by identity
+        self.stopped = False  # the disk failed or the member was disowned: it sends nothing more
         self.actions: list[RaftAction] = []
         self._schedule_election(now_us)
 
@@ -85,7 +83,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member takes itself for the leader of its term."""
+        """Whether this member has the leader role; another may have been elected in a later term."""
         return self.role is Role.LEADER
 
     # Implemented by the parts
@@ -116,7 +114,7 @@
         self.progress.clear()
 
     def _apply_committed(self) -> None:
-        """Apply what is committed and on this member's own disk: after a restart it is still there."""
+        """Apply entries that are committed and on this member's own disk, so that a restart finds them."""
         while self.applied_index < min(self.commit_index, self.writes.durable_index):
             self.applied_index += 1
             self.actions.append(ApplyEntry(self.log.entry(self.applied_index)))
@@ -133,13 +131,13 @@
         )
 
     def _send(self, peer_id: str, message: RaftMessage) -> None:
-        """Send at once: nothing in the message relies on the disk."""
+        """Send at once a message that does not depend on pending writes."""
         self.actions.append(SendToPeer(peer_id, message))
 
     def _send_when_durable(self, peer_id: str, message: RaftMessage) -> None:
-        """Send once all writes up to now are durable.
+        """Send once all writes issued so far are durable.
 
-        Else a vote or an acknowledged entry could be lost in a crash after others had relied on it: two
-        leaders of one term, or a committed entry that is gone.
+        Otherwise a crash could lose a vote or an acknowledged entry that others already rely on, which can
+        lead to two leaders in one term or to the loss of a committed entry.
         """
         self.actions.append(SendToPeer(peer_id, message, self.writes.newest_token))
--- a/badgergap/consensus/raft_messages.py
+++ b/badgergap/consensus/raft_messages.py
@@ -1,7 +1,7 @@
-"""The messages of the Raft protocol, by the names of the Raft papers.
+"""The messages of the Raft protocol, named as in the Raft paper.
 
-`term` is the sender's, or in a pre-vote the term that it would ask for. On the wire a message is its tag and
-its fields in their order: the names here may change, tags and order may not.
+`term` is the sender's term, or in a pre-vote request the term that it would stand for. A message is encoded
+as its tag and its fields in order: names may change here, tags and the order of fields may not.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PreVoteRequest(msgspec.Struct, frozen=True, array_like=True, tag="pre"):
-    """Would you vote for me in this term? Asked before the term is raised (section 9.6 of the thesis)."""
+    """Requests a non-binding vote for `term`, before the term is raised (section 9.6 of the thesis)."""
 
     term: int
     last_log_index: int
@@ -20,7 +20,7 @@
 
 
 class PreVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="pred"):
-    """The answer for `requested_term`; it binds nobody."""
+    """The response for `requested_term`; it is not binding."""
 
     term: int
     requested_term: int
@@ -28,7 +28,7 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """A candidate asks for a vote."""
+    """A candidate's request for a vote."""
 
     term: int
     last_log_index: int
@@ -36,14 +36,14 @@
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="voted"):
-    """A vote, or its refusal."""
+    """Grants or denies a vote."""
 
     term: int
     granted: bool
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="app"):
-    """Entries from the leader, none in a heartbeat. `sent_at_us`: the leader's clock as it was sent."""
+    """Entries from the leader; none in a heartbeat. `sent_at_us`: send time by the leader's clock."""
 
     term: int
     previous_index: int
@@ -54,9 +54,10 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appd"):
-    """`match_index`: up to where the follower's log on disk is the leader's; without success, where the
-    leader
-    should look next. `sent_at_us` is that of the request.
+    """A follower's response to `AppendEntries`.
+
+    `match_index`: up to here the follower's log on disk equals the leader's; without success, the index that
+    the leader should try next. `sent_at_us` is copied from the request.
     """
 
     term: int
@@ -66,7 +67,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="part"):
-    """One chunk of a snapshot; each is sent once the one before it is acknowledged."""
+    """One chunk of a snapshot; each is sent after the previous one is acknowledged."""
 
     term: int
     last_included_index: int
@@ -79,7 +80,7 @@
 
 
 class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag="partd"):
-    """How many bytes of the snapshot at `last_included_index` have arrived."""
+    """Acknowledges `received_bytes` bytes of the snapshot at `last_included_index`."""
 
     term: int
     last_included_index: int
@@ -88,9 +89,9 @@
 
 
 class DisownMember(msgspec.Struct, frozen=True, array_like=True, tag="disown"):
-    """The receiver acknowledged entries up to `acknowledged_index` and no longer has them: its disk was
-    rolled
-    back.
+    """Reports that the receiver has lost entries, because its disk was rolled back.
+
+    It had acknowledged entries up to `acknowledged_index`.
     """
 
     term: int
--- a/badgergap/consensus/versions.py
+++ b/badgergap/consensus/versions.py
@@ -1,7 +1,7 @@
-"""What a group agrees on: versions of its settings, and the commands in the log that make them. Pure.
+"""Versions of a group's agreed state, and the log commands that create them. Performs no I/O.
 
-The structs here are part of log entries and snapshots: on the wire and on disk they are their tag and their
-fields in order. Names may change; tags, order and the values of `kind` may not.
+The structs here are part of log entries and snapshots: they are encoded as their tag and their fields in
+order. Names may change; tags, the order of fields and the values of `kind` may not.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 class ProposeVersion(msgspec.Struct, frozen=True, array_like=True, tag="publish"):
     """A proposal for the next version.
 
-    `parent`: the settings version that it was made from; it is refused if that is not the newest any more.
-    ANY_PARENT: it does not matter. `contradicts` is found by the leader, so that it is the same at members
-    of all releases.
+    `parent`: the settings version that it is based on; the proposal is refused if that is no longer the
+    newest one. ANY_PARENT skips this check. `contradicts` is computed by the leader, so that members of all
+    releases agree on it.
     """
 
     id: str
@@ -34,20 +34,20 @@
 
 
 class BanMember(msgspec.Struct, frozen=True, array_like=True, tag="bar"):
-    """A name was removed from the group and may not join again by itself; or it may again."""
+    """Bans a removed member from joining again under its name, or lifts that ban."""
 
     name: str
     banned: bool
 
 
 class EnforceVersion(msgspec.Struct, frozen=True, array_like=True, tag="enforce"):
-    """All versions up to this one are in force wherever they are known."""
+    """Puts all versions up to this one in force, at each member that holds them."""
 
     version: int
 
 
 class StoreComponentState(msgspec.Struct, frozen=True, array_like=True, tag="keep"):
-    """The next state of another component, in place of its last; ignored if its number is not the next."""
+    """Replaces the state of another component; ignored if `number` is not the next one."""
 
     component: str
     number: int
@@ -58,11 +58,11 @@
 
 
 class VersionHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What is remembered of a version beside its content."""
+    """The metadata of a version."""
 
     number: int
     kind: VersionKind
-    digest: str  # of all the content that it leads to
+    digest: str  # of the content after this version
     author: str
     reason: str
     parent: int
@@ -71,7 +71,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a proposal."""
+    """The outcome of a proposal."""
 
     id: str
     version: int  # 0: it was refused
@@ -80,20 +80,20 @@
 
 
 class VersionContent(msgspec.Struct, frozen=True, array_like=True):
-    """All that is acted on under one version."""
+    """The complete agreed state at one version."""
 
     number: int = 0
     settings: str = ""  # the agreed tables, as JSON with sorted keys
-    out: dict[str, str] = {}  # endpoints drained by hand, and who drained each
-    endpoint_list: str = ""  # as JSON; "": the group owns none
+    out: dict[str, str] = {}  # manually drained endpoints, and who drained each
+    endpoint_list: str = ""  # as JSON; "": the group has none
     settings_at: int = 0  # the version that last changed the settings
 
     def digest(self) -> str:
-        """The same for the same content, whatever its number."""
+        """Return a digest of the content that does not depend on the version number."""
         identity = self.settings, sorted(self.out), self.endpoint_list
         return hashlib.blake2b(msgspec.msgpack.encode(identity), digest_size=8).hexdigest()
 
 
 def encode_command(command: Command) -> bytes:
-    """The data of a "data" entry in the log."""
+    """Encode the data of a "data" entry in the log."""
     return msgspec.msgpack.encode(command)
