--- a/badgergap/consensus/joining.py
+++ b/badgergap/consensus/joining.py
@@ -1,9 +1,10 @@
-"""How a group begins, and how members join it later. Pure.
+"""How a group is founded, and how members join it later. Performs no I/O.
 
-A member whose folder is empty belongs to no group, and says so (`Hello`). Only once *all* voters of its
-file have said within `HELLO_FRESH_US` that they are empty does the first of them by name found one. A
-member that comes back empty, or as who it was not, is therefore never a voter by itself: the leader admits
-it as a learner, and `replace` makes it the voter that it was.
+A member whose data directory is empty belongs to no group and announces that (`Hello`). The voter whose name
+comes first in sort order founds a group, but only after *all* voters in its settings file have
+announced within `HELLO_FRESH_US` that they are empty. A member that returns empty, or with another identity,
+therefore never becomes a voter by itself: the leader admits it as a learner, and `replace` makes it the voter
+that it was.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 HELLO_INTERVAL_US = 300_000
 HELLO_FRESH_US = 2_000_000
-ALIVE_US = 5_000_000  # a member that was heard within this time keeps its name
+ALIVE_US = 5_000_000  # no other member can take a name that was in use within this time
 NAMES_LIMIT = 512
 FIRST_TERM = FIRST_INDEX = 1
 
 
 @dataclass(slots=True)
-class Stranger:
-    """Somebody who is not of the group, by its own word."""
+class Applicant:
+    """A process that has announced that it is not a member of the group."""
 
     id: str
     hello: Hello
@@ -35,19 +36,19 @@
 
 
 class Joining:
-    """Introduces this member to others, and admits others or rejects them."""
+    """Announces this member to others, and admits or rejects other members."""
 
     def __init__(self, member: MemberCore, now_us: int) -> None:
         self.member = member
-        self.strangers: OrderedDict[str, Stranger] = OrderedDict()  # by name
+        self.applicants: OrderedDict[str, Applicant] = OrderedDict()  # by name
         self.hello_due_us = now_us
 
-    # At the member that joins
+    # At the joining member
 
     def tick(self, now_us: int) -> None:
-        """Say Hello when that is due, and found the group if it can be founded.
+        """Send `Hello` when it is due, and found the group if possible.
 
-        A member that was removed learns so by being rejected: its own log may never say it.
+        A removed member is notified by a rejection, since the entry that removed it may never reach its log.
         """
         member = self.member
         is_settled_member = member.is_member and not member.rejected
@@ -60,13 +61,13 @@
         self._found_group(now_us)
 
     def on_rejected(self, name: str, message: JoinRejected) -> None:
-        """The leader does not admit this member."""
+        """Record why the leader does not admit this member."""
         if message.why != self.member.rejected:
             self.member.rejected = message.why
             self.member.alert(f"not let into the group by {name}: {message.why}")
 
     def _found_group(self, now_us: int) -> None:
-        """Found the group, if this is the first of its voters and all of them are empty."""
+        """Found the group if this is the first voter by name and all voters are empty."""
         member = self.member
         own = member.settings
         voters = self._voters_of_file()
@@ -82,7 +83,7 @@
         member.set_lease_duration()
         first = Snapshot(FIRST_INDEX, FIRST_TERM, tuple(peers), member.state.snapshot())
         member.raft.bootstrap(now_us, first)
-        member.alert(f"the group {group} is founded by {', '.join(voters)}")
+        member.alert(f"group {group} was founded by {', '.join(voters)}")
 
     def _voters_of_file(self) -> list[str]:
         own = self.member.settings
@@ -92,24 +93,28 @@
         return sorted(voters)
 
     def _founders(self, now_us: int, voters: list[str]) -> list[Peer] | None:
-        """The voters as the first configuration has them; None unless all others said that they are empty."""
+        """Return the voters of the first configuration; None unless all others recently were empty."""
         own = self.member.settings
         peers = [Peer(self.member.id, own.name, own.zone, True)]
         for name in voters[1:]:
-            stranger = self.strangers.get(name)
-            if stranger is None or stranger.hello.group or now_us - stranger.last_contact_us > HELLO_FRESH_US:
+            applicant = self.applicants.get(name)
+            if (
+                applicant is None
+                or applicant.hello.group
+                or now_us - applicant.last_contact_us > HELLO_FRESH_US
+            ):
                 return None
-            peers.append(Peer(stranger.id, name, stranger.hello.zone, True))
+            peers.append(Peer(applicant.id, name, applicant.hello.zone, True))
         return peers
 
     # At the leader
 
     def on_hello(self, now_us: int, sender: str, name: str, hello: Hello) -> None:
-        """Remember who introduces itself and, at the leader, admit it as a learner or reject it."""
-        self.strangers[name] = Stranger(sender, hello, now_us)
-        self.strangers.move_to_end(name)
-        while len(self.strangers) > NAMES_LIMIT:
-            self.strangers.popitem(last=False)
+        """Record an announcement and, at the leader, admit the sender as a learner or reject it."""
+        self.applicants[name] = Applicant(sender, hello, now_us)
+        self.applicants.move_to_end(name)
+        while len(self.applicants) > NAMES_LIMIT:
+            self.applicants.popitem(last=False)
         member = self.member
         if not member.raft.is_established_leader:
             return
@@ -122,16 +127,16 @@
         self._admit(now_us, sender, name, hello)
 
     def _admit(self, now_us: int, sender: str, name: str, hello: Hello) -> None:
-        """In the place of an earlier learner of its name; an earlier voter stays until it is replaced."""
+        """Add a learner in place of an earlier learner of its name; an earlier voter stays until replaced."""
         member = self.member
         leadership = member.current_leadership(now_us)
-        leadership.grantor.leaving.discard(sender)  # this leader may have removed it before
+        leadership.grantor.leaving.discard(sender)  # this leader may have removed it earlier
         others = [peer for peer in member.raft.log.configuration if peer.name != name or peer.votes]
         leadership.changes.configure(now_us, (*others, Peer(sender, name, hello.zone, False)))
-        member.alert(f"{name} comes in as {sender}, and learns")
+        member.alert(f"{name} joins the group as {sender}, a learner")
 
     def reject_former_member(self, now_us: int, sender: str, name: str) -> None:
-        """Tell one that asks for votes, but is no member any more."""
+        """Notify a former member that requests votes that it was removed."""
         member = self.member
         if member.raft.committed_configuration and not member.has_member(sender):
             why = self._why_rejected(now_us, sender, name, None)
@@ -139,7 +144,10 @@
             member.send(sender, message, name)
 
     def _why_rejected(self, now_us: int, sender: str, name: str, hello: Hello | None) -> str:
-        """Why one is not admitted; empty if it is. `hello`: unless it takes itself for a member."""
+        """Return why the sender is not admitted; empty if it is.
+
+        `hello` is None for a sender that considers itself a member.
+        """
         member = self.member
         if name in member.state.banned:
             return f"{name} was taken out of the group; `group add {name}` lets it in again"
--- a/badgergap/consensus/leadership.py
+++ b/badgergap/consensus/leadership.py
@@ -1,5 +1,6 @@
-"""The duties of a leader in one term: leases, proposals, membership changes, and which version is in force.
-Pure.
+"""The duties of a leader in one term: leases, proposals, membership changes and enforcing versions.
+
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Leadership:
-    """What one member does as the leader of one term. The next term begins with a new one."""
+    """The duties of one member as the leader of one term; each term has a new instance."""
 
     def __init__(self, member: MemberCore) -> None:
         self.member = member
@@ -23,7 +24,7 @@
         self.grantor = member.grantor_class(member.lease.duration_us, self.elected_us)
         self.changes = MembershipChanges(member, self.grantor)
         self.proposals = OpenProposals(member, self.grantor)
-        self.enforcing = NO_VERSION  # the version whose EnforceVersion was added in this term
+        self.enforcing = NO_VERSION  # the version of the newest EnforceVersion added in this term
         self.first_version_due_us = 0
 
     def step(self, now_us: int) -> None:
@@ -31,14 +32,14 @@
         member = self.member
         if not member.raft.is_established_leader or member.halted:
             return
-        self._ask_for_first_version(now_us)
+        self._request_first_version(now_us)
         self._grant_leases(now_us)
         self._enforce_waiting(now_us)
         self.proposals.close_overdue(now_us)
         self.changes.step(now_us)
         member.carry_out_raft(now_us)
 
-    def _ask_for_first_version(self, now_us: int) -> None:
+    def _request_first_version(self, now_us: int) -> None:
         if self.member.state.newest.number == NO_VERSION and now_us >= self.first_version_due_us:
             self.first_version_due_us = now_us + FIRST_VERSION_RETRY_US
             self.member.actions.append(ProposeFirstVersion())
@@ -49,13 +50,13 @@
         others = [peer.id for peer in configuration if peer.id != member.id]
         for id, sent_at_us in self.grantor.due(member.raft.confirmed_us(now_us), others):
             record = self.grantor.record(id)
-            # Who does not hold what is about to come into force may act no more once it is.
+            # A member that lacks the version being enforced must stop acting before it comes into force.
             is_behind = record.newest_version < self.enforcing
             minimum_version = self.enforcing if is_behind else member.state.acting.number
             member.send(id, LeaseGrant(record.incarnation, member.raft.term, sent_at_us, minimum_version))
 
     def _enforce_waiting(self, now_us: int) -> None:
-        """Let the newest version come into force that all who may act hold."""
+        """Enforce the newest waiting version that every member with a lease holds."""
         member = self.member
         others = [peer.id for peer in member.raft.log.configuration if peer.id != member.id]
         waiting = [header.number for header in member.state.headers if member.state.is_waiting(header)]
--- a/badgergap/consensus/lease.py
+++ b/badgergap/consensus/lease.py
@@ -1,18 +1,18 @@
-"""Leases: who may act, and until when, at the member and at the leader. Pure.
+"""Leases, which permit a member to act for a limited time: the member's and the leader's side.
 
-Times are microseconds of each member's own clock.
+Performs no I/O. Times are microseconds of each member's own clock.
 
-A member sends its leader a request that carries the time of its own clock, `sent_at_us`. The leader answers
-once it knows that it still was the leader after the request arrived (`Raft.confirmed_us`) and holds all
-that was committed before (`is_established_leader`). The lease lasts `duration_us` from `sent_at_us`, so the
-time on the way is counted. The leader counts from when the request arrived, with both clocks' drift on top:
-it may hold a member for able to act longer than it is, never shorter. A new leader knows of no lease that
-was granted before; it takes every member to hold one for a whole duration from its election on, for no
-leader before it can have confirmed itself after that.
+A member sends its leader a request with the time of its own clock, `sent_at_us`. The leader answers once it
+is certain that it was still the leader after the request arrived (`Raft.confirmed_us`) and holds all that was
+committed before (`is_established_leader`). The lease lasts `duration_us` from `sent_at_us`, so the transit
+time is included. The leader counts from the arrival of the request and adds the drift of both clocks: by its
+account a lease may end later than it really does, never earlier. A new leader has no record of leases that
+earlier leaders granted. It assumes that every member holds one for a full duration from its election on,
+because no earlier leader can have been confirmed after that.
 
-The leader enforces a contradicting version once each member holds it or has no lease. One that holds it and
-has not heard that it is enforced, because it was cut off, acts on the version before until its lease ends:
-at most one duration longer than the others, which is less than the stated bound `contradiction_us`.
+The leader enforces a contradicting version once each member holds it or has no lease. A partitioned member
+that holds it, but was not notified that it is enforced, acts on the previous version until its lease ends: at
+most one duration longer than the others, which is less than the stated bound `contradiction_us`.
 """
 
 from __future__ import annotations
@@ -21,153 +21,157 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-CLOCK_DRIFT = 0.01  # a clock's rate differs from true time by no more than this: two clocks' by twice that
-DURATION_FRACTION = 0.8  # of the stated time; the rest is for drift, stalls and the way to an endpoint
+CLOCK_DRIFT = 0.01  # maximum deviation of a clock's rate from true time; two clocks differ by twice that
+DURATION_FRACTION = 0.8  # of the stated time; the rest covers drift, stalls and the transit to an endpoint
 REQUESTS_PER_LEASE = 8
 NEVER_US = -(1 << 60)
 NO_REQUEST_US = -1
 
 
 def lease_duration_us(contradiction_us: int) -> int:
-    """How long a lease lasts in a group with this bound."""
+    """Return the duration of a lease in a group with the bound `contradiction_us`."""
     return int(contradiction_us * DURATION_FRACTION)
 
 
 @dataclass(slots=True)
 class Lease:
-    """A member's own lease. A process never takes a grant that was given to an earlier one."""
+    """A member's own lease. A process never accepts a grant made to an earlier process."""
 
     duration_us: int
     end_us: int = NEVER_US
-    minimum_version: int = 0  # that must be loaded here to act under this lease
+    minimum_version: int = 0  # the version that must be loaded to act under this lease
 
     def extend(self, now_us: int, sent_at_us: int, minimum_version: int) -> None:
-        """Take a grant that answers a request of `sent_at_us`."""
+        """Apply a grant that answers the request sent at `sent_at_us`."""
         self.end_us = max(self.end_us, min(sent_at_us, now_us) + self.duration_us)
         self.minimum_version = max(self.minimum_version, minimum_version)
 
     def left_us(self, now_us: int) -> int:
-        """How long it still lasts."""
+        """Return the time until the lease ends."""
         return max(0, self.end_us - now_us)
 
     def drop(self) -> None:
-        """End it now."""
+        """End the lease now."""
         self.end_us = NEVER_US
 
 
 class Request(Protocol):
-    """What the leader reads of a lease request."""
+    """The fields of a lease request that the leader reads."""
 
     @property
     def incarnation(self) -> int:
-        """Of the process that asks."""
+        """The incarnation of the requesting process."""
 
     @property
     def sent_at_us(self) -> int:
-        """That process's clock."""
+        """The send time, by the clock of that process."""
 
     @property
     def newest_version(self) -> int:
-        """The newest version that it holds."""
+        """The newest version that the member holds."""
 
     @property
     def acting_version(self) -> int:
-        """The version that it acts on."""
+        """The version that the member acts on."""
 
     @property
     def log_bytes(self) -> int:
-        """The size of its log."""
+        """The size of the member's log."""
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """What a leader knows of one member."""
+    """A leader's lease record of one member."""
 
-    sent_at_us: int = 0  # of the request to be answered
-    arrived_us: int = NO_REQUEST_US  # when it arrived; NO_REQUEST_US: none is to be answered
-    incarnation: int = 0  # of its process: earlier ones have less, and their late requests count no more
+    sent_at_us: int = 0  # of the unanswered request
+    arrived_us: int = NO_REQUEST_US  # when that request arrived; NO_REQUEST_US: there is none
+    incarnation: int = 0  # of its process; earlier processes have lower ones and are ignored
     newest_sent_us: int = NEVER_US  # of the newest request
     last_contact_us: int = NEVER_US
-    lease_end_us: int = 0  # it may act until then, by the leader's clock
-    newest_version: int = 0  # that it holds
+    lease_end_us: int = 0  # by the leader's clock
+    newest_version: int = 0  # the newest version that it holds
     acting_version: int = 0
     log_bytes: int = 0
 
     @property
     def has_request(self) -> bool:
-        """Whether a request of it is to be answered."""
+        """Whether a request of the member is unanswered."""
         return self.arrived_us >= 0
 
     def clear_request(self) -> None:
-        """Nothing is to be answered."""
+        """Forget the unanswered request."""
         self.arrived_us = NO_REQUEST_US
 
 
 @dataclass(slots=True)
 class LeaseGrantor:
-    """The leader's side, from its election on."""
+    """The leader's side of all leases, from its election on."""
 
     duration_us: int
     elected_us: int
     records: dict[str, MemberRecord] = field(default_factory=dict)  # by identity
-    leaving: set[str] = field(default_factory=set)  # are being removed, and get no lease any more
+    leaving: set[str] = field(default_factory=set)  # identities being removed, which get no more leases
 
     @property
-    def hold_us(self) -> int:
-        """How long a lease may last by the leader's clock, drift included."""
+    def max_lease_us(self) -> int:
+        """The longest that a lease may last by the leader's clock, with drift."""
         return int(self.duration_us * (1 + 2 * CLOCK_DRIFT)) + 1
 
     def record(self, id: str) -> MemberRecord:
-        """The record of a member. A new one may hold a lease of an earlier leader.
+        """Return the record of a member; a new record assumes a lease from an earlier leader.
 
-        Else a member that was cut off could act on its old version, under the earlier leader's lease, while
-        this leader takes it for stopped and lets the next version come into force.
+        Otherwise a partitioned member could act on its old version under the earlier leader's lease, while
+        this leader counts it as stopped and lets the next version come into force.
         """
         record = self.records.get(id)
         if record is None:
-            record = self.records[id] = MemberRecord(lease_end_us=self.elected_us + self.hold_us)
+            record = self.records[id] = MemberRecord(lease_end_us=self.elected_us + self.max_lease_us)
         return record
 
     def on_request(self, now_us: int, id: str, request: Request) -> None:
-        """Note a request; `due` says when it can be answered."""
+        """Record a request; `due` returns it when it can be answered."""
         record = self.record(id)
         if request.incarnation < record.incarnation:
             return
         record.last_contact_us = now_us
-        if request.incarnation > record.incarnation:  # restarted, with another clock
+        if request.incarnation > record.incarnation:  # restarted, possibly with another clock
             record.incarnation = request.incarnation
             record.newest_sent_us = request.sent_at_us
             record.clear_request()
         if request.sent_at_us < record.newest_sent_us:
-            return  # overtaken by a newer one
+            return  # out of order: a newer one arrived before
         record.newest_sent_us = request.sent_at_us
         record.acting_version = request.acting_version
         record.log_bytes = request.log_bytes
-        # After a restart it may hold less than before, until it has received it again.
+        # A restarted member may hold fewer versions than before until it receives them again.
         record.newest_version = request.newest_version
         if not record.has_request:
             record.sent_at_us = request.sent_at_us
             record.arrived_us = now_us
 
     def due(self, confirmed_us: int, members: Iterable[str]) -> list[tuple[str, int]]:
-        """Whose request can be answered now, with its `sent_at_us`; they count as able to act from now."""
+        """Grant leases for all requests that can be answered now.
+
+        Returns the identity of each such member and the `sent_at_us` of its request. Requests that arrived
+        after `confirmed_us` wait.
+        """
         granted = []
         for id in members:
             record = self.records.get(id)
             if record is None or not record.has_request or id in self.leaving:
                 continue
             if record.arrived_us <= confirmed_us:
-                record.lease_end_us = max(record.lease_end_us, record.arrived_us + self.hold_us)
+                record.lease_end_us = max(record.lease_end_us, record.arrived_us + self.max_lease_us)
                 granted.append((id, record.sent_at_us))
                 record.clear_request()
         return granted
 
     def is_over(self, now_us: int, id: str) -> bool:
-        """Whether a member can no longer act, whatever became of it."""
+        """Whether the lease of a member has certainly ended, even if it cannot be reached."""
         return now_us >= self.record(id).lease_end_us
 
     def members_behind(self, now_us: int, version: int, members: Iterable[str]) -> list[str]:
-        """Who still keeps a version from coming into force."""
+        """Return the members that may hold a lease but lack `version`, and so delay its enforcement."""
         return [
             id for id in members if self.record(id).newest_version < version and not self.is_over(now_us, id)
         ]
--- a/badgergap/consensus/member.py
+++ b/badgergap/consensus/member.py
@@ -1,8 +1,8 @@
-"""One member of a group: consensus, versions, leases and membership, as one state machine. Pure.
+"""One member of a group: consensus, versions, leases and membership, as one state machine.
 
-The driver (`service.py`, or a simulation) hands in events with the time, and carries out `take_actions()`.
-`Member` passes the events on to its parts: `raft`, `joining`, and as a leader `leadership` with its proposals
-and membership changes.
+Performs no I/O. The driver (`service.py`, or a simulation) passes in events with the time, and carries out
+the actions that `take_actions()` returns. `Member` dispatches the events to its parts: `raft`, `joining`, and
+at a leader `leadership` with its proposals and membership changes.
 """
 
 from __future__ import annotations
@@ -51,15 +51,15 @@
 from badgergap.consensus.versions import Outcome, ProposeVersion, StoreComponentState
 
 NAMES_LIMIT = 512
-BEGUN_LIMIT = 64  # requests for membership changes that are known when they come again
+BEGUN_LIMIT = 64  # membership change requests that are recognized when repeated
 COMPACT_ENTRIES = 2048
 COMPACT_BYTES = 4 * 1024 * 1024
 ENTRY_KINDS = ("data", "noop", "config")
-CHANGE_BEGUN = 1  # as the version of an outcome: a membership change makes none
+CHANGE_BEGUN = 1  # in place of the version in an outcome: a membership change creates none
 
 
 class Member(MemberCore):
-    """The whole state machine: time, messages, finished writes and operators' requests come in here."""
+    """The state machine, with the entry points for time, messages, finished writes and requests."""
 
     def __init__(
         self,
@@ -70,14 +70,14 @@
         random: random.Random,
         incarnation: int = 1,
     ) -> None:
-        """See MemberCore."""
+        """Start from the state on disk; see `MemberCore`."""
         super().__init__(settings, id, persistent, now_us, random, incarnation)
         self.joining = Joining(self, now_us)
-        self.latest_status: tuple[int, StatusResponse] | None = None  # when it came, and what it says
+        self.latest_status: tuple[int, StatusResponse] | None = None  # when it arrived, and the status
         self._lease_request_due_us = now_us
-        self._requested_version = -1  # the newest version, as the last lease request said
-        self._handed_over_version = NO_VERSION  # the newest that was to be loaded
-        self._received_version = NO_VERSION  # the newest that the driver was told of
+        self._requested_version = -1  # the newest version, as of the last lease request
+        self._handed_over_version = NO_VERSION  # the newest version given to the driver to load
+        self._received_version = NO_VERSION  # the newest version reported to the driver
         self._begun_changes: deque[str] = deque(maxlen=BEGUN_LIMIT)  # ids of requests
         self._announced_leader = ""
         self._announced_acting: bool | None = None
@@ -87,7 +87,7 @@
     # Events
 
     def tick(self, now_us: int) -> None:
-        """Time has passed."""
+        """Do what is due."""
         self.now_us = now_us
         self.raft.tick(now_us)
         self.carry_out_raft(now_us)
@@ -97,9 +97,9 @@
         self._announce_changes(now_us)
 
     def receive(self, now_us: int, sender: str, name: str, message: Message) -> None:
-        """A message of the member with the identity `sender`, which goes by `name`.
+        """Handle a message from the member with the identity `sender` and the name `name`.
 
-        The driver has checked the group, the key and whom it is for.
+        The driver has checked the group, the key and the addressee.
         """
         self.now_us = now_us
         self._remember_name(sender, name)
@@ -113,26 +113,26 @@
         self._continue(now_us)
 
     def on_persisted(self, now_us: int, token: int) -> None:
-        """All writes up to this one are durable."""
+        """Record that all writes up to `token` are durable."""
         self.raft.on_persisted(now_us, token)
         self._continue(now_us)
 
     def on_disk_failed(self, why: str) -> None:
-        """The disk failed: nothing that relies on it is sent any more, and the lease runs out."""
+        """Halt, since the disk failed: no message that depends on it is sent any more."""
         self.raft.on_disk_failed()
         self.halt(f"the log cannot be written: {why}")
 
     def on_loaded(self, version: int) -> None:
-        """The gateway acts on this version from now on."""
+        """Record that the gateway acts on `version` from now on."""
         self.loaded_version = version
         self._request_lease_at_once()
 
     def on_load_failed(self, version: int, why: str) -> None:
-        """The gateway cannot act on a version that is in force."""
+        """Halt, since the gateway cannot act on a version that is in force."""
         self.halt(f"version {version} cannot be loaded here: {why}")
 
     def on_validated(self, now_us: int, id: str, why: str) -> None:
-        """Whether the settings of a proposal could be loaded here; `why` not, or empty."""
+        """Report whether the settings of a proposal can be loaded here: `why` not, or empty if so."""
         requester = self.validating.pop(id, "")
         result = ValidationResult(id, why)
         if requester == self.id:
@@ -142,14 +142,14 @@
             self.send(requester, result)
 
     def take_actions(self) -> list[MemberAction]:
-        """What is to be done, once."""
+        """Return the pending actions and clear them."""
         actions, self.actions = self.actions, []
         return actions
 
     # Requests of operators and of other components
 
     def propose(self, now_us: int, proposal: ProposeVersion) -> None:
-        """Propose a version; `OutcomeKnown` tells what became of it. Repeated by its id, it is done once."""
+        """Propose a version; `OutcomeKnown` reports the outcome. Repeating it with the same id is safe."""
         outcome = self.state.outcomes.get(proposal.id)
         if outcome is not None:
             self.actions.append(OutcomeKnown(outcome))
@@ -160,29 +160,29 @@
             self.send(self.raft.leader, ForwardedProposal(proposal))
 
     def store_component_state(self, now_us: int, component: str, number: int, data: bytes) -> None:
-        """Propose the next state of another component, at the leader. It may be lost."""
+        """Propose the next state of another component, at the leader. The proposal may be lost."""
         if self.raft.is_established_leader and not self.halted:
             self.propose_command(now_us, StoreComponentState(component, number, data))
             self.carry_out_raft(now_us)
 
     def request_status(self, now_us: int) -> None:
-        """Ask the leader what it knows; `latest_status` has it then."""
+        """Request the status from the leader; it is stored in `latest_status`."""
         if self.raft.is_leader:
             self.latest_status = (now_us, self._status(now_us))
         elif self.raft.leader:
             self.send(self.raft.leader, StatusRequest())
 
     def request_change(self, now_us: int, request: ChangeMembers) -> None:
-        """Have a membership change begun; `OutcomeKnown` tells whether it is, or why not."""
+        """Request a membership change; `OutcomeKnown` reports whether it was begun, or why not."""
         if self.raft.is_leader:
             self._on_change_request(now_us, self.id, request)
         elif self.raft.leader:
             self.send(self.raft.leader, request)
 
     def change_members(self, now_us: int, name: str, action: str) -> None:
-        """Begin a membership change, at the leader; nothing happens where it is done already.
+        """Begin a membership change, at the leader; does nothing if the change is already made.
 
-        Raises MembershipChangeError.
+        Raises MembershipChangeError for a change that cannot be made, and at members that do not lead.
         """
         if not self.raft.is_established_leader:
             no_leader = "there is no leader"
@@ -192,10 +192,15 @@
         self.current_leadership(now_us).changes.begin(now_us, name, action)
 
     def force_single_member(self, now_us: int) -> None:
-        """This member alone is the group from now on. Raises MembershipChangeError."""
+        """Make this member the only member of the group.
+
+        Raises MembershipChangeError if it has contact with a leader or is not in the configuration.
+        """
         if self.lease_left_us(now_us) > 0 or not self.raft.force_single_member(now_us):
             raise MembershipChangeError("a leader is heard, or this member is none")
-        self.alert("BY FORCE this member alone is the group now: the others must be emptied")
+        self.alert(
+            "BY FORCE this is now the only member of the group: empty the data directories of the others"
+        )
         self.carry_out_raft(now_us)
 
     # Messages
@@ -243,7 +248,10 @@
             self.lead(now_us)
 
     def _on_lease_grant(self, now_us: int, sender: str, grant: LeaseGrant) -> None:
-        """A grant to an earlier process, or of an earlier leader, says nothing: its clock was another."""
+        """Apply a lease grant, unless it is from an earlier leader or for an earlier process.
+
+        An earlier process had another clock, so its grant has no meaning here.
+        """
         is_for_this_process = grant.incarnation == self.incarnation
         is_of_leader = grant.term >= self.raft.term and sender == self.raft.leader
         if is_for_this_process and is_of_leader:
@@ -255,7 +263,10 @@
             self.current_leadership(now_us).proposals.receive(now_us, origin, proposal)
 
     def _on_change_request(self, now_us: int, origin: str, request: ChangeMembers) -> None:
-        """A request is repeated until it is answered: one that was begun is not checked again."""
+        """Begin a requested membership change, unless an earlier copy of the request has begun it.
+
+        A member repeats its request until it is answered.
+        """
         if not self.raft.is_leader:
             return
         if request.id not in self._begun_changes:
@@ -279,26 +290,26 @@
     def _status(self, now_us: int) -> StatusResponse:
         return StatusResponse(self.raft.term, member_statuses(self, now_us))
 
-    # What follows from events
+    # After each event
 
     def _continue(self, now_us: int) -> None:
         self.carry_out_raft(now_us)
-        self._request_lease(now_us)  # at once where a version has arrived
+        self._request_lease(now_us)  # at once if a version has arrived
         self.lead(now_us)
 
     def lead(self, now_us: int) -> None:
-        """Do what is due as a leader; nothing at another member."""
+        """Carry out the duties of a leader that are due; does nothing at other members."""
         if self.raft.is_leader:
             self.current_leadership(now_us).step(now_us)
 
     def current_leadership(self, now_us: int) -> Leadership:
-        """The duties of the present term, at its leader."""
+        """Return the leader's duties in the current term."""
         if self.leadership is None or self.leadership.elected_us != self.raft.elected_us:
             self.leadership = Leadership(self)
         return self.leadership
 
     def carry_out_raft(self, now_us: int) -> None:
-        """Take over what Raft wants done, and act on what it has committed."""
+        """Carry out the actions of Raft, and apply what it has committed."""
         while self.raft.actions:
             actions, self.raft.actions = self.raft.actions, []
             for action in actions:
@@ -348,7 +359,7 @@
             self.actions.append(OutcomeKnown(outcome))
 
     def _report_versions(self) -> None:
-        """Have new versions loaded and reported, and compact the log where it has grown."""
+        """Have new versions loaded and reported, and compact the log if it has grown large."""
         acting, newest = self.state.acting, self.state.newest
         if acting.number > self._handed_over_version and not self.halted:
             self._handed_over_version = acting.number
@@ -357,7 +368,7 @@
             self._received_version = newest.number
             self.actions.append(VersionReceived(newest))
         if newest.number != self._requested_version:
-            self._request_lease_at_once()  # the leader waits to hear that it is here
+            self._request_lease_at_once()  # the leader waits until this member holds the version
         if self._compaction_is_due() and not self.halted:
             self.raft.compact(self.state.snapshot())
             self.carry_out_raft(self.now_us)
@@ -373,7 +384,7 @@
         self._lease_request_due_us = 0
 
     def _request_lease(self, now_us: int) -> None:
-        """Ask the leader for a lease when that is due."""
+        """Request a lease from the leader when that is due."""
         has_leader = bool(self.raft.leader) and not self.raft.is_leader
         if not has_leader or not self.is_member or self.halted or now_us < self._lease_request_due_us:
             return
@@ -390,7 +401,7 @@
         self.send(self.raft.leader, request)
 
     def _announce_changes(self, now_us: int) -> None:
-        """Tell people of a new leader and of a lease that ends or begins, once each."""
+        """Log each change of the leader, and of whether this member may act."""
         leader = self.leader_name
         if leader != self._announced_leader:
             self._announced_leader = leader
@@ -399,4 +410,4 @@
         acting = self.may_act(now_us)
         if acting != self._announced_acting and self.loaded_version:
             self._announced_acting = acting
-            self.alert("acts by the group" if acting else "HAS NO LEASE: serves nothing")
+            self.alert("may act on the version of the group" if acting else "HAS NO LEASE: serves nothing")
--- a/badgergap/consensus/member_actions.py
+++ b/badgergap/consensus/member_actions.py
@@ -1,4 +1,4 @@
-"""What a member wants done. Its driver carries these out in their order."""
+"""Actions that a member requests. The driver carries them out in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message once the write `after_token` is durable. `id` empty: to whoever has the name."""
+    """Send a message once the write `after_token` is durable. Empty `id`: to any identity with the name."""
 
     name: str
     id: str
@@ -21,21 +21,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadVersion:
-    """Act on this version from now on; `Member.on_loaded` reports when that is so."""
+    """Load a version and act on it; `Member.on_loaded` reports completion."""
 
     content: VersionContent
 
 
 @dataclass(frozen=True, slots=True)
 class VersionReceived:
-    """The newest version, in force or not. What it takes out may be left alone at once: that does less."""
+    """The newest version was received, in force or not.
+
+    Its drains may take effect at once, since they only make the gateway use fewer endpoints.
+    """
 
     content: VersionContent
 
 
 @dataclass(frozen=True, slots=True)
 class ValidateLocally:
-    """See whether these settings could be loaded here; `Member.on_validated` reports it."""
+    """Check whether settings can be loaded here; `Member.on_validated` reports the result."""
 
     id: str
     settings: str
@@ -43,19 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposeFirstVersion:
-    """The group has no version yet, and this member leads: propose its own settings."""
+    """Propose this member's own settings as the first version: it leads, and there is no version yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeKnown:
-    """What became of a proposal or a membership change is known here."""
+    """The outcome of a proposal or a membership change is known."""
 
     outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverToComponent:
-    """A message for another component, from the same one at the member of that name."""
+    """Deliver a message to a component, from the same component at the member `name`."""
 
     name: str
     component: str
@@ -64,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Alert:
-    """A line for the log and for people. Given once for each change."""
+    """Write a log line for the operator, once for each change."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reincarnate:
-    """The folder must not be used further: set it aside and begin anew, under another identity."""
+    """Move the data directory aside and start with an empty one, under a new identity."""
 
     why: str
 
--- a/badgergap/consensus/member_core.py
+++ b/badgergap/consensus/member_core.py
@@ -1,4 +1,4 @@
-"""The state that all parts of a member share, and the right to act that follows from it. Pure."""
+"""The state that all parts of a member share, and whether it may act. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class MemberCore(ABC):
-    """Raft, the agreed state and the lease of one member. `actions` is what its driver carries out next."""
+    """Raft, the agreed state and the lease of one member. Its driver carries out `actions` next."""
 
-    raft_class: type[Raft] = Raft  # tests put one in its place that lacks a guard
+    raft_class: type[Raft] = Raft  # tests replace it with one that lacks a safeguard
     lease_class: type[Lease] = Lease
     grantor_class: type[LeaseGrantor] = LeaseGrantor
 
@@ -39,9 +39,9 @@
         random: random.Random,
         incarnation: int = 1,
     ) -> None:
-        """`incarnation`: more than that of any process with this identity before; it is counted on the disk.
+        """Start from the state on disk. Raises UnreadableRecordError for a snapshot of a later release.
 
-        Raises UnreadableRecordError for a snapshot of a later release.
+        `incarnation`: higher than in any earlier process with this identity; the counter is kept on disk.
         """
         self.settings = settings
         self.id = id
@@ -52,29 +52,29 @@
         if persistent.snapshot is not None:
             self.state.restore(persistent.snapshot.state)
         self.lease = self.lease_class(0)
-        self.leadership: Leadership | None = None  # of the newest term that this member has led
-        self.halted = ""  # why this member can go no further; it never acts then
-        self.rejected = ""  # why it was not admitted to the group
-        self.loaded_version = NO_VERSION  # what the gateway acts on
-        self.names: OrderedDict[str, str] = OrderedDict()  # by identity, as they said themselves
-        self.validating: dict[str, str] = {}  # proposals to be validated here, and who asks
+        self.leadership: Leadership | None = None  # of the newest term in which this member led
+        self.halted = ""  # why this member has stopped for good, and never acts; empty if it has not
+        self.rejected = ""  # why the leader did not admit this member; empty if it did
+        self.loaded_version = NO_VERSION  # the version that the gateway acts on
+        self.names: OrderedDict[str, str] = OrderedDict()  # names by identity, as senders give them
+        self.validating: dict[str, str] = {}  # proposals to validate here, and the requesting members
         self.actions: list[MemberAction] = []
 
     # Implemented by Member
 
     @abstractmethod
     def carry_out_raft(self, now_us: int) -> None:
-        """Take over what Raft wants done, and act on what it has committed."""
+        """Carry out the actions of Raft, and apply what it has committed."""
 
     @abstractmethod
     def lead(self, now_us: int) -> None:
-        """Do what is due as a leader."""
+        """Carry out the duties of a leader that are due."""
 
     @abstractmethod
     def current_leadership(self, now_us: int) -> Leadership:
-        """The duties of the present term, at its leader."""
+        """Return the leader's duties in the current term."""
 
-    # Who is who
+    # Members and names
 
     @property
     def leader_name(self) -> str:
@@ -83,24 +83,24 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether the newest configuration in the log has this member."""
+        """Whether this member is in the newest configuration in the log."""
         return self.has_member(self.id)
 
     def has_member(self, id: str) -> bool:
-        """Whether the newest configuration in the log has this identity."""
+        """Whether an identity is in the newest configuration in the log."""
         return any(peer.id == id for peer in self.raft.log.configuration)
 
     def name_of(self, id: str) -> str:
-        """The name of an identity; empty if it is not known."""
+        """Return the name of an identity; empty if it is not known."""
         for peer in self.raft.log.configuration:
             if peer.id == id:
                 return peer.name
         return self.names.get(id, "")
 
-    # The right to act
+    # Whether the member may act
 
     def may_act(self, now_us: int) -> bool:
-        """Whether requests may be taken and sent under the version that is loaded. To be asked each time."""
+        """Whether requests may be accepted and sent under the loaded version. Check before each one."""
         if self.halted or self.loaded_version == NO_VERSION:
             return False
         if self.settings.alone_serves:
@@ -108,51 +108,52 @@
         return self.lease_left_us(now_us) > 0 and self.loaded_version >= self.minimum_version()
 
     def lease_left_us(self, now_us: int) -> int:
-        """How long the lease still lasts; a leader's from the last moment at which it certainly was one."""
+        """Return the time until the lease ends; a leader's lease starts when it was last confirmed."""
         if self.raft.is_established_leader:
             end_us = self.raft.confirmed_us(now_us) + self.lease.duration_us
             return max(0, end_us - now_us)
         return self.lease.left_us(now_us)
 
     def minimum_version(self) -> int:
-        """The version that must be loaded to act under the lease."""
+        """Return the version that must be loaded to act under the lease."""
         if self.raft.is_established_leader:
             return self.state.acting.number
         return self.lease.minimum_version
 
     def set_lease_duration(self) -> None:
-        """Leases are as long as the group was founded with, whatever this member's file says.
+        """Set the lease duration from the bound that the group was founded with, not from the settings file.
 
-        Else one with a longer time in its file would still act when its leader takes its lease for over.
+        Otherwise a member with a longer time in its file would still act after its leader counts its lease
+        as ended.
         """
         own, agreed = self.settings.contradiction_us, self.state.contradiction_us
         self.lease.duration_us = lease_duration_us(agreed or own)
         if agreed and agreed != own:
             self.alert(f"group.contradiction is {agreed / 1e6:g} s since the founding, not {own / 1e6:g} s")
 
-    # What is to be done
+    # Actions
 
     def send(self, id: str, message: Message, name: str = "") -> None:
-        """Send a message to an identity; `name` where it is no member."""
+        """Send a message to an identity; `name` is needed if its name is not known."""
         self.actions.append(Send(name or self.name_of(id), id, message))
 
     def alert(self, text: str) -> None:
-        """Tell people."""
+        """Write a line to the log for the operator."""
         self.actions.append(Alert(text))
 
     def halt(self, why: str) -> None:
-        """Go no further, and act no more."""
+        """Stop for good, without acting any more."""
         if not self.halted:
             self.halted = why
             self.lease.drop()
             self.alert(f"this member can go no further and serves nothing: {why}")
 
     def propose_command(self, now_us: int, command: Command) -> None:
-        """Add a command to the log, at the leader."""
+        """Add a command to the log; has no effect unless this member leads."""
         self.raft.propose(now_us, "data", versions.encode_command(command))
 
     def report_outcome(self, origin: str, outcome: Outcome) -> None:
-        """Tell the member that asked what became of its request."""
+        """Send the outcome of a request to the member that made it."""
         if origin == self.id:
             self.actions.append(OutcomeKnown(outcome))
         else:
--- a/badgergap/consensus/member_messages.py
+++ b/badgergap/consensus/member_messages.py
@@ -1,7 +1,7 @@
-"""What members of a group send each other beside the messages of Raft.
+"""The messages between members of a group, other than those of Raft.
 
-On the wire a message is its tag and its fields in their order: the names here may change, tags and order may
-not.
+A message is encoded as its tag and its fields in order: names may change here, tags and the order of fields
+may not.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """A member that is in no group, or may have been removed, introduces itself.
+    """Announces a member that is in no group, or may have been removed.
 
-    `group`: the one that it belongs to; empty: none yet, its folder is new.
+    `group`: the group that it belongs to; empty if its data directory is new.
     """
 
     zone: str
@@ -30,7 +30,7 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """A member asks its leader for a lease. `incarnation`: of the process whose clock `sent_at_us` is of."""
+    """A request to the leader for a lease. `sent_at_us` is by the clock of the process `incarnation`."""
 
     incarnation: int
     term: int
@@ -41,24 +41,24 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="grant"):
-    """The leader's answer. Without `minimum_version` in force there, the member may not act under it."""
+    """The leader's response. It permits to act only with `minimum_version` or a later one loaded."""
 
     incarnation: int
     term: int
-    sent_at_us: int  # of the request
+    sent_at_us: int  # copied from the request
     minimum_version: int
 
 
 class ForwardedProposal(msgspec.Struct, frozen=True, array_like=True, tag="wish"):
-    """A proposal on its way to the leader."""
+    """A proposal forwarded to the leader."""
 
     proposal: ProposeVersion
 
 
 class ChangeMembers(msgspec.Struct, frozen=True, array_like=True, tag="steer"):
-    """A membership change on its way to the leader.
+    """A request to the leader for a membership change. `action`: "add", "remove" or "replace".
 
-    `RequestOutcome` answers it, with a version if it was begun. `action`: "add", "remove", "replace".
+    The response is a `RequestOutcome`, with a non-zero version if the change was begun.
     """
 
     id: str
@@ -67,53 +67,53 @@
 
 
 class RequestOutcome(msgspec.Struct, frozen=True, array_like=True, tag="lost"):
-    """What became of a proposal before it was in the log, or of a membership change."""
+    """The outcome of a membership change, or of a proposal that was not added to the log."""
 
     outcome: Outcome
 
 
 class ValidateSettings(msgspec.Struct, frozen=True, array_like=True, tag="check"):
-    """Could these settings be loaded there?"""
+    """Requests the receiver to check whether it can load the settings of a proposal."""
 
     id: str
     settings: str
 
 
 class ValidationResult(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
-    """Why the settings cannot be loaded; empty: they can."""
+    """The response: `why` the settings cannot be loaded, or empty if they can."""
 
     id: str
     why: str
 
 
 class StatusRequest(msgspec.Struct, frozen=True, array_like=True, tag="look"):
-    """Asks the leader what it knows of the members."""
+    """Requests the status of all members from the leader."""
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One member, as the leader knows it."""
+    """The status of one member, as recorded by the leader."""
 
     name: str
     id: str
     zone: str
     votes: bool
     role: str  # "leader", "voter" or "learner"
-    newest_version: int  # that it holds
+    newest_version: int  # the newest version that it holds
     acting_version: int
-    lease_ms: int  # left
-    last_contact_ms: int  # ago; -1: not since the leader began
+    lease_ms: int  # until the lease ends
+    last_contact_ms: int  # time since the last contact; -1: none since the leader was elected
     log_bytes: int
 
 
 class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="looked"):
-    """All members, as the leader of a term knows them."""
+    """The status of all members, as recorded by the leader of `term`."""
 
     term: int
     members: tuple[MemberStatus, ...]
 
 
 class ComponentMessage(msgspec.Struct, frozen=True, array_like=True, tag="carried"):
-    """A message of another component to the same one at another member."""
+    """A message from a component to the same component at another member."""
 
     component: str
     data: bytes
--- a/badgergap/consensus/membership_changes.py
+++ b/badgergap/consensus/membership_changes.py
@@ -1,4 +1,7 @@
-"""Changes of members that an operator asks for, carried out by the leader a step at a time. Pure."""
+"""Membership changes requested by an operator, which the leader carries out step by step.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,19 +16,19 @@
 from badgergap.consensus.member_core import MemberCore
 from badgergap.consensus.versions import BanMember
 
-CONTACT_TIMEOUT_US = 300_000  # three heartbeats: who had contact within it is reachable
+CONTACT_TIMEOUT_US = 300_000  # three heartbeats: a member with contact within it is reachable
 
 
 @dataclass(slots=True)
 class MembershipChange:
-    """One change under way. `action`: "remove", "vote" or "replace"; "replace" ends as "vote"."""
+    """A change in progress. `action`: "remove", "vote" or "replace"; "replace" ends as "vote"."""
 
     name: str
     action: str
 
 
 class MembershipChanges:
-    """The changes that one leader has begun, in their order."""
+    """The changes that one leader has begun, in order."""
 
     def __init__(self, member: MemberCore, grantor: LeaseGrantor) -> None:
         self.member = member
@@ -33,9 +36,9 @@
         self.pending: list[MembershipChange] = []
 
     def begin(self, now_us: int, name: str, action: str) -> None:
-        """Begin "add", "remove" or "replace"; nothing happens where it is done already.
+        """Begin "add", "remove" or "replace"; does nothing if the change is already made.
 
-        Raises MembershipChangeError.
+        Raises MembershipChangeError for a change that cannot be made.
         """
         member = self.member
         peers = [peer for peer in member.raft.log.configuration if peer.name == name]
@@ -44,7 +47,7 @@
             return
         self._check(name, action, peers)
         if action == "add" and all(peer.votes for peer in peers):
-            return  # admitted a moment ago, it may vote before the command is repeated
+            return  # a repeated command, and the member has become a voter in the meantime
         if not any(change.name == name for change in self.pending):
             self.pending.append(MembershipChange(name, "vote" if action == "add" else action))
         if action == "remove" and name not in member.state.banned:
@@ -66,14 +69,14 @@
             raise MembershipChangeError(message)
 
     def step(self, now_us: int) -> None:
-        """Take the next step of the first change, once the step before it is committed."""
+        """Take the next step of the first change, after the previous step is committed."""
         configuration = self.member.raft.committed_configuration
         if not self.pending or configuration is None:
             return
         change = self.pending[0]
         peers = [peer for peer in configuration if peer.name == change.name]
         if change.action == "replace" and len(peers) == 1:
-            change.action = "vote"  # the old one has been removed
+            change.action = "vote"  # the old identity has been removed
         removed = self._next_removed(change, peers)
         if removed is not None:
             self._remove(now_us, configuration, removed)
@@ -92,19 +95,20 @@
         return None
 
     def _remove(self, now_us: int, configuration: Configuration, peer: Peer) -> None:
-        """Remove a member, as soon as that is safe.
+        """Remove a member as soon as that is safe.
 
-        Nobody is removed who could still act: whoever leads next would not know of its lease. Nor while
-        those who would be left could commit nothing, this change included: that could not be undone.
+        A member that may still hold a lease is not removed: the next leader would have no record of that
+        lease. Nor is one removed while the remaining voters could not commit anything, this change included:
+        that could not be undone.
         """
         self.grantor.leaving.add(peer.id)
-        can_act_no_more = peer.id == self.member.id or self.grantor.is_over(now_us, peer.id)
+        lease_is_over = peer.id == self.member.id or self.grantor.is_over(now_us, peer.id)
         voters_left = [other.id for other in configuration if other.votes and other.id != peer.id]
-        if can_act_no_more and self._could_commit(now_us, voters_left):
+        if lease_is_over and self._could_commit(now_us, voters_left):
             self.configure(now_us, tuple(other for other in configuration if other.id != peer.id))
 
     def _promote(self, now_us: int, configuration: Configuration, learner: Peer) -> None:
-        """Make a learner a voter, once it has all that is committed."""
+        """Make a learner a voter once it holds all committed entries."""
         progress = self.member.raft.progress.get(learner.id)
         if progress is None or progress.match_index < self.member.raft.commit_index:
             return
@@ -112,7 +116,7 @@
         self.configure(now_us, tuple(voter if peer.id == learner.id else peer for peer in configuration))
 
     def _could_commit(self, now_us: int, voters: list[str]) -> bool:
-        """Whether a majority of these is in contact at this moment."""
+        """Whether a majority of `voters` is reachable now."""
         reachable = [voter for voter in voters if self._is_in_contact(now_us, voter)]
         return len(reachable) >= majority(len(voters))
 
@@ -123,6 +127,6 @@
         return progress is not None and now_us - progress.last_contact_us < CONTACT_TIMEOUT_US
 
     def configure(self, now_us: int, configuration: Iterable[Peer]) -> None:
-        """Propose a configuration, where one may be changed now."""
+        """Propose a configuration; has no effect while the configuration cannot be changed."""
         self.member.raft.propose(now_us, "config", encode_configuration(configuration))
         self.member.carry_out_raft(now_us)
--- a/badgergap/consensus/proposals.py
+++ b/badgergap/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals at the leader: checked, validated by the members, and then added to the log. Pure."""
+"""Proposals at the leader: checked, validated by the members, then added to the log. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from badgergap.consensus.settings_text import decode_endpoint_list, decode_tables
 from badgergap.consensus.versions import Outcome, ProposeVersion
 
-VALIDATION_TIMEOUT_US = 2_000_000  # for the members to say whether they can load a version
-RECENT_CONTACT_US = 1_000_000  # who had contact within it is asked
-OPEN_LIMIT = 64  # proposals that wait for the members' answers
+VALIDATION_TIMEOUT_US = 2_000_000  # for the members to validate settings
+RECENT_CONTACT_US = 1_000_000  # members with contact within it validate settings
+OPEN_LIMIT = 64  # proposals that wait for validation
 
 
 @dataclass(slots=True)
 class OpenProposal:
-    """A proposal that waits for the members' answers."""
+    """A proposal that waits for the members' validation results."""
 
     proposal: ProposeVersion
     origin: str  # the identity of the member that it came from
     since_us: int
-    unanswered: set[str]  # identities
+    unanswered: set[str]  # identities of the validators without a result
     contradicts: bool
     accepted: int = 0
 
@@ -43,7 +43,7 @@
         self.open: dict[str, OpenProposal] = {}  # by the id of the proposal
 
     def receive(self, now_us: int, origin: str, proposal: ProposeVersion) -> None:
-        """A proposal of the member with the identity `origin`. One that is known already is ignored."""
+        """Handle a proposal from the member with the identity `origin`; a known one is ignored."""
         member = self.member
         is_known = proposal.id in member.state.outcomes or proposal.id in self.open
         if not member.raft.is_established_leader or is_known:
@@ -65,7 +65,7 @@
         member.actions.append(ValidateLocally(proposal.id, proposal.body))
 
     def _check(self, proposal: ProposeVersion) -> bool:
-        """Whether it contradicts the newest version. Raises ProposalError."""
+        """Return whether a proposal contradicts the newest version. Raises ProposalError if invalid."""
         self.member.state.check_proposal(proposal)
         if len(self.open) >= OPEN_LIMIT:
             raise ProposalError(f"{OPEN_LIMIT} proposals wait already")
@@ -79,7 +79,7 @@
             raise ProposalError(f"it cannot be read: {error}") from None
 
     def _validators(self, now_us: int) -> set[str]:
-        """Who says whether it can load the settings: this member, and all that had contact just now."""
+        """Return the identities that validate settings: this member, and all with recent contact."""
         reachable = {
             id
             for id, record in self.grantor.records.items()
@@ -89,7 +89,7 @@
         return (reachable & members) | {self.member.id}
 
     def on_validated(self, now_us: int, sender: str, result: ValidationResult) -> None:
-        """A member's answer."""
+        """Record a member's validation result."""
         opened = self.open.get(result.id)
         if opened is None or sender not in opened.unanswered:
             return
@@ -104,17 +104,20 @@
             self._close(result.id, opened, now_us)
 
     def close_overdue(self, now_us: int) -> None:
-        """Decide on proposals whose time for answers is over."""
+        """Decide on proposals whose validation has timed out."""
         for id, opened in list(self.open.items()):
             if now_us - opened.since_us > VALIDATION_TIMEOUT_US:
                 self._close(id, opened, now_us)
 
     def forget(self, id: str) -> None:
-        """The outcome of a proposal is known."""
+        """Drop a proposal whose outcome is known."""
         self.open.pop(id, None)
 
     def _close(self, id: str, opened: OpenProposal, now_us: int) -> None:
-        """Add it if all who were asked accept it, or a majority has once their time is over."""
+        """Add the proposal to the log if all validators accepted it, or a majority did before the timeout.
+
+        Otherwise it is refused.
+        """
         member = self.member
         needed = majority(len(member.raft.log.voters))
         if opened.unanswered and opened.accepted < needed:
@@ -129,7 +132,7 @@
         del self.open[id]
 
     def _contradicts_now(self, opened: OpenProposal) -> bool:
-        """Another version may have come in between: then it is compared with that one."""
+        """Whether the proposal contradicts the newest version, which may be newer than at its arrival."""
         if opened.proposal.kind not in ("settings", "list"):
             return opened.contradicts
         return bool(contradictions(self.member.state, opened.proposal))
@@ -139,7 +142,10 @@
 
 
 def contradictions(state: GroupState, proposal: ProposeVersion) -> list[str]:
-    """Where a proposal contradicts the newest version, in words. Raises msgspec.MsgspecError."""
+    """Describe where a proposal contradicts the newest version.
+
+    Raises msgspec.MsgspecError if a version cannot be decoded.
+    """
     newest = state.newest
     if proposal.kind == "list":
         older, newer = decode_endpoint_list(newest.endpoint_list), decode_endpoint_list(proposal.body)
