--- a/tests/consensus/guards.py
+++ b/tests/consensus/guards.py
@@ -1,7 +1,7 @@
-"""Each guard of the group, taken out: what a schedule must then find, and the seed that finds it.
+"""The safeguards of the group, each with a variant without it and a seed whose schedule detects that.
 
-A guard is taken out by overriding the one place that holds it, or by a world that does not keep a promise
-of the driver (`service.py`) or of the store.
+A safeguard is removed by overriding the method that implements it, or by a world that breaks a guarantee of
+the driver (`service.py`) or of the store.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from badgergap.consensus.raft_messages import RequestVote, RequestVoteResponse
 from tests.consensus.simulation import (
     Node,
-    Recorded,
+    RecordingMember,
     Schedule,
     Violation,
     World,
@@ -44,7 +44,7 @@
         return True
 
 
-class CountsEarlierTerms(Raft):
+class CommitsEarlierTerms(Raft):
     def _may_commit(self, index: int) -> bool:
         return True
 
@@ -54,30 +54,30 @@
         return True
 
 
-class BelievesItself(Raft):
-    """A leader takes itself for one without a majority's word, and never steps down."""
+class AlwaysConfirmed(Raft):
+    """A leader that counts as confirmed without a majority, and never steps down."""
 
     def confirmed_us(self, now_us: int) -> int:
         return now_us
 
 
-class SettledAtOnce(Raft):
+class EstablishedAtOnce(Raft):
     @property
     def is_established_leader(self) -> bool:
         return self.is_leader
 
 
-class FromArrival(Lease):
+class LeaseFromArrival(Lease):
     def extend(self, now_us: int, sent_at_us: int, minimum_version: int) -> None:
         super().extend(now_us, now_us, minimum_version)
 
 
-class NoFloor(Recorded):
+class NoMinimumVersion(RecordingMember):
     def minimum_version(self) -> int:
         return 0
 
 
-class NewLeaderWaitsForNobody(LeaseGrantor):
+class NewLeaderIgnoresEarlierLeases(LeaseGrantor):
     def record(self, id: str) -> MemberRecord:
         is_known = id in self.records
         record = super().record(id)
@@ -86,25 +86,25 @@
         return record
 
 
-class WaitsForNobody(LeaseGrantor):
+class EnforcesAtOnce(LeaseGrantor):
     def members_behind(self, now_us: int, version: int, members: Iterable[str]) -> list[str]:
         return []
 
 
-class LooksAtTicks(Recorded):
-    """The lease is looked at now and then, and not before each act."""
+class ChecksLeaseOnTick(RecordingMember):
+    """Checks the lease on ticks only, not before each request."""
 
-    held = False
+    may_act_at_tick = False
 
     def tick(self, now_us: int) -> None:
         super().tick(now_us)
-        self.held = super().may_act(now_us)
+        self.may_act_at_tick = super().may_act(now_us)
 
     def may_act(self, now_us: int) -> bool:
-        return self.held and not self.halted and self.loaded_version > 0
+        return self.may_act_at_tick and not self.halted and self.loaded_version > 0
 
 
-class WordsBeforeDisk(World):
+class SendsBeforeDurable(World):
     def settle(self, node: Node) -> None:
         assert node.member is not None
         for number, action in enumerate(node.member.actions):
@@ -113,14 +113,14 @@
         super().settle(node)
 
 
-class ForgetsItsVote(Raft):
+class ForgetsVote(Raft):
     def __init__(self, id: str, persistent: PersistentState, now_us: int, random: Random) -> None:
         persistent.voted_for = ""
         super().__init__(id, persistent, now_us, random)
 
 
-class EmptyAndTheSame(World):
-    """A member whose folder is gone goes on as who it was."""
+class WipedKeepsIdentity(World):
+    """A member keeps its identity after its data directory is wiped."""
 
     def wipe(self, node: Node) -> None:
         id = node.id
@@ -128,70 +128,93 @@
         node.id = id
 
 
-class CopiesUnseen(World):
-    """A folder that was put back passes for the one that was written."""
+class RestoresUndetected(World):
+    """The store does not detect that a data directory was replaced by an earlier copy."""
 
     def __init__(self, *arguments: object, **named: object) -> None:
         super().__init__(*arguments, **named)  # type: ignore[arg-type]
-        self.restores_seen = False
+        self.detects_restores = False
 
 
-def _kind(
+def _member_class(
     raft_class: type[Raft] = Raft,
     lease_class: type[Lease] = Lease,
     grantor_class: type[LeaseGrantor] = LeaseGrantor,
-) -> type[Recorded]:
+) -> type[RecordingMember]:
     classes = {"raft_class": raft_class, "lease_class": lease_class, "grantor_class": grantor_class}
-    return type("Unguarded", (Recorded,), classes)
+    return type("Unguarded", (RecordingMember,), classes)
 
 
 @dataclass(frozen=True)
 class Guard:
     name: str
-    seed: int  # the first that found it, of those from 0 on
+    seed: int  # the lowest seed that detects it
     voters: int
-    finds: str  # part of what is then said
+    expected: str  # a part of the message of the Violation
     play: Schedule = play
-    kind: type[Recorded] = Recorded
-    world: Callable[..., World] = World
+    member_class: type[RecordingMember] = RecordingMember
+    world_class: Callable[..., World] = World
 
     def search(self, most: int = 60) -> tuple[int, Violation]:
-        """The first seed that finds it, the known one first. Raises LookupError."""
+        """Return a seed that detects the missing safeguard, and the Violation; tries the known seed first.
+
+        Raises LookupError if no seed below `most` detects it.
+        """
         for seed in (self.seed, *range(most)):
             try:
-                self.play(seed, self.voters, 0, kind=self.kind, world_of=self.world)
+                self.play(seed, self.voters, 0, member_class=self.member_class, world_class=self.world_class)
             except Violation as found:
-                if self.finds in str(found):
+                if self.expected in str(found):
                     return seed, found
-        raise LookupError(f"no seed under {most} finds that {self.name!r} is missing")
+        raise LookupError(f"no seed below {most} detects that {self.name!r} is missing")
 
 
-LOST, TWO, AHEAD = "was another elsewhere", "two leaders", "and knows no"
+ENTRY_DIFFERS, TWO_LEADERS, ACTS_AHEAD = "but differs at another member", "two leaders", "and lacks"
 
 GUARDS = (
-    Guard("one vote a term", 0, 5, TWO, play_elections, _kind(VotesTwice)),
-    Guard("votes go to logs that hold as much", 2, 5, LOST, play_elections, _kind(VotesForAnyLog)),
-    Guard("words wait for the disk", 7, 3, LOST, play_losses, world=WordsBeforeDisk),
+    Guard("one vote per term", 0, 5, TWO_LEADERS, play_elections, _member_class(VotesTwice)),
+    Guard(
+        "votes only for up-to-date logs", 2, 5, ENTRY_DIFFERS, play_elections, _member_class(VotesForAnyLog)
+    ),
+    Guard(
+        "messages wait for durable writes", 7, 3, ENTRY_DIFFERS, play_losses, world_class=SendsBeforeDurable
+    ),
     Guard(
-        "a new leader waits for leases of before",
+        "a new leader waits for earlier leases",
+        3,
         3,
+        ACTS_AHEAD,
+        play_cuts,
+        _member_class(grantor_class=NewLeaderIgnoresEarlierLeases),
+    ),
+    Guard(
+        "a wiped member gets a new identity", 0, 3, ENTRY_DIFFERS, play_losses, world_class=WipedKeepsIdentity
+    ),
+    Guard(
+        "a restored copy gets a new identity",
+        0,
+        3,
+        ENTRY_DIFFERS,
+        play_losses,
+        world_class=RestoresUndetected,
+    ),
+    Guard("a leader is confirmed by a majority", 0, 5, ACTS_AHEAD, play_cuts, _member_class(AlwaysConfirmed)),
+    Guard(
+        "a lease runs from its request",
+        39,
         3,
-        AHEAD,
+        ACTS_AHEAD,
         play_cuts,
-        _kind(grantor_class=NewLeaderWaitsForNobody),
+        _member_class(lease_class=LeaseFromArrival),
     ),
-    Guard("an emptied member is another", 0, 3, LOST, play_losses, world=EmptyAndTheSame),
-    Guard("a copy put back is another", 0, 3, LOST, play_losses, world=CopiesUnseen),
-    Guard("a leader is confirmed by a majority", 0, 5, AHEAD, play_cuts, _kind(BelievesItself)),
-    Guard("a lease runs from its question", 39, 3, AHEAD, play_cuts, _kind(lease_class=FromArrival)),
-    Guard("a lease has a floor", 1, 5, AHEAD, play_cuts, NoFloor),
+    Guard("a lease has a minimum version", 1, 5, ACTS_AHEAD, play_cuts, NoMinimumVersion),
     Guard(
-        "all who act have it before it is in force",
+        "members that act hold a version before it is enforced",
         0,
         3,
-        AHEAD,
+        ACTS_AHEAD,
         play_cuts,
-        _kind(grantor_class=WaitsForNobody),
+        _member_class(grantor_class=EnforcesAtOnce),
     ),
-    Guard("the lease is looked at before each act", 5, 3, AHEAD, play_cuts, LooksAtTicks),
+    Guard("the lease is checked before each request", 5, 3, ACTS_AHEAD, play_cuts, ChecksLeaseOnTick),
 )
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -1,7 +1,8 @@
-"""A group in simulated time: the real members on a network, disks and clocks that fail by a seed.
+"""Simulates a group: the real members, with a network, disks and clocks that fail as a seed determines.
 
-One schedule is a world, a seed and so many seconds of faults, then a time of calm in which all must agree
-again. What is checked is in `Checks`; the first thing found wrong raises `Violation` with seed and time.
+A schedule runs a world with a seed through some seconds of faults, and then a period without faults in which
+all members must agree again. `Checks` holds the checks; the first failed one raises `Violation` with the seed
+and the time.
 """
 
 from __future__ import annotations
@@ -44,8 +45,8 @@
     pass
 
 
-class Recorded(Member):
-    """Shows the checks what it applies."""
+class RecordingMember(Member):
+    """A member that reports each entry that it applies."""
 
     applied: Callable[[LogEntry], None] = staticmethod(lambda entry: None)
 
@@ -55,17 +56,19 @@
 
 
 class Disk:
-    """Saves become durable in their order, a while after they are made. A crash loses those that are not,
-    but for as many of the first of them as chance leaves."""
+    """A disk whose writes become durable in order, after a delay.
+
+    A crash keeps a random number of the first pending writes and loses the others.
+    """
 
     def __init__(self) -> None:
         self.durable = PersistentState()
-        self.waiting: list[Persist] = []
+        self.pending: list[Persist] = []
 
     def crash(self, random: random.Random) -> None:
-        for save in self.waiting[: random.randrange(len(self.waiting) + 1)]:
-            self.durable.apply(save)
-        self.waiting.clear()
+        for write in self.pending[: random.randrange(len(self.pending) + 1)]:
+            self.durable.apply(write)
+        self.pending.clear()
 
 
 @dataclass(eq=False)
@@ -76,22 +79,24 @@
     offset_us: int
     id: str
     disk: Disk = field(default_factory=Disk)
-    member: Recorded | None = None
-    stopped_until: int = 0
-    inbox: list[Callable[[], None]] = field(default_factory=list)  # what comes while it is stopped
-    copy: tuple[str, PersistentState] | None = None  # of its folder, from before
+    member: RecordingMember | None = None
+    stalled_until: int = 0
+    inbox: list[Callable[[], None]] = field(default_factory=list)  # events that arrive while it is stalled
+    backup: tuple[str, PersistentState] | None = (
+        None  # identity and state of an earlier copy of its data directory
+    )
     slow_disk: bool = False
-    life: int = 0  # of its process: what was under way for an earlier one is lost
-    held: list[Send] = field(default_factory=list)  # rely on saves that are not done
+    incarnation: int = 0  # of its process: events for an earlier process are dropped
+    unsent: list[Send] = field(default_factory=list)  # messages that wait for writes to become durable
 
 
 @dataclass
 class Client:
-    """Publishes one thing, asking again until it knows what became of it."""
+    """Proposes one version, and repeats the proposal until the outcome is known."""
 
-    command: ProposeVersion
+    proposal: ProposeVersion
     node: Node
-    until: int
+    deadline_us: int
 
 
 class Checks:
@@ -111,9 +116,9 @@
     def applied(self, now: int, node: Node, entry: LogEntry) -> None:
         found = (entry.term, entry.kind, entry.data)
         if self.entries.setdefault(entry.index, found) != found:
-            self.fail(now, f"entry {entry.index} is {found} at {node.name}, and was another elsewhere")
+            self.fail(now, f"entry {entry.index} is {found} at {node.name}, but differs at another member")
 
-    def look(self, now: int, node: Node) -> None:
+    def check_member(self, now: int, node: Node) -> None:
         member = node.member
         if member is None:
             return
@@ -123,8 +128,8 @@
         if newest.number and self.digests.setdefault(newest.number, newest.digest()) != newest.digest():
             self.fail(now, f"version {newest.number} is not the same everywhere")
 
-    def acting(self, now: int, acting: dict[str, tuple[int, Member]]) -> None:
-        """Who acts on which version now."""
+    def check_acting(self, now: int, acting: dict[str, tuple[int, Member]]) -> None:
+        """Check the versions that members act on now; `acting` has the members that may act."""
         found = set()
         if len({version for version, _ in acting.values()}) > 1:
             for (a, (one, _)), (b, (other, member)) in itertools.combinations(acting.items(), 2):
@@ -137,8 +142,8 @@
                     found.add((a, b))
                     slow = acting[a][1] if one == low else member
                     if slow.state.newest.number < barrier:
-                        # Whoever does not know of it must have stopped before anybody goes on.
-                        self.fail(now, f"{a}, {b}: one acts on {high}, one on {low} and knows no {barrier}")
+                        # A member that lacks the version must stop acting before any other acts on it.
+                        self.fail(now, f"{a}, {b}: one acts on {high}, one on {low} and lacks {barrier}")
         for pair in found:
             since = self.overlap_since.setdefault(pair, now)
             self.longest_us = max(self.longest_us, now - since)
@@ -154,7 +159,7 @@
 
 
 class Timed:
-    """Simulated time, and what happens in it, in order."""
+    """Simulated time, and the queue of events in order."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -176,15 +181,19 @@
 
 class World(Timed):
     def __init__(
-        self, seed: int, voters: int = 3, learners: int = 0, member: type[Recorded] = Recorded
+        self,
+        seed: int,
+        voters: int = 3,
+        learners: int = 0,
+        member_class: type[RecordingMember] = RecordingMember,
     ) -> None:
         super().__init__()
         self.random = random.Random(seed)
-        self.kind = member
+        self.member_class = member_class
         self.checks = Checks(seed)
         self.cuts: set[tuple[str, str]] = set()
-        self.loss, self.slow_us, self.twice = 0.0, 5 * MS, 0.0
-        self.restores_seen = True  # a folder that was put back is known to be one
+        self.loss, self.slow_us, self.duplication = 0.0, 5 * MS, 0.0
+        self.detects_restores = True  # whether the store detects a restored data directory
         self.clients: dict[str, Client] = {}
         self.ids, self.messages, self.bytes = 0, 0, 0
         names = [f"v{n}" for n in range(voters)] + [f"z{n:03}" for n in range(learners)]
@@ -215,37 +224,37 @@
     # A node's process
 
     def boot(self, node: Node) -> None:
-        node.life += 1
-        node.held, node.stopped_until = [], 0
-        member = self.kind(
+        node.incarnation += 1
+        node.unsent, node.stalled_until = [], 0
+        member = self.member_class(
             node.settings,
             node.id,
             copy.deepcopy(node.disk.durable),
             self.local(node),
             random.Random(self.random.random()),
-            node.life,
+            node.incarnation,
         )
         node.member = member
         # Type: ignore[method-assign].
         member.applied = lambda entry: self.checks.applied(self.now, node, entry)
         self.settle(node)
-        self.tick(node, node.life)
+        self.tick(node, node.incarnation)
 
     def boot_if_down(self, node: Node) -> None:
         if node.member is None:
             self.boot(node)
 
-    def tick(self, node: Node, life: int) -> None:
-        if node.member is None or node.life != life:
+    def tick(self, node: Node, incarnation: int) -> None:
+        if node.member is None or node.incarnation != incarnation:
             return
         self.do(node, lambda member: member.tick(self.local(node)))
-        self.after(TICK_US + self.random.randrange(5 * MS), lambda: self.tick(node, life))
+        self.after(TICK_US + self.random.randrange(5 * MS), lambda: self.tick(node, incarnation))
 
     def do(self, node: Node, what: Callable[[Member], None]) -> None:
-        """Now, or once the process goes on."""
+        """Call `what` now, or after the process resumes if it is stalled."""
         if node.member is None:
             return
-        if node.stopped_until > self.now:
+        if node.stalled_until > self.now:
             if len(node.inbox) < 2000:
                 node.inbox.append(lambda: self.do(node, what))
             return
@@ -253,33 +262,33 @@
         self.settle(node)
 
     def settle(self, node: Node) -> None:
-        """Carry out what the member wants done."""
+        """Carry out the actions of the member."""
         member = node.member
         assert member is not None
-        life = node.life
+        incarnation = node.incarnation
         for action in member.take_actions():
             match action:
                 case Persist():
-                    if not node.disk.waiting:
+                    if not node.disk.pending:
                         most = 400 * MS if node.slow_disk else 15 * MS
-                        self.after(self.random.randrange(MS, most), lambda: self.flush(node, life))
-                    node.disk.waiting.append(action)
+                        self.after(self.random.randrange(MS, most), lambda: self.flush(node, incarnation))
+                    node.disk.pending.append(action)
                 case Send():
                     if action.after_token > member.raft.writes.durable_token:
-                        node.held.append(action)
+                        node.unsent.append(action)
                     else:
                         self.send(node, action)
                 case LoadVersion():
                     number = action.content.number
                     self.after(
                         self.random.randrange(MS, 60 * MS),
-                        partial(self.load, node, life, number),
+                        partial(self.load, node, incarnation, number),
                     )
                 case ValidateLocally():
                     id, why = action.id, "it is bad" if "bad" in action.settings else ""
                     self.after(
                         self.random.randrange(MS, 30 * MS),
-                        partial(self.examined, node, life, id, why),
+                        partial(self.on_validated, node, incarnation, id, why),
                     )
                 case ProposeFirstVersion():
                     self.publish(node, "settings", '{"limits":{"open_requests":500}}', parent=0)
@@ -291,31 +300,31 @@
                     self.wipe(node)
                     self.boot(node)
                     return
-        self.checks.look(self.now, node)
+        self.checks.check_member(self.now, node)
 
-    def load(self, node: Node, life: int, number: int) -> None:
+    def load(self, node: Node, incarnation: int, number: int) -> None:
         def loaded(member: Member) -> None:
-            if node.life == life:
+            if node.incarnation == incarnation:
                 member.on_loaded(max(number, member.loaded_version))
 
         self.do(node, loaded)
 
-    def examined(self, node: Node, life: int, id: str, why: str) -> None:
-        if node.life == life:
+    def on_validated(self, node: Node, incarnation: int, id: str, why: str) -> None:
+        if node.incarnation == incarnation:
             self.do(node, lambda member: member.on_validated(self.local(node), id, why))
 
-    def flush(self, node: Node, life: int) -> None:
-        if node.member is None or node.life != life or not node.disk.waiting:
+    def flush(self, node: Node, incarnation: int) -> None:
+        if node.member is None or node.incarnation != incarnation or not node.disk.pending:
             return
-        if node.stopped_until > self.now:
-            node.inbox.append(lambda: self.flush(node, life))
+        if node.stalled_until > self.now:
+            node.inbox.append(lambda: self.flush(node, incarnation))
             return
-        saves, node.disk.waiting = node.disk.waiting, []
-        for save in saves:
-            node.disk.durable.apply(save)
-        token = saves[-1].token
-        ready = [send for send in node.held if send.after_token <= token]
-        node.held = [send for send in node.held if send.after_token > token]
+        writes, node.disk.pending = node.disk.pending, []
+        for write in writes:
+            node.disk.durable.apply(write)
+        token = writes[-1].token
+        ready = [send for send in node.unsent if send.after_token <= token]
+        node.unsent = [send for send in node.unsent if send.after_token > token]
         for send in ready:
             self.send(node, send)
         self.do(node, lambda member: member.on_persisted(self.local(node), token))
@@ -327,7 +336,7 @@
             return
         assert node.member is not None
         sender, name, id = node.member.id, node.name, send.id
-        for _ in range(2 if self.random.random() < self.twice else 1):
+        for _ in range(2 if self.random.random() < self.duplication else 1):
             delay = self.random.randrange(200, max(300, self.slow_us))
             self.after(delay, lambda: self.deliver(to, id, sender, name, send))
 
@@ -349,28 +358,28 @@
         node.disk, node.id = Disk(), self.new_id()
 
     def restore(self, node: Node) -> None:
-        """Put an earlier copy of the folder in its place. Its files are not those that were written."""
-        if node.copy is None:
+        """Replace the data directory with an earlier copy, which the store detects by default."""
+        if node.backup is None:
             return
         self.crash(node)
-        if self.restores_seen:
+        if self.detects_restores:
             node.disk, node.id = Disk(), self.new_id()
         else:
-            node.id, old = node.copy
+            node.id, old = node.backup
             node.disk = Disk()
             node.disk.durable = copy.deepcopy(old)
 
-    def stop(self, node: Node, for_us: int) -> None:
+    def stall(self, node: Node, for_us: int) -> None:
         if node.member is None:
             return
-        node.stopped_until = self.now + for_us
-        life = node.life
-        self.after(for_us + 1, lambda: self.go_on(node, life))
+        node.stalled_until = self.now + for_us
+        incarnation = node.incarnation
+        self.after(for_us + 1, lambda: self.resume(node, incarnation))
 
-    def go_on(self, node: Node, life: int) -> None:
-        if node.member is None or node.life != life:
+    def resume(self, node: Node, incarnation: int) -> None:
+        if node.member is None or node.incarnation != incarnation:
             return
-        # The first thing that a process does may be a request that it had taken before.
+        # A process that resumes may first handle a request that it had accepted before.
         self.sample_now()
         inbox, node.inbox = node.inbox, []
         for what in inbox:
@@ -378,19 +387,19 @@
 
     def publish(self, node: Node, kind: VersionKind, body: str, parent: int = -1) -> None:
         self.ids += 1
-        command = ProposeVersion(f"p{self.ids}", kind, body, "sim", "", parent, True)
-        self.clients[command.id] = Client(command, node, self.now + 12 * S)
-        self.ask(command.id)
+        proposal = ProposeVersion(f"p{self.ids}", kind, body, "sim", "", parent, True)
+        self.clients[proposal.id] = Client(proposal, node, self.now + 12 * S)
+        self.repeat_proposal(proposal.id)
 
-    def ask(self, id: str) -> None:
+    def repeat_proposal(self, id: str) -> None:
         client = self.clients.get(id)
-        if client is None or self.now > client.until:
+        if client is None or self.now > client.deadline_us:
             self.clients.pop(id, None)
             return
-        self.do(client.node, lambda member: member.propose(self.local(client.node), client.command))
-        self.after(400 * MS, lambda: self.ask(id))
+        self.do(client.node, lambda member: member.propose(self.local(client.node), client.proposal))
+        self.after(400 * MS, lambda: self.repeat_proposal(id))
 
-    # What is seen
+    # Sampling
 
     def sample(self) -> None:
         self.sample_now()
@@ -400,18 +409,18 @@
         acting: dict[str, tuple[int, Member]] = {}
         led = False
         for node in self.nodes.values():
-            if node.member is None or node.stopped_until > self.now:
+            if node.member is None or node.stalled_until > self.now:
                 continue
             led = led or node.member.raft.is_leader
             if node.member.may_act(self.local(node)):
                 acting[node.name] = (node.member.loaded_version, node.member)
         self.checks.leaderless_us += 0 if led else SAMPLE_US
-        self.checks.acting(self.now, acting)
+        self.checks.check_acting(self.now, acting)
 
     # A schedule
 
-    def trouble(self) -> None:
-        """One fault, or one wish, by chance."""
+    def cause_random_fault(self) -> None:
+        """Cause one random fault, or make one random operator request."""
         chance = self.random
         node = chance.choice(list(self.nodes.values()))
         other = chance.choice([n for n in self.nodes.values() if n is not node] or [node])
@@ -425,11 +434,11 @@
                 if chance.random() < 0.4:
                     cut = {
                         pair for pair in cut if pair[0] == node.name
-                    }  # it is heard by nobody, and hears all
+                    }  # it still receives messages, but sends none
                 self.cuts |= cut
                 self.after(lasts, lambda: self.cuts.difference_update(cut))
             case 3 | 4:
-                self.stop(node, chance.choice((lasts, 10 * S)))
+                self.stall(node, chance.choice((lasts, 10 * S)))
             case 5 | 6:
                 self.crash(node)
                 self.after(chance.randrange(50 * MS, 3 * S), lambda: self.boot_if_down(node))
@@ -438,22 +447,22 @@
                 for each in nodes if chance.random() < 0.3 else nodes[: len(nodes) // 2 + 1]:
                     self.crash(each)
                     self.after(chance.randrange(50 * MS, S), partial(self.boot_if_down, each))
-            case 8 if self.wiped_few(node):
+            case 8 if self.may_lose_data(node):
                 self.wipe(node)
                 self.after(chance.randrange(50 * MS, S), lambda: self.boot_if_down(node))
             case 9:
-                node.copy = (node.id, copy.deepcopy(node.disk.durable))
-            case 10 if node.copy is not None and node.copy[0] == node.id and self.wiped_few(node):
+                node.backup = (node.id, copy.deepcopy(node.disk.durable))
+            case 10 if node.backup is not None and node.backup[0] == node.id and self.may_lose_data(node):
                 self.restore(node)
                 self.after(chance.randrange(50 * MS, S), lambda: self.boot_if_down(node))
             case 11:
                 self.loss, self.slow_us = chance.choice(((0.0, 5 * MS), (0.1, 300 * MS), (0.3, 40 * MS)))
-                self.twice = chance.choice((0.0, 0.1))
+                self.duplication = chance.choice((0.0, 0.1))
                 node.slow_disk = chance.random() < 0.3
             case 12:
-                do = chance.choice(("replace", "replace", "remove", "add"))
-                if do != "remove" or self.removed_few(other):
-                    self.do(node, lambda member: self.change(member, node, other.name, do))
+                action = chance.choice(("replace", "replace", "remove", "add"))
+                if action != "remove" or self.may_remove(other):
+                    self.do(node, lambda member: self.change_members(member, node, other.name, action))
             case _:
                 kind: VersionKind = chance.choice(("settings", "settings", "out", "back"))
                 body = f"box{chance.randrange(4)}"
@@ -462,34 +471,34 @@
                     body = f'{{"limits":{{"open_requests":{chance.randrange(1, 900)}}}{bad}}}'
                 self.publish(node, kind, body)
 
-    def change(self, member: Member, node: Node, name: str, do: str) -> None:
+    def change_members(self, member: Member, node: Node, name: str, action: str) -> None:
         with contextlib.suppress(MembershipChangeError):
-            member.change_members(self.local(node), name, do)
+            member.change_members(self.local(node), name, action)
 
-    def removed_few(self, node: Node) -> bool:
-        """Whether taking it out leaves more than half of the names that vote."""
+    def may_remove(self, node: Node) -> bool:
+        """Whether more than half of the names that vote remain after the removal of `node`."""
         if node.name[0] != "v":
             return True
         banned: set[str] = set().union(*(n.member.state.banned for n in self.nodes.values() if n.member))
         voters = [name for name in self.nodes if name[0] == "v"]
-        return len((banned | {node.name}) & set(voters)) <= len(voters) // 2 and self.wiped_few(node)
+        return len((banned | {node.name}) & set(voters)) <= len(voters) // 2 and self.may_lose_data(node)
 
-    def wiped_few(self, node: Node) -> bool:
-        """Whether a majority of the voters would still have all that it has promised."""
+    def may_lose_data(self, node: Node) -> bool:
+        """Whether a majority of the voters keeps its state if the state of `node` is lost."""
         configs = {n.member.raft.log.configuration for n in self.nodes.values() if n.member is not None}
         for n in self.nodes.values():
             configs.add(Raft(n.id, n.disk.durable, 0, self.random).log.configuration)
-            for change in pending_changes(n.member):  # it may be agreed any moment
+            for change in pending_changes(n.member):  # it may be committed at any time
                 if change.action in ("remove", "replace"):
                     configs |= {tuple(p for p in c if p.name != change.name) for c in tuple(configs)}
         there = {n.id for n in self.nodes.values() if n is not node}
         votings = [{peer.id for peer in config if peer.votes} for config in configs if config]
         return bool(votings) and all(len(ids & there) > len(ids) // 2 for ids in votings)
 
-    def calm(self) -> None:
-        """All faults end; the wiped are made voters again."""
+    def end_faults(self) -> None:
+        """End all faults and start all members that are down."""
         self.cuts.clear()
-        self.loss, self.slow_us, self.twice = 0.0, 5 * MS, 0.0
+        self.loss, self.slow_us, self.duplication = 0.0, 5 * MS, 0.0
         for node in self.nodes.values():
             node.slow_disk = False
             if node.member is None:
@@ -498,7 +507,7 @@
 
 @dataclass(frozen=True)
 class Schedule:
-    """Faults, step by step, for so long, then calm. Raises Violation."""
+    """Calls `step` until `faults_us`, and ends all faults. A call raises Violation on a failed check."""
 
     name: str
     step: Callable[[World], None]
@@ -509,16 +518,16 @@
         seed: int,
         voters: int = 3,
         learners: int = 0,
-        kind: type[Recorded] = Recorded,
-        world_of: Callable[..., World] = World,
+        member_class: type[RecordingMember] = RecordingMember,
+        world_class: Callable[..., World] = World,
     ) -> World:
-        world = world_of(seed, voters, learners, kind)
+        world = world_class(seed, voters, learners, member_class)
         world.run(3 * S)
         while world.now < self.faults_us:
             self.step(world)
-        world.calm()
+        world.end_faults()
         world.run(world.now + CALM_US)
-        finish(world)
+        check_final_state(world)
         return world
 
 
@@ -532,21 +541,21 @@
     return next((n for n in world.nodes.values() if n.member is not None and n.member.raft.is_leader), None)
 
 
-def anything(world: World) -> None:
-    """One fault, or one wish, by chance."""
-    world.trouble()
+def random_step(world: World) -> None:
+    """Cause one random fault, or make one random operator request, and wait."""
+    world.cause_random_fault()
     world.run(world.now + world.random.randrange(50 * MS, 1200 * MS))
 
 
-def cuts(world: World) -> None:
-    """Members that are cut off, stopped or started anew just as something contradicting is published."""
+def partition_step(world: World) -> None:
+    """Partition, stall or restart members just as contradicting versions are published."""
     chance = world.random
     world.slow_us, world.loss = chance.choice(((5 * MS, 0.0), (300 * MS, 0.0), (40 * MS, 0.25)))
     nodes = list(world.nodes.values())
     node = chance.choice(nodes)
     match chance.randrange(4):
         case 0:
-            world.stop(node, chance.randrange(2 * S, 5 * S))
+            world.stall(node, chance.randrange(2 * S, 5 * S))
         case 1:
             world.crash(node)
             world.after(chance.randrange(50 * MS, 500 * MS), partial(world.boot_if_down, node))
@@ -566,8 +575,8 @@
     world.run(world.now + chance.randrange(2 * S, 4 * S))
 
 
-def elections(world: World) -> None:
-    """Leaders that die as they publish, voters that die as they vote, on slow disks, and back at once."""
+def election_step(world: World) -> None:
+    """Crash publishing leaders and voting members, with slow disks, and restart them at once."""
     chance = world.random
     nodes = list(world.nodes.values())
     world.slow_us = chance.choice((5 * MS, 60 * MS, 250 * MS))
@@ -592,16 +601,19 @@
     world.run(world.now + chance.randrange(200 * MS, 1800 * MS))
 
 
-def losses(world: World) -> None:
-    """A folder wiped, put back or not yet synced just after an agreement, and who else holds it cut off."""
+def data_loss_step(world: World) -> None:
+    """Lose the data of one of the members that agreed on a version, and partition the others.
+
+    The data directory is wiped, replaced by a copy, or not synced before a crash.
+    """
     chance = world.random
     leader = leader_of(world)
     rest = [n for n in world.nodes.values() if n is not leader and n.name[0] == "v"]
     copied = chance.choice(rest)
-    if leader is not None and world.wiped_few(copied):
+    if leader is not None and world.may_lose_data(copied):
         others = [n.name for n in rest if n is not copied]
         away = {(n, m) for n in others for m in world.nodes} | {(m, n) for n in others for m in world.nodes}
-        copied.copy = (copied.id, copy.deepcopy(copied.disk.durable))
+        copied.backup = (copied.id, copy.deepcopy(copied.disk.durable))
         world.cuts |= away
         loses = chance.choice((world.restore, world.wipe, world.crash))
         copied.slow_disk = loses == world.crash
@@ -617,23 +629,23 @@
     world.run(world.now + 2 * S)
     leader = leader_of(world)
     if leader is not None:
-        world.do(leader, partial(world.change, node=leader, name=copied.name, do="replace"))
+        world.do(leader, partial(world.change_members, node=leader, name=copied.name, action="replace"))
     world.run(world.now + 4 * S)
 
 
-play = Schedule("anything", anything, 20 * S)
-play_cuts = Schedule("cuts", cuts, 30 * S)
-play_elections = Schedule("elections", elections, 30 * S)
-play_losses = Schedule("losses", losses, 24 * S)
+play = Schedule("anything", random_step, 20 * S)
+play_cuts = Schedule("cuts", partition_step, 30 * S)
+play_elections = Schedule("elections", election_step, 30 * S)
+play_losses = Schedule("losses", data_loss_step, 24 * S)
 SCHEDULES = {each.name: each for each in (play, play_cuts, play_elections, play_losses)}
 
 
-def finish(world: World) -> None:
-    """All is well again: everybody acts on the one newest version, and nothing acknowledged is lost."""
+def check_final_state(world: World) -> None:
+    """Check that all members act on the newest version, and that nothing acknowledged is lost."""
     members = [node.member for node in world.nodes.values() if node.member is not None]
     leaders = [member for member in members if member.raft.is_leader]
     if len(leaders) != 1:
-        world.checks.fail(world.now, f"{len(leaders)} leaders after the calm")
+        world.checks.fail(world.now, f"{len(leaders)} leaders after the end of the faults")
     state = leaders[0].state
     for id, version in world.checks.acknowledged.items():
         outcome = state.outcomes.get(id)
@@ -644,7 +656,7 @@
         if node.name in state.banned or (
             member is not None and member.id not in {p.id for p in leaders[0].raft.log.configuration}
         ):
-            continue  # taken out
+            continue  # removed from the group
         if (
             member is None
             or not member.may_act(world.local(node))
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,4 +1,4 @@
-"""The consensus core: known hard scenarios by hand, and a small model searched through."""
+"""Tests the Raft core: known hard scenarios, and an exhaustive search of a small model."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from badgergap.consensus.raft_core import Role
 from badgergap.consensus.raft_messages import RequestVote
 from tests.consensus.cluster import Cluster, Disagreement
-from tests.consensus.guards import CountsEarlierTerms, ForgetsItsVote, ManyChangesAtOnce
+from tests.consensus.guards import CommitsEarlierTerms, ForgetsVote, ManyChangesAtOnce
 
 
-def old_entry_on_a_majority(kind: type[Raft]) -> None:
-    """Figure 8 of the Raft paper: an entry of an earlier term on a majority, which is not agreed by that."""
+def entry_of_an_earlier_term_on_a_majority(kind: type[Raft]) -> None:
+    """Figure 8 of the Raft paper: an entry of an earlier term on a majority is not committed by that."""
     it = Cluster(5, kind)
     it.time_out("1")
     it.run("12345")
-    large = b"x" * leader_replication.BATCH_BYTES  # so that it goes in a message of its own
+    large = b"x" * leader_replication.BATCH_BYTES  # too large to share a message with other entries
     it.propose("1", large)
-    it.run("12")  # at 1 and 2
+    it.run("12")  # replicated to 1 and 2 only
     lost = it.nodes["1"].log.last_index
     it.crash("1")
     it.time_out("5")
     it.run("345", until=lambda: it.nodes["5"].is_leader)
-    it.flush("5")  # its own entry of a later term stays with it
+    it.flush("5")  # its entry of a later term is durable at 5 only
     it.wire.clear()
     it.crash("5")
     it.time_out("1")
-    it.run("123")  # it learns of the term that has been meanwhile
+    it.run("123")  # 1 adopts the later term that the others report
     it.time_out("1")
     it.run("123", until=lambda: it.nodes["1"].is_leader and it.nodes["1"].progress["3"].match_index >= lost)
     assert it.nodes["3"].log.term_at(lost) == it.nodes["1"].log.term_at(lost) != it.nodes["1"].term
@@ -45,8 +45,8 @@
     assert it.nodes["5"].is_leader
 
 
-def two_changes_at_once(kind: type[Raft]) -> None:
-    """A leader that nobody hears takes the others out one after the other, and goes on alone."""
+def two_membership_changes_at_once(kind: type[Raft]) -> None:
+    """A partitioned leader removes the other members one by one, and continues alone."""
     it = Cluster(3, kind)
     it.time_out("1")
     it.run("123")
@@ -62,12 +62,12 @@
     assert it.nodes["2"].is_leader
 
 
-def two_candidates_and_a_voter_that_starts_anew(kind: type[Raft]) -> None:
-    """The voter gives its vote, starts anew, and is asked by the other one for the same term."""
+def two_candidates_and_a_restarted_voter(kind: type[Raft]) -> None:
+    """A voter grants its vote, restarts, and receives another vote request for the same term."""
     it = Cluster(3, kind)
     it.time_out("1")
     it.time_out("2")
-    for _ in range(20):  # the pre-votes of both; no vote arrives yet
+    for _ in range(20):  # the pre-votes of both candidates; no vote request is delivered yet
         place = next(
             (n for n, (_, send) in enumerate(it.wire) if not isinstance(send.message, RequestVote)), None
         )
@@ -76,35 +76,35 @@
         it.deliver(place)
     it.flush("1")
     it.flush("2")
-    asked = [
+    vote_requests = [
         n
         for n, (_, send) in enumerate(it.wire)
         if send.peer_id == "3" and isinstance(send.message, RequestVote)
     ]
-    assert len(asked) == 2 and len({it.nodes[id].term for id in "12"}) == 1
-    it.deliver(asked[0])
+    assert len(vote_requests) == 2 and len({it.nodes[id].term for id in "12"}) == 1
+    it.deliver(vote_requests[0])
     it.flush("3")
     it.crash("3")
     it.run("123")
 
 
 @pytest.mark.parametrize(
-    ("scenario", "without"),
+    ("scenario", "variant"),
     [
-        (old_entry_on_a_majority, CountsEarlierTerms),
-        (two_changes_at_once, ManyChangesAtOnce),
-        (two_candidates_and_a_voter_that_starts_anew, ForgetsItsVote),
+        (entry_of_an_earlier_term_on_a_majority, CommitsEarlierTerms),
+        (two_membership_changes_at_once, ManyChangesAtOnce),
+        (two_candidates_and_a_restarted_voter, ForgetsVote),
     ],
 )
-def test_a_hard_scenario_is_survived_and_not_without_its_guard(
-    scenario: Callable[[type[Raft]], None], without: type[Raft]
+def test_a_hard_scenario_keeps_agreement_only_with_its_safeguard(
+    scenario: Callable[[type[Raft]], None], variant: type[Raft]
 ) -> None:
     scenario(Raft)
     with pytest.raises(Disagreement):
-        scenario(without)
+        scenario(variant)
 
 
-def test_a_change_waits_for_an_entry_of_the_leaders_own_term() -> None:
+def test_a_membership_change_waits_for_an_entry_of_the_leaders_own_term() -> None:
     it = Cluster(3)
     it.time_out("1")
     it.run("123", until=lambda: it.nodes["1"].is_leader)
@@ -116,21 +116,21 @@
     assert it.nodes["1"].log.last_index == before + 1
 
 
-def test_a_member_that_hears_nobody_raises_no_term_and_unseats_nobody() -> None:
-    """Pre-vote, and votes that are refused while a leader is heard."""
+def test_a_member_without_leader_contact_does_not_raise_the_term_or_depose_the_leader() -> None:
+    """Guards pre-votes, and the denial of votes while there is contact with a leader."""
     it = Cluster(3)
     it.time_out("1")
     it.run("123")
     term = it.nodes["1"].term
     for _ in range(5):
         it.nodes["3"].election_due_us = it.now
-        it.nodes["3"].tick(it.now)  # no time passes for the others: they hear their leader
+        it.nodes["3"].tick(it.now)  # no time passes for the others: they keep contact with the leader
         it.settle("3")
         it.run("123")
     assert it.nodes["1"].is_leader and {it.nodes[id].term for id in "123"} == {term}
 
 
-def test_a_leader_that_hears_no_majority_steps_down() -> None:
+def test_a_leader_without_contact_to_a_majority_steps_down() -> None:
     it = Cluster(3)
     it.time_out("1")
     it.run("123")
@@ -140,7 +140,7 @@
     assert it.nodes["1"].role is Role.FOLLOWER
 
 
-def test_a_snapshot_reaches_who_lacks_what_went_while_the_log_grows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_snapshot_reaches_a_member_far_behind_while_the_log_grows(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(leader_replication, "SNAPSHOT_CHUNK_BYTES", 10)
     it = Cluster(3)
     it.time_out("1")
@@ -155,20 +155,20 @@
         it.nodes["1"].tick(it.now)
         it.propose("1", b"more %d" % number)
         if number == 5:
-            it.nodes["1"].compact(b"t" * 95)  # another one, while the first is on its way
+            it.nodes["1"].compact(b"t" * 95)  # a newer snapshot, during the transfer of the first
         it.settle("1")
         it.run("123", most=12)
     it.run("123")
     assert it.nodes["3"].log.last_index == it.nodes["1"].log.last_index
     assert it.nodes["3"].log.snapshot.state in (b"s" * 95, b"t" * 95)
     it.crash("3")
-    assert it.nodes["3"].log.last_index == it.nodes["1"].log.last_index  # and it is on its disk
+    assert it.nodes["3"].log.last_index == it.nodes["1"].log.last_index  # it was durable at 3
 
 
 def explore(count: int, kind: type[Raft], states: int) -> int:
-    """Every order of what can happen, breadth first, up to so many states; how many there were.
+    """Explore all orders of steps, breadth first, up to `states` states; returns how many were found.
 
-    A step: a message arrives, a disk syncs, a member starts anew, one's patience ends, or a leader proposes.
+    A step: a message arrives, a disk syncs, a member restarts or times out, or a leader proposes.
     """
     first = Cluster(count, kind)
     seen = {digest(first)}
@@ -179,10 +179,10 @@
             after: Cluster = pickle.loads(data)
             now = after.now
             getattr(after, str(step))(*arguments)
-            after.now = now  # patience ends without time: all orders are tried
-            mark = digest(after)
-            if mark not in seen:
-                seen.add(mark)
+            after.now = now  # election timeouts take no time, so that all orders are possible
+            found = digest(after)
+            if found not in seen:
+                seen.add(found)
                 queue.append(pickle.dumps(after))
     return len(seen)
 
@@ -212,5 +212,5 @@
 
 
 @pytest.mark.parametrize(("count", "states"), [(2, 4000), (3, 4000)])
-def test_a_small_model_searched_through_never_disagrees(count: int, states: int) -> None:
+def test_an_exhaustive_search_of_a_small_model_finds_no_disagreement(count: int, states: int) -> None:
     assert explore(count, Raft, states) >= states
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -1,4 +1,4 @@
-"""Groups in simulated time. `benchmarks/schedules.py` plays many more of the same."""
+"""Tests groups in simulated time. `benchmarks/schedules.py` runs many more of these schedules."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize(
     ("voters", "learners", "seeds"), [(3, 0, range(1000, 1030)), (5, 2, range(2000, 2012)), (7, 0, range(8))]
 )
-def test_whatever_happens_nothing_agreed_is_lost_and_the_bound_holds(
+def test_under_random_faults_nothing_agreed_is_lost_and_the_bound_holds(
     voters: int, learners: int, seeds: range
 ) -> None:
     longest = [play(seed, voters, learners).checks.longest_us for seed in seeds]
@@ -21,19 +21,19 @@
     assert max(longest) <= BOUND_US
 
 
-def test_those_cut_off_stop_before_others_go_on() -> None:
+def test_partitioned_members_stop_acting_before_others_act_on_a_new_version() -> None:
     longest = [play_cuts(seed, 3).checks.longest_us for seed in range(12)]
     assert 0 < max(longest) <= BOUND_US
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=lambda guard: guard.name)
-def test_each_guard_taken_out_is_found(guard: Guard) -> None:
+def test_a_schedule_detects_each_missing_safeguard(guard: Guard) -> None:
     seed, found = guard.search()
     print(f"seed {seed}: {found}")
 
 
-def test_a_leader_that_dies_is_followed_within_a_second_and_a_half() -> None:
-    without = []
+def test_a_crashed_leader_is_replaced_within_a_second_and_a_half() -> None:
+    leaderless = []
     for seed in range(12):
         world = World(seed, 3)
         world.run(5 * S)
@@ -41,12 +41,12 @@
         world.checks.leaderless_us = 0
         world.crash(leader)
         world.run(world.now + 4 * S)
-        without.append(world.checks.leaderless_us)
-    print("ms without a leader:", sorted(us // 1000 for us in without))
-    assert max(without) < 1_500_000
+        leaderless.append(world.checks.leaderless_us)
+    print("ms without a leader:", sorted(us // 1000 for us in leaderless))
+    assert max(leaderless) < 1_500_000
 
 
-def test_two_of_three_gone_the_third_serves_nothing_until_it_is_forced() -> None:
+def test_without_the_other_two_a_member_serves_nothing_until_it_is_forced() -> None:
     world = World(3, 3)
     world.run(5 * S)
     world.crash(world.nodes["v0"])
@@ -64,8 +64,8 @@
     assert list(last.member.state.acting.out) == ["box1"]
 
 
-def test_members_whose_files_differ_reckon_leases_as_the_group_was_founded() -> None:
-    """Else one with a longer time in its file would act on when its leader takes its lease for over."""
+def test_members_with_different_settings_use_the_lease_duration_of_the_founding() -> None:
+    """Guards against a member that acts longer than its leader assumes, by a longer time in its file."""
     for seed in range(6):
         world = World(seed, 3)
         for node, seconds in zip(world.nodes.values(), (3, 30, 9), strict=True):
@@ -81,24 +81,24 @@
         assert world.checks.longest_us <= BOUND_US
 
 
-def test_a_group_of_one_acts_at_once_and_alone() -> None:
+def test_a_group_of_one_member_acts_at_once() -> None:
     world = World(1, 1)
     world.run(2 * S)
     only = world.nodes["v0"]
     assert only.member is not None and only.member.may_act(world.local(only))
 
 
-def steered(world: World, leader: Node, id: str, do: str, name: str) -> tuple[int, str]:
+def request_change(world: World, leader: Node, id: str, action: str, name: str) -> tuple[int, str]:
     assert leader.member is not None
-    leader.member.request_change(world.local(leader), ChangeMembers(id, name, do))
-    (outcome,) = [action.outcome for action in leader.member.actions if isinstance(action, OutcomeKnown)]
+    leader.member.request_change(world.local(leader), ChangeMembers(id, name, action))
+    (outcome,) = [each.outcome for each in leader.member.actions if isinstance(each, OutcomeKnown)]
     world.settle(leader)
     assert outcome.id == id
     return outcome.version, outcome.why
 
 
-def test_a_change_that_is_said_again_is_done_once_and_never_an_error() -> None:
-    """A member says its operator's wish every 0.4 s until it is answered, and `add` comes in two steps."""
+def test_a_repeated_membership_change_is_made_once_and_is_no_error() -> None:
+    """A member repeats its operator's request every 0.4 s until it is answered; `add` takes two steps."""
     world = World(5, 3)
     world.run(5 * S)
     leader = leader_of(world)
@@ -108,21 +108,26 @@
     def voters() -> list[str]:
         return sorted(peer.name for peer in it.raft.log.configuration if peer.votes)
 
-    assert steered(world, leader, "out", "remove", name) == (1, "")
+    assert request_change(world, leader, "out", "remove", name) == (1, "")
     world.run(world.now + 8 * S)
     assert name not in voters() and name in it.state.banned
-    assert steered(world, leader, "out", "remove", name) == (1, ""), "it is out already"
-    assert steered(world, leader, "out 2", "remove", name) == (0, f"no member is called {name}")
+    assert request_change(world, leader, "out", "remove", name) == (1, ""), "it is removed already"
+    assert request_change(world, leader, "out 2", "remove", name) == (0, f"no member is called {name}")
     world.crash(world.nodes[name])
-    assert steered(world, leader, "in", "add", name) == (1, "")
+    assert request_change(world, leader, "in", "add", name) == (1, "")
     world.run(world.now + S)
     assert name not in it.state.banned
-    assert steered(world, leader, "in", "add", name) == (1, ""), "it is let in and not there yet"
+    assert request_change(world, leader, "in", "add", name) == (
+        1,
+        "",
+    ), "it is admitted and has not joined yet"
     world.boot(world.nodes[name])
     world.run(world.now + 3 * S)
     assert name not in voters() and name in [peer.name for peer in it.raft.log.configuration]
-    assert steered(world, leader, "in", "add", name) == (1, "") and not pending_changes(it), "begun once"
+    assert request_change(world, leader, "in", "add", name) == (1, "") and not pending_changes(
+        it
+    ), "begun once"
     for id in ("vote", "vote", "vote again"):
-        assert steered(world, leader, id, "add", name) == (1, "")
+        assert request_change(world, leader, id, "add", name) == (1, "")
         world.run(world.now + 3 * S)
         assert voters() == sorted(world.nodes) and not pending_changes(it)
