--- a/badgergap/consensus/lease.py
+++ b/badgergap/consensus/lease.py
@@ -55,7 +55,7 @@
         self.end_us = NEVER_US
 
 
-class Request(Protocol):
+class LeaseRequestFields(Protocol):
     """The fields of a lease request that the leader reads."""
 
     @property
@@ -128,7 +128,7 @@
             record = self.records[id] = MemberRecord(lease_end_us=self.elected_us + self.max_lease_us)
         return record
 
-    def on_request(self, now_us: int, id: str, request: Request) -> None:
+    def on_request(self, now_us: int, id: str, request: LeaseRequestFields) -> None:
         """Record a request; `due` returns it when it can be answered."""
         record = self.record(id)
         if request.incarnation < record.incarnation:
--- a/badgergap/consensus/proposals.py
+++ b/badgergap/consensus/proposals.py
@@ -122,7 +122,7 @@
         needed = majority(len(member.raft.log.voters))
         if opened.unanswered and opened.accepted < needed:
             del self.open[id]
-            names = ", ".join(sorted(member.name_of(silent) for silent in opened.unanswered))
+            names = ", ".join(sorted(member.name_of(validator) for validator in opened.unanswered))
             why = f"no word in time on whether it can be loaded, from {names}"
             self._refuse(id, opened.origin, why)
             return
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -82,9 +82,7 @@
     member: RecordingMember | None = None
     stalled_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)  # events that arrive while it is stalled
-    backup: tuple[str, PersistentState] | None = (
-        None  # identity and state of an earlier copy of its data directory
-    )
+    backup: tuple[str, PersistentState] | None = None  # identity and state of an earlier data directory
     slow_disk: bool = False
     incarnation: int = 0  # of its process: events for an earlier process are dropped
     unsent: list[Send] = field(default_factory=list)  # messages that wait for writes to become durable
