--- a/badgergap/proxy/attempt_recorder.py
+++ b/badgergap/proxy/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Accounts for one attempt of a request, whatever transport carries it."""
+"""Records one attempt of a request, independent of its transport."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttemptRecorder:
-    """An `AttemptListener`: accounts for one attempt, and feeds its progress to the balancer."""
+    """An `AttemptListener` that records one attempt and feeds its progress to the balancer."""
 
     __slots__ = ("attempt_number", "endpoint_id", "proxy", "request", "sent_us")
 
@@ -27,18 +27,18 @@
         self.sent_us = sent_us
 
     def on_committed(self) -> None:
-        """No retry is possible from here on: the balancer is notified that this attempt is the last."""
-        if self.request.last_resort is not None:
-            self.request.last_resort.cancel()  # the rest takes as long as the client and the route say
+        """Notify the balancer that this attempt is the last: no retry is possible from here on."""
+        if self.request.deadline_timer is not None:
+            self.request.deadline_timer.cancel()  # from here on the limits of the client and the route apply
         self.proxy.feed(StreamStarted(self.request.id, self.attempt_number, answered=False))
 
     def on_response_started(self, status: int, waited_s: float) -> None:
-        """The response is being passed on, `waited_s` seconds after the request was sent."""
-        self.proxy.close_with(self.request, status)
+        """Record that the response is being forwarded, `waited_s` seconds after the request was sent."""
+        self.proxy.record_answer(self.request, status)
         self.proxy.feed(StreamStarted(self.request.id, self.attempt_number, latency_us=int(waited_s * 1e6)))
 
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        """The attempt has ended with this outcome, and the response if it was not passed on."""
+        """Record the outcome of the attempt; `answer` is a complete response that was not forwarded yet."""
         if outcome is Outcome.ERROR and self.request.spec.passes_failures:
             self.request.endpoint_failure = answer
         self.proxy.attempt_ended(self, outcome, answer)
--- a/badgergap/proxy/load_reports.py
+++ b/badgergap/proxy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that endpoints send of themselves."""
+"""Parses the load reports of endpoints."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def parse_report(text: bytes) -> tuple[tuple[str, float], ...]:
-    """Named figures of a report, as in a `server-load` header or the body of `/stats`."""
+    """Parse the named values of a report, from a `server-load` header or the body of `/stats`."""
     return parse_load(text.decode("latin-1").replace("=", ":"))
 
 
-def report_of(answer: Answer | None, mode: ReportMode) -> tuple[tuple[str, float], ...]:
-    """Return the report that came along with an answer, where the settings say that there is one."""
+def report_in_answer(answer: Answer | None, mode: ReportMode) -> tuple[tuple[str, float], ...]:
+    """Return the report in the headers of an answer; empty unless the settings enable such reports."""
     if answer is None or mode is not ReportMode.ANSWERS:
         return ()
     return parse_report(answer.header(b"server-load"))
--- a/badgergap/proxy/requests.py
+++ b/badgergap/proxy/requests.py
@@ -1,16 +1,16 @@
-"""What the proxy knows of a request, and how it speaks with the transports that bring and carry it.
+"""The state of a request, and the interfaces between the proxy and the transports on both sides.
 
-| a request ends with | what leads there | who answers its client |
+| a request ends with | cause | who answers the client |
 | --- | --- | --- |
-| a response passed on | an attempt's `AttemptListener.on_response_started` | the attempt, as it comes |
-| a complete response | an attempt that ended with success | `Request.reply` |
-| its endpoint's own failure | the balancer fails it, and `RequestSpec.passes_failures` | `Request.reply` |
-| 502 | the balancer fails it, or its rules ended: a repeat may do harm | `Request.reply` |
-| 503 | it is rejected, not admitted, or its rules ended: a repeat does no harm | `Request.reply` |
-| another pool's answer | a rejected request that `RequestSpec.offer_elsewhere` had taken over | that pool |
-| 504 | nothing of this until just after its deadline | `Request.reply` |
+| a forwarded response | an attempt called `AttemptListener.on_response_started` | the attempt, as a stream |
+| a complete response | an attempt ended with success | `Request.reply` |
+| the endpoint's error response | the balancer fails it, and `RequestSpec.passes_failures` | `Request.reply` |
+| 502 | the balancer fails it, or its epoch ended; a retry by the client is unsafe | `Request.reply` |
+| 503 | it is rejected, not admitted, or its epoch ended; a retry by the client is safe | `Request.reply` |
+| another pool's answer | it is rejected, and `RequestSpec.offer_elsewhere` returned True | that pool |
+| 504 | none of these happened until just after its deadline | `Request.reply` |
 | 500 | a fault in this gateway | `Request.reply` |
-| no answer | its client left | nobody |
+| no answer | the client disconnected | nobody |
 """
 
 from __future__ import annotations
@@ -25,39 +25,47 @@
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.proxy.upstream.exchange import Answer, Exchange
 
-# Gives a request its final answer, complete.
+# Sends the complete final answer of a request.
 Reply = Callable[[Answer], None]
 
 
 class AttemptListener(Protocol):
-    """Notified of the progress of a streamed attempt; each at most once, but for `on_ended` in this order."""
+    """Receives the progress of a streamed attempt; each method is called at most once.
+
+    `on_committed` precedes `on_response_started`; `on_ended` may be called at any point.
+    """
 
     def on_committed(self) -> None:
-        """Part of the request was sent that is held no more: it cannot be sent again."""
+        """Part of the request was sent and is no longer buffered: the request cannot be retried."""
 
     def on_response_started(self, status: int, waited_s: float) -> None:
-        """An endpoint's response is passed on from here: it is the final one. `waited_s`: for its head."""
+        """The endpoint's response is forwarded from here on, as the final one.
+
+        `waited_s`: seconds until its head was received.
+        """
 
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        """Always called. An answer goes with it if it is complete and has not been passed on."""
+        """The attempt has ended; always called. `answer`: a complete response that was not forwarded yet."""
 
 
-# Offered a request that is rejected here and of which no endpoint's answer is left: True if another pool
-# takes it over. Its arguments: whether an endpoint was tried, and whether one may have run the request.
+# Offers a rejected request, for which there is no response of an endpoint either, to another pool. Returns
+# whether that pool takes it over. Arguments: whether an attempt was launched, and whether an endpoint may
+# have executed the request.
 OfferElsewhere = Callable[[bool, bool], bool]
 
-# Starts one attempt at this endpoint, which has so many seconds to begin its response.
+# Starts one attempt. Arguments: the upstream, the endpoint id, the seconds that the endpoint has to begin its
+# response, and the listener.
 Launch = Callable[[Upstream, int, float, AttemptListener], Exchange]
 
 
 class Observer(Protocol):
-    """Notified of what became of requests and attempts; called in the midst of serving, so it only counts."""
+    """Receives the results of requests and attempts; called on the request path, so it should only count."""
 
     def on_answered(self, now_us: int, request_class: int, status: int, took_us: int, tenant: int) -> None:
-        """A request had its final answer, `took_us` after its last byte came."""
+        """A request received its final answer, `took_us` after its last byte was received."""
 
     def on_client_left(self, now_us: int, request_class: int, tenant: int) -> None:
-        """A client left before its answer."""
+        """A client disconnected before its final answer."""
 
     def on_attempt_ended(self, now_us: int, endpoint_id: int, outcome: Outcome, latency_us: int) -> None:
         """An attempt at an endpoint has ended."""
@@ -65,14 +73,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestSpec:
-    """A client's request, as the balancer and the endpoints need it."""
+    """The parts of a client's request that the balancer and the endpoints need."""
 
     request_class: int
     client_timeout_us: int
-    waited_us: int  # since its last byte came
+    waited_us: int  # since its last byte was received
     method: bytes
     target: bytes
-    headers: bytes  # those that are forwarded to an endpoint, as lines
+    headers: bytes  # those that are forwarded to an endpoint, as header lines
     launch: Launch
     key: int | None = None
     expected_work_us: int | None = None
@@ -82,23 +90,23 @@
     allowed_endpoints: tuple[int, ...] = ()  # empty: all
     offer_elsewhere: OfferElsewhere | None = None
     on_answered: Callable[[], None] | None = None  # called just before the final answer is given
-    passes_failures: bool = True  # an endpoint's own failure is the answer where nothing better came of it
-    objective_from_send: bool = False  # the latency objective counts from when its client sent it
-    client_id: str = ""  # the Request-Id that client and endpoints know it by; for the log
+    passes_failures: bool = True  # forward an endpoint's own error response if no attempt succeeds
+    objective_from_send: bool = False  # measure the latency objective from when the client sent the request
+    client_id: str = ""  # the Request-Id that client and endpoints use; for the log
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that was admitted, until it has had its final answer and all its attempts have ended."""
+    """An admitted request, until its final answer was sent and all its attempts have ended."""
 
     id: str
     spec: RequestSpec
     arrived_us: int
     deadline_us: int
-    reply: Reply | None  # None once it has had its final answer, or its client has gone
-    last_resort: asyncio.TimerHandle | None = None  # answers it just after its deadline
-    attempts: list[Exchange | None] = field(default_factory=list)  # None: one that was never launched
+    reply: Reply | None  # None once the final answer was sent or the client has disconnected
+    deadline_timer: asyncio.TimerHandle | None = None  # calls `answer_at_deadline` just after the deadline
+    attempts: list[Exchange | None] = field(default_factory=list)  # None: an attempt that was never launched
     attempts_in_flight: int = 0
-    endpoint_failure: Answer | None = None  # an endpoint's own answer that counts as its failure
-    epoch: int = 0  # of the rules that it was admitted under
+    endpoint_failure: Answer | None = None  # an endpoint's own error response
+    epoch: int = 0  # version of the group's settings that it was admitted under
     trace: RequestTrace = field(default_factory=RequestTrace)
