--- a/badgergap/proxy/__init__.py
+++ b/badgergap/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy process: sockets around one balancer. It carries out what the balancer decides, nothing more."""
+"""The proxy process: the sockets around one balancer. It executes the balancer's decisions."""
--- a/badgergap/proxy/body_streams.py
+++ b/badgergap/proxy/body_streams.py
@@ -1,17 +1,17 @@
-"""Bodies as streams between a client's transport and an endpoint's: what every transport implements.
-
-`Upload` is the body of a request on its way, `Download` what a client's side takes. The rules:
-
-1. A request may be retried elsewhere only while all of its body that has come is still held. `HOLD` bytes
-   are, and the read that goes beyond them; the next drops the hold, and the attempt then out is the last. So
-   does an endpoint's 100 to a client that waits for it (100-continue, RFC 9110 section 10.1.1).
-2. Nothing is sent to an endpoint before the body is complete or the hold is full: a slow client occupies no
-   endpoint. The head alone goes first where the client waits for 100.
-3. What a client sends is read no faster than the endpoint takes it, beyond the hold; what an endpoint sends
-   is read no faster than the client takes it. Each side is paused by the other, and holds one write's worth
-   at most.
-4. Once a response's head is passed on the attempt is the last one. If it breaks, `abort` notifies the
-   client's side, which must make the client see it: a short body never ends as a complete one does.
+"""Bodies as streams between a client's transport and an endpoint's: the interfaces that transports implement.
+
+`Upload` is the body of a request in transit; `Download` receives a response on the client's side. The rules:
+
+1. A request can be retried only while all of its body that was received is still buffered ("held"). Up to
+   `HOLD` bytes are held, and the read that exceeds them; the next read drops the buffer, and the attempt in
+   flight is then the last. So does a 100 (Continue) response of the endpoint to a client that waits for it
+   (RFC 9110 section 10.1.1).
+2. Nothing is sent to an endpoint before the body is complete or the buffer is full, so that a slow client
+   occupies no endpoint. Where the client waits for 100 (Continue), the head is sent alone first.
+3. Flow control: beyond the buffer, a client is read no faster than the endpoint accepts data, and an endpoint
+   no faster than the client does. Each side pauses the other, and buffers the data of one write at most.
+4. Once a response's head is forwarded, the attempt is the last one. If the response is cut short, `abort`
+   notifies the client's side, which must let the client detect it: a truncated body must not look complete.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-HOLD = 64 * 1024  # bytes of a body that are held for a retry, at the most
+HOLD = 64 * 1024  # maximum bytes of a body that are held for a retry
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class UploadReceiver(Protocol):
-    """The endpoint's side of a request: takes what comes after the part that was held."""
+    """The endpoint's side of a request: receives the body after the held part."""
 
     def send_body(self, data: bytes) -> None:
-        """Take the next bytes of the request's body, in order."""
+        """Receive the next bytes of the request's body, in order."""
 
     def end_body(self, trailers: Headers) -> None:
         """The request's body is complete; `trailers` follow it."""
@@ -37,28 +37,28 @@
 
 @dataclass(slots=True, eq=False)
 class Upload:
-    """The body of a request. `flow(False)` asks the client's side to stop reading, `flow(True)` to go on."""
+    """The body of a request. `flow(False)` pauses reading from the client, `flow(True)` resumes it."""
 
     flow: Callable[[bool], None]
-    limit: int | None = None  # bytes, checked by whoever reads
+    limit: int | None = None  # bytes; enforced by the reader
     hold: int = HOLD
     size: int = 0
     held: list[bytes] = field(default_factory=list)
-    is_held: bool = True  # all that has come: it can be sent again
+    is_held: bool = True  # all of the body so far is held, so that it can be resent
     complete: bool = False
-    awaits_continue: bool = False  # its receiver has yet to say that it wants the body (100-continue)
+    awaits_continue: bool = False  # the endpoint has not sent 100 (Continue) yet
     trailers: Headers = field(default_factory=list)
     receiver: UploadReceiver | None = None
-    on_ready: Callable[[], None] | None = None  # called once, when rule 2 is met
-    on_drop: Callable[[], None] | None = None  # called when the hold is dropped: the attempt is the last
+    on_ready: Callable[[], None] | None = None  # called once, when `ready` becomes true (rule 2)
+    on_buffer_dropped: Callable[[], None] | None = None  # the held part was dropped: the attempt is the last
 
     @property
     def ready(self) -> bool:
-        """Whether an attempt may begin: the body is complete, or at least `hold` bytes of it have come."""
+        """Whether an attempt may begin: the body is complete, or at least `hold` bytes were received."""
         return self.complete or self.size >= self.hold
 
     def put(self, data: bytes) -> None:
-        """Take the next bytes from the client: they are held for a retry, or passed on to the receiver."""
+        """Receive the next bytes from the client: hold them for a retry, or forward them to the receiver."""
         self.size += len(data)
         if self.awaits_continue:
             self.held.append(data)
@@ -72,22 +72,22 @@
         if self.receiver is not None and self.size > self.hold:
             self.is_held = False
             self.held.clear()
-            if self.on_drop is not None:
-                self.on_drop()
-            # The drop may have ended the attempt.
+            if self.on_buffer_dropped is not None:
+                self.on_buffer_dropped()
+            # The callback may have ended the attempt.
             if self.receiver is not None:
                 self.receiver.send_body(data)
             return
         self.held.append(data)
         if self.size >= self.hold and self.receiver is None:
-            self.flow(False)  # until an endpoint takes it
+            self.flow(False)  # until an endpoint receives the body
         self._notify_if_ready()
 
     def end(self, trailers: Headers) -> None:
-        """The body is complete, with these trailers."""
+        """Mark the body as complete, with these trailers."""
         self.complete = True
         self.trailers = trailers
-        self.flow(True)  # nothing more of it is to come that could be held back
+        self.flow(True)  # the body needs no flow control any more
         if self.receiver is not None and not self.awaits_continue:
             self.receiver.end_body(trailers)
         self._notify_if_ready()
@@ -98,18 +98,18 @@
             ready()
 
     def pace(self, on: bool) -> None:
-        """The endpoint's side takes no more for now, or takes it again."""
+        """Pause (`on` False) or resume the client on behalf of the endpoint's side."""
         if not self.complete:
             self.flow(on)
 
-    def attach(self, receiver: UploadReceiver, on_drop: Callable[[], None]) -> bytes:
-        """An endpoint's side takes over. Returns what is held, to be sent now; `send_body` has the rest."""
-        self.receiver, self.on_drop = receiver, on_drop
+    def attach(self, receiver: UploadReceiver, on_buffer_dropped: Callable[[], None]) -> bytes:
+        """Attach an endpoint's side. Returns the held bytes, to be sent now; `send_body` gets the rest."""
+        self.receiver, self.on_buffer_dropped = receiver, on_buffer_dropped
         self.flow(True)
         return b"".join(self.held)
 
     def release(self) -> None:
-        """The receiver wants the body: what has come meanwhile goes to it, and nothing is held any more."""
+        """Forward the body after 100 (Continue): send the held bytes, and hold nothing from here on."""
         self.awaits_continue = self.is_held = False
         data = b"".join(self.held)
         self.held.clear()
@@ -120,62 +120,62 @@
         self.flow(True)
 
     def discard(self) -> None:
-        """Drop what is held: nobody will want it again."""
+        """Drop the held bytes: they will not be resent."""
         self.is_held = False
         self.held.clear()
 
     def detach(self, receiver: UploadReceiver) -> None:
-        """That side takes no more. What is held stays, for a retry."""
+        """Detach an endpoint's side. The held bytes are kept for a retry."""
         if self.receiver is receiver:
-            self.receiver = self.on_drop = None
+            self.receiver = self.on_buffer_dropped = None
             self.awaits_continue = False
             self.flow(self.complete or not self.is_held or self.size < self.hold)
 
 
 @dataclass(slots=True, frozen=True)
 class AnswerHead:
-    """An endpoint's response as it is passed on. `length`: bytes of the body, None if only its end tells."""
+    """The head of a forwarded response. `length`: bytes of the body, None if unknown before its end."""
 
     status: int
     headers: Headers
     length: int | None
     has_body: bool = True  # False: HEAD, 204, 304
-    upgraded: bool = False  # 101: from here on both sides speak as they like
+    upgraded: bool = False  # 101: the connection is a tunnel from here on
 
 
 class Download(Protocol):
     """The client's side of a response."""
 
     def client_has_left(self) -> bool:
-        """Whether nobody waits for a response any more, also where that has not been read yet."""
+        """Whether the client has disconnected, even if its close was not read from the socket yet."""
 
     def interim(self, status: int, headers: Headers) -> None:
-        """A response of the kind 1xx, ahead of the final one."""
+        """Forward an interim (1xx) response."""
 
     def send_continue(self) -> None:
-        """A client that waits for 100 may send its body."""
+        """Send 100 (Continue) to a client that waits for it."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
-        """The final response's head. Called once at the most."""
+        """Forward the head of the final response. Called at most once."""
 
     def data(self, data: bytes) -> None:
-        """The next bytes of the response's body."""
+        """Forward the next bytes of the response's body."""
 
     def end(self, trailers: Headers) -> None:
-        """The response is complete."""
+        """Complete the response."""
 
     def abort(self) -> None:
-        """The response has broken off."""
+        """Abort the response: the endpoint did not complete it."""
 
 
 class DownloadSource(Protocol):
-    """The endpoint's side of a response that is passed on."""
+    """The endpoint's side of a forwarded response."""
 
     def flow(self, on: bool) -> None:
-        """The client takes no more, or takes it again."""
+        """Pause (`on` False) or resume reading from the endpoint."""
 
     def send_body(self, data: bytes) -> None:
-        """Of a tunnel: what the client sends."""
+        """Forward bytes that the client sends through a tunnel."""
 
     def client_left(self) -> None:
-        """Nobody takes the rest."""
+        """Stop: the client has disconnected."""
--- a/badgergap/proxy/clock.py
+++ b/badgergap/proxy/clock.py
@@ -6,12 +6,12 @@
 
 
 class Clock:
-    """Microseconds since the Unix epoch that never step back, whatever is done to the wall clock."""
+    """Microseconds since the Unix epoch; monotonic, unaffected by changes of the wall clock."""
 
     def __init__(self) -> None:
-        # A process that takes over from another sets the other's offset, to go on by its clock.
+        # In a hot restart the new process sets the old one's offset, and so continues its clock.
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """Return the time in microseconds since the Unix epoch."""
+        """Return the current time in microseconds since the Unix epoch."""
         return (self.offset_ns + time.monotonic_ns()) // 1000
--- a/badgergap/proxy/header_fields.py
+++ b/badgergap/proxy/header_fields.py
@@ -1,6 +1,6 @@
-"""Header fields, whatever transport they come by: hop-by-hop fields, trailers, a forwarded head. No I/O.
+"""Header fields, independent of the transport: hop-by-hop fields, trailers, forwarded heads. No I/O.
 
-`ordinary/heads.py` states the rules of forwarding as a whole.
+`ordinary/heads.py` documents the forwarding rules as a whole.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
         b"upgrade",
     )
 )
-# Written anew by this gateway, whatever came.
+# This gateway writes its own values for these, whatever the client sent.
 REWRITTEN = frozenset((b"host", b"content-length", b"expect", b"via", b"x-request-id"))
 FORWARDED = frozenset(
     (
@@ -42,7 +42,7 @@
         b"client-cert-chain",
     )
 )
-# Never removed because `Connection` lists them.
+# Forwarded even if `Connection` lists them.
 ALWAYS_KEPT = frozenset(
     (b"host", b"content-length", b"content-type", b"authorization", b"cookie", b"cache-control")
 )
@@ -56,30 +56,30 @@
 
 
 class InvalidHeadError(BadgergapError, ValueError):
-    """A head that cannot be forwarded so that all read it alike. `status` is that of the response."""
+    """A head that recipients could interpret differently if it were forwarded. `status`: of the response."""
 
-    def __init__(self, why: str, status: int = 400) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, status: int = 400) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardedHead:
-    """A request's head as it is sent to an endpoint, whatever the protocol."""
+    """A request's head as it is sent to an endpoint, independent of the protocol."""
 
     method: bytes
     target: bytes
     host: bytes
-    fields: Headers  # names in lower case; none that frames the message
-    length: int | None  # of the body; None: not known before its end
-    states_length: bool  # a length of 0 is stated too
+    fields: Headers  # names in lower case; without those that frame the message
+    length: int | None  # of the body; None: unknown before its end
+    states_length: bool  # state the length even if it is 0
     upgrade: bool = False
     accepts_trailers: bool = False
 
     def lines(self) -> bytes:
-        """Return it as HTTP/1.1, without the final empty line."""
+        """Return the head in HTTP/1.1 format, without the final empty line."""
         lines = [b"%b %b HTTP/1.1" % (self.method, self.target), b"Host: " + self.host]
-        lines += [b"%b: %b" % each for each in self.fields]
+        lines += [b"%b: %b" % field for field in self.fields]
         if self.length is None:
             lines.append(b"transfer-encoding: chunked")
         elif self.states_length:
@@ -92,7 +92,7 @@
 
 
 def trailers(fields: Headers) -> Headers:
-    """Return those of the fields that may be forwarded as trailers."""
+    """Return the fields that may be forwarded as trailers."""
     return [
         (name, value)
         for name, value in fields
@@ -101,7 +101,7 @@
 
 
 def response_headers(fields: Headers) -> Headers:
-    """Return the fields of an endpoint's response that the client gets unchanged. Raises InvalidHeadError."""
+    """Return the response fields to forward unchanged. Raises InvalidHeadError if one is malformed."""
     listed = {
         option.strip().lower()
         for name, value in fields
@@ -111,7 +111,7 @@
     kept: Headers = []
     for name, value in fields:
         if TOKEN.fullmatch(name) is None or VALUE.fullmatch(value) is None:
-            raise InvalidHeadError("a box's header that nobody can pass on")
+            raise InvalidHeadError("malformed header field in an endpoint's response")
         if name in HOP_BY_HOP or name in (b"content-length", b"not-started", b"server-load"):
             continue
         if name in listed and name not in ALWAYS_KEPT:
--- a/badgergap/proxy/pools.py
+++ b/badgergap/proxy/pools.py
@@ -1,8 +1,8 @@
-"""The pools of a gateway: one proxy each, with a balancer, endpoints and connections of its own.
+"""The pools of a gateway: each has its own proxy, with a balancer, endpoints and connections.
 
-The first is the main pool, the one that a gateway without pools consists of. The others come and go with the
-operator file. One that goes drains: it admits nothing new, and is closed once the last of its requests has
-ended.
+The first is the main pool, the only one if the operator file defines none. The others are added and removed
+with the operator file. A removed pool drains: it admits no new requests, and is closed once its last request
+has ended.
 """
 
 from __future__ import annotations
@@ -29,23 +29,23 @@
     """A component of one pool, such as a source of its endpoints."""
 
     def join(self, proxy: Proxy) -> None:
-        """Called before the pool starts: adds sources, restores what was kept."""
+        """Attach to a pool before it starts: add endpoint sources, restore saved state."""
 
     async def start(self) -> None:
-        """Begin its work, for a pool that is being started."""
+        """Start the component; called while its pool starts."""
 
     def reload(self, config: Config) -> None:
-        """Follow a new configuration of the pool."""
+        """Apply a new configuration of the pool."""
 
     async def close(self) -> None:
-        """End its work, and free what it holds."""
+        """Stop the component, and release its resources."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolPlan:
-    """A pool as the operator file names it.
+    """A pool as the operator file defines it.
 
-    A plan whose `identity` differs from the one before needs other components, and so another pool.
+    A plan whose `identity` differs from the previous one needs new components, and therefore a new pool.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Pool:
-    """A pool that takes requests."""
+    """A pool that accepts requests."""
 
     plan: PoolPlan
     proxy: Proxy
@@ -65,7 +65,7 @@
 
 
 class Pools:
-    """All pools of a gateway, and their quotas of connections and open requests."""
+    """All pools of a gateway, and their quotas for connections and open requests."""
 
     def __init__(self, main: Proxy, observer: Observer | None, main_weight: float = 1.0) -> None:
         self.main = main
@@ -78,22 +78,22 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def proxy(self, name: str) -> Proxy | None:
-        """The proxy of a pool that takes requests, or None."""
+        """Return the proxy of the pool with this name, or None if no such pool accepts requests."""
         if name == MAIN:
             return self.main
         pool = self.pools.get(name)
         return pool.proxy if pool is not None else None
 
     def proxies(self) -> dict[str, Proxy]:
-        """Those of all pools that take requests, by name, the main one first."""
+        """Return the proxies of all pools that accept requests, by name, the main pool first."""
         return {MAIN: self.main, **{name: pool.proxy for name, pool in self.pools.items()}}
 
     async def apply(self, plans: Sequence[PoolPlan], config: Config) -> None:
-        """Have these pools from now on. Those that stay keep all that they have learned."""
+        """Add and remove pools so that these are running. Unchanged pools keep their learned state."""
         planned = {plan.name: plan for plan in plans}
-        ending = [name for name, pool in self.pools.items() if not _stays(pool.plan, planned.get(name))]
-        for name in ending:
-            self._spawn(self._drain(name, self.pools.pop(name)))
+        removed = [name for name, pool in self.pools.items() if not _is_kept(pool.plan, planned.get(name))]
+        for name in removed:
+            self._spawn(self._drain_pool(name, self.pools.pop(name)))
         for name, plan in planned.items():
             if name in self.pools:
                 self.pools[name].plan = plan
@@ -101,14 +101,14 @@
                 for component in self.pools[name].components:
                     component.reload(config)
             else:
-                await self._start(plan)
+                await self._start_pool(plan)
         self.open_requests.total = config.proxy_settings.max_open_requests
-        self._divide()
+        self._divide_quotas()
 
-    async def _start(self, plan: PoolPlan) -> None:
+    async def _start_pool(self, plan: PoolPlan) -> None:
         main_proxy = self.main
         proxy = Proxy(plan.config, main_proxy.loop, self.observer, main_proxy.clock, main_proxy.diagnostics)
-        # Drains by hand are of endpoints in whatever pool.
+        # Manual drains apply to an endpoint in every pool.
         main = self.main.directory
         proxy.directory.registry.drains = main.registry.drains
         proxy.directory.manual_drain_listeners = main.manual_drain_listeners
@@ -118,12 +118,12 @@
         self.pools[plan.name] = pool
         for component in pool.components:
             component.join(proxy)
-        self._divide()
+        self._divide_quotas()
         await proxy.start()
         for component in pool.components:
             await component.start()
 
-    def _divide(self) -> None:
+    def _divide_quotas(self) -> None:
         weights = {MAIN: self.main_weight, **{name: pool.plan.weight for name, pool in self.pools.items()}}
         self.connections.divide(weights)
         self.open_requests.divide(weights)
@@ -142,27 +142,27 @@
         used[""] = sum(map(count, self.draining))
         return used
 
-    async def _drain(self, name: str, pool: Pool) -> None:
-        log.info("pool %s takes nothing new", name)
+    async def _drain_pool(self, name: str, pool: Pool) -> None:
+        log.info("pool %s is draining and admits no new requests", name)
         proxy = pool.proxy
         self.draining.add(proxy)
         while proxy.requests:
             await asyncio.sleep(DRAIN_POLL_S)
         self.draining.discard(proxy)
-        await self._close(pool)
-        log.info("pool %s has ended", name)
+        await self._close_pool(pool)
+        log.info("pool %s has drained and is closed", name)
 
-    async def _close(self, pool: Pool) -> None:
+    async def _close_pool(self, pool: Pool) -> None:
         for component in reversed(pool.components):
             await component.close()
         pool.proxy.close()
 
     async def close(self) -> None:
-        """Close all pools, also those that are draining."""
+        """Close all pools, including those that are draining."""
         for task in self.tasks:
             task.cancel()
         for pool in self.pools.values():
-            await self._close(pool)
+            await self._close_pool(pool)
         for proxy in self.draining:
             proxy.close()
 
@@ -173,7 +173,10 @@
 
 
 def proxy_for_endpoint(proxies: Iterable[Proxy], endpoint: str) -> Proxy:
-    """The first of these proxies, the main one ahead, that knows an endpoint; the main one if none does."""
+    """Return the first of these proxies whose registry lists an endpoint; the main proxy if none does.
+
+    `proxies`: the main proxy first.
+    """
     main, *others = proxies
     for proxy in (main, *others):
         if proxy.directory.registry.entry(endpoint) is not None:
@@ -181,11 +184,11 @@
     return main
 
 
-def _stays(old: PoolPlan, new: PoolPlan | None) -> bool:
-    """A pool stays while its components and the balancer's settings are as they were."""
+def _is_kept(old: PoolPlan, new: PoolPlan | None) -> bool:
+    """Whether a pool can be kept: its components and the balancer's settings are the same."""
     if new is None or new.identity != old.identity:
         return False
     if old.config.proxy_settings != new.config.proxy_settings:
         return False
-    settings = new.config.settings  # classes are only added, and taken over
+    settings = new.config.settings  # classes are only ever added, and the running pool adopts them
     return replace(old.config.settings, classes=settings.classes) == settings
