--- a/badgergap/proxy/tcp_transport.py
+++ b/badgergap/proxy/tcp_transport.py
@@ -1,7 +1,7 @@
-"""A transport over one TCP socket that outlasts a passing lack of memory or buffers.
+"""A transport over one TCP socket that survives a temporary shortage of memory or buffers.
 
-The loop's own transport closes its connection at any error of a read or write but EAGAIN and EINTR. ENOBUFS
-and ENOMEM say nothing of the connection (send(2), recv(2)): here the call is made again a moment later.
+The event loop's own transport closes its connection on any read or write error except EAGAIN and EINTR.
+ENOBUFS and ENOMEM do not concern the connection (send(2), recv(2)): this transport retries after a delay.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 
 log = logging.getLogger(__name__)
 
-# What a read or write fails with for want of something on this machine, while its connection is whole.
+# Errors of a read or write caused by a shortage on this machine; the connection is intact.
 SHORTAGES = frozenset((errno.ENOBUFS, errno.ENOMEM))
 SHORTAGE_RETRY_S = 0.005
-# `struct tcp_info` of Linux: the state first, and milliseconds since the last data came.
+# Linux `struct tcp_info`: the state (first byte), and milliseconds since data was last received.
 TCP_INFO = struct.Struct("=B51xI")
-TCP_CLOSE = 7  # a state: the connection is over
-READ_SIZE = 64 * 1024  # of one read, where the protocol's own buffer is not smaller
-DEFAULT_HIGH_WATER = 64 * 1024  # as asyncio's transports
+TCP_CLOSE = 7  # the TCP state of a closed connection
+READ_SIZE = 64 * 1024  # maximum of one read, unless the protocol's own buffer is smaller
+DEFAULT_HIGH_WATER = 64 * 1024  # the default of asyncio's transports
 
 
 class TcpTransport(asyncio.Transport):
-    """Carries bytes between a connected, non-blocking socket and a protocol; owns the socket."""
+    """Transfers bytes between a connected, non-blocking socket and a protocol; owns the socket."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sock: socket.socket, protocol: asyncio.BaseProtocol
     ) -> None:
-        """`sock`: connected and non-blocking. Nothing is read before `start`."""
+        """Wrap `sock`, which must be connected and non-blocking. Nothing is read before `start`."""
         super().__init__()
         self._loop = loop
         self._socket = sock
@@ -43,18 +43,18 @@
         self._low_water = DEFAULT_HIGH_WATER // 4
         self._write_retry: asyncio.TimerHandle | None = None
         self._read_retry: asyncio.TimerHandle | None = None
-        self._pending_error: OSError | None = None  # that has broken the connection behind what is unread
-        self._is_seen_open = False  # since the last read
+        self._pending_error: OSError | None = None  # broke the connection after the data that is still unread
+        self._seen_open = False  # `data_age_s` saw the connection open since the last read
         self._is_reading = False
         self._is_waiting_to_write = False
         self._is_protocol_paused = False
         self._is_closing = False
-        self._is_lost = False  # connection_lost was called, or will be in the next turn
+        self._is_lost = False  # connection_lost was called, or is scheduled
         self._is_eof_written = False
         self.set_protocol(protocol)
 
     def start(self) -> None:
-        """Tell the protocol of the connection, and read from now on unless it says otherwise."""
+        """Call the protocol's `connection_made`, then start reading unless it paused reading."""
         self._is_reading = True
         self._protocol.connection_made(self)
         if self._is_reading and not self._is_closing:
@@ -63,9 +63,9 @@
     # Protocol and socket
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Use `protocol` from now on."""
+        """Replace the protocol."""
         self._protocol = protocol
-        # By its methods, as the loop does: the protocol of TLS is no BufferedProtocol by inheritance.
+        # Checked by method, as the event loop does: uvloop's TLS protocol does not inherit BufferedProtocol.
         self._buffered: Any = protocol if hasattr(protocol, "get_buffer") else None
 
     def get_protocol(self) -> asyncio.BaseProtocol:
@@ -73,7 +73,7 @@
         return self._protocol
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return the socket, or one of its addresses; `default` for anything else."""
+        """Return the socket or one of its addresses, or `default` for any other name."""
         if name == "socket":
             return self._socket
         if name in ("peername", "sockname"):
@@ -84,22 +84,22 @@
         return default
 
     def is_closing(self) -> bool:
-        """Whether the connection is being closed, or is closed."""
+        """Whether the connection is closing or closed."""
         return self._is_closing
 
     # Reading
 
     def is_reading(self) -> bool:
-        """Whether the protocol gets what comes."""
+        """Whether received data is passed to the protocol."""
         return self._is_reading and not self._is_closing
 
     def pause_reading(self) -> None:
-        """Read nothing until `resume_reading`; does nothing while paused or closing."""
+        """Stop reading until `resume_reading`; no effect while paused or closing."""
         if self._is_reading and not self._is_closing:
             self._stop_reading()
 
     def resume_reading(self) -> None:
-        """Read again; does nothing while reading or closing."""
+        """Resume reading; no effect while reading or closing."""
         if not self._is_reading and not self._is_closing:
             self._is_reading = True
             self._loop.add_reader(self._descriptor, self._on_readable)
@@ -128,39 +128,39 @@
         if not count:
             self._on_eof()
             return
-        self._is_seen_open = False
+        self._seen_open = False
         if self._buffered is not None:
             self._buffered.buffer_updated(count)
         else:
             cast(asyncio.Protocol, self._protocol).data_received(data)
-        self._look_for_error()
+        self._check_for_error()
 
     def data_age_s(self) -> float:
-        """Seconds since the last data came to the socket, read or not; 0 where the system does not tell."""
+        """Return the seconds since the socket last received data, read or unread; 0 if not available."""
         try:
             info = self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO.size)
             state, age_ms = TCP_INFO.unpack(info)
         except (OSError, struct.error):
             return 0.0
-        self._is_seen_open = state != TCP_CLOSE
+        self._seen_open = state != TCP_CLOSE
         return float(age_ms) / 1000.0
 
-    def _look_for_error(self) -> None:
-        """Look whether the connection was broken behind what was read.
+    def _check_for_error(self) -> None:
+        """Check whether the connection was broken after the data that was just read.
 
-        Guards against a reset that is never noticed: the loop calls a reader of a socket with an error once,
-        and watches it no more. Not looked for where `data_age_s` has just seen the connection open, nor for a
-        protocol that is at rest and looks itself before its next use.
+        Guards against a reset that is never noticed: uvloop calls the reader of a socket with an error only
+        once, and then stops watching it. Skipped if `data_age_s` has just seen the connection open, and for
+        an idle protocol (`is_at_rest`), which checks its connection itself before the next use.
         """
-        if self._is_seen_open or not self._is_reading or getattr(self._protocol, "is_at_rest", False):
+        if self._seen_open or not self._is_reading or getattr(self._protocol, "is_at_rest", False):
             return
         code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             self._pending_error = OSError(code, os.strerror(code))
-            self._loop.call_soon(self._watch_again)
+            self._loop.call_soon(self._restart_reader)
 
-    def _watch_again(self) -> None:
-        """Read what is left in front of an error."""
+    def _restart_reader(self) -> None:
+        """Register the reader again, to read the data that precedes an error."""
         if self._is_reading:
             self._loop.remove_reader(self._descriptor)
             self._loop.add_reader(self._descriptor, self._on_readable)
@@ -169,7 +169,7 @@
         if error.errno not in SHORTAGES:
             self._fail(error)
             return
-        # Readiness would be reported again at once.
+        # The socket stays readable: without this the loop would retry immediately.
         self._loop.remove_reader(self._descriptor)
         self._read_retry = self._loop.call_later(SHORTAGE_RETRY_S, self._read_again)
 
@@ -189,26 +189,26 @@
     # Writing
 
     def get_write_buffer_size(self) -> int:
-        """Return how many bytes the system has not taken yet."""
+        """Return the number of bytes that the system has not accepted yet."""
         return len(self._unsent)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Return the low and the high limit, in bytes."""
+        """Return the low and the high water mark, in bytes."""
         return self._low_water, self._high_water
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Pause the protocol while over `high` bytes are unsent, and until `low` are. Raises ValueError."""
+        """Pause the protocol above `high` unsent bytes, and resume it at `low`. Raises ValueError."""
         if high is None:
             high = DEFAULT_HIGH_WATER if low is None else 4 * low
         if low is None:
             low = high // 4
         if not 0 <= low <= high:
-            raise ValueError(f"the limits have to be 0 <= {low} <= {high}")
+            raise ValueError(f"the water marks must satisfy 0 <= {low} <= {high}")
         self._high_water, self._low_water = high, low
         self._pause_protocol_over_limit()
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send `data`, or keep what the system does not take now. Dropped once the connection is lost."""
+        """Send `data`, buffering what the system does not accept now. Drops it if the connection is lost."""
         if self._is_eof_written:
             raise RuntimeError("write after write_eof")
         if self._is_lost or not data:
@@ -223,7 +223,7 @@
         self._pause_protocol_over_limit()
 
     def _send(self, data: bytes | bytearray | memoryview) -> int:
-        """Return how many bytes the system has taken; where some are left, the rest is tried again."""
+        """Send `data` and return how many bytes the system accepted; schedules another try for the rest."""
         sent = 0
         try:
             sent = self._socket.send(data)
@@ -263,7 +263,7 @@
 
     def _on_all_sent(self) -> None:
         if self._is_closing:
-            self._lose(None)
+            self._schedule_connection_lost(None)
         elif self._is_eof_written:
             self._shut_down_sending()
 
@@ -278,11 +278,11 @@
             self._protocol.pause_writing()
 
     def can_write_eof(self) -> bool:
-        """Return whether the sending side can be closed alone: it can."""
+        """Return True: the sending side can be closed separately."""
         return True
 
     def write_eof(self) -> None:
-        """Close the sending side once all is sent; the other side may still send."""
+        """Close the sending side once all data is sent; the peer may continue to send."""
         if self._is_eof_written or self._is_closing:
             return
         self._is_eof_written = True
@@ -295,31 +295,31 @@
         except OSError as error:
             self._fail(error)
 
-    # The end
+    # Closing
 
     def close(self) -> None:
-        """Read nothing more, and close once all is sent."""
+        """Stop reading, and close the connection once all data is sent."""
         if self._is_closing:
             return
         self._is_closing = True
         self._stop_reading()
         if not self._unsent:
-            self._lose(None)
+            self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        """Close at once; what is unsent is dropped."""
-        self._lose(None)
+        """Close immediately; unsent data is dropped."""
+        self._schedule_connection_lost(None)
 
     def _force_close(self, error: Exception | None) -> None:
-        """Close at once for this error; asyncio's and uvloop's protocols of TLS call it."""
-        self._lose(error)
+        """Close immediately with this error; called by the TLS protocols of asyncio and uvloop."""
+        self._schedule_connection_lost(error)
 
     def _fail(self, error: OSError) -> None:
-        """The connection is broken."""
-        log.debug("a connection has failed: %s", error.strerror)
-        self._lose(error)
+        """Close immediately because the connection is broken."""
+        log.debug("connection failed: %s", error.strerror)
+        self._schedule_connection_lost(error)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
         if self._is_lost:
             return
         self._is_lost = True
@@ -339,25 +339,28 @@
 
 
 def disable_nagle(sock: socket.socket) -> None:
-    """Have small writes sent at once; connections that a listening socket accepts have that from it."""
+    """Set TCP_NODELAY, so that small writes are sent immediately; accepted sockets inherit it."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 async def connect_tcp(
     loop: asyncio.AbstractEventLoop, protocol: asyncio.BaseProtocol, host: str, port: int
 ) -> TcpTransport:
-    """Connect `protocol` to the first address of `host` that accepts. Raises OSError of the last one."""
+    """Connect `protocol` to the first address of `host` that accepts.
+
+    Raises the OSError of the last address that was tried.
+    """
     failed = OSError(errno.EADDRNOTAVAIL, f"{host} has no address")
-    for family, where in await _resolve(loop, host, port):
+    for family, address in await _resolve(loop, host, port):
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
             disable_nagle(sock)
-            await connect_socket(loop, sock, where)
+            await connect_socket(loop, sock, address)
         except OSError as error:
             sock.close()
             failed = error
-        except BaseException:  # cancelled: nobody else knows of the socket
+        except BaseException:  # cancelled: nothing else refers to the socket
             sock.close()
             raise
         else:
@@ -372,7 +375,7 @@
 ) -> None:
     """Connect a non-blocking socket. Raises OSError.
 
-    Not by the loop's `sock_connect`: it takes EAGAIN (no port is free) for a connect that is under way.
+    The event loop's `sock_connect` is not used: it treats EAGAIN (no free port) as a connect in progress.
     """
     code = sock.connect_ex(address)
     if code in (errno.EINPROGRESS, errno.EINTR):
@@ -396,10 +399,10 @@
 async def _resolve(
     loop: asyncio.AbstractEventLoop, host: str, port: int
 ) -> list[tuple[socket.AddressFamily, tuple[str, int]]]:
-    """Return the addresses of a host, without a look-up where it is an address itself. Raises OSError."""
+    """Return the addresses of a host; no lookup if it is an IP address. Raises OSError."""
     for family in (socket.AF_INET, socket.AF_INET6):
         with contextlib.suppress(OSError, ValueError):
             socket.inet_pton(family, host)
             return [(family, (host, port))]
     found = await loop.getaddrinfo(host, port, type=socket.SOCK_STREAM)
-    return [(each[0], each[4][:2]) for each in found]
+    return [(info[0], info[4][:2]) for info in found]
--- a/badgergap/proxy/tls_transport.py
+++ b/badgergap/proxy/tls_transport.py
@@ -1,6 +1,7 @@
-"""TLS over a `TcpTransport`, so that a lack of buffers or memory ends no TLS connection either.
+"""TLS over a `TcpTransport`, so that TLS connections also survive a shortage of buffers or memory.
 
-uvloop's own protocol for TLS does the work. Its calls for connections would put it on uvloop's TCP transport.
+Uses uvloop's TLS protocol directly, since uvloop's connection functions would run it over uvloop's own TCP
+transport.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from badgergap.proxy.tcp_transport import TcpTransport, connect_tcp
 
-# Not among uvloop's documented names; requirements.txt pins its release.
+# Not part of uvloop's documented API; requirements.txt pins the release.
 _TlsProtocol: Any = uvloop_loop.SSLProtocol  # type: ignore[attr-defined]
 
 
@@ -27,16 +28,16 @@
     handshake_s: float,
     shutdown_s: float,
 ) -> None:
-    """Shake hands as the server; `protocol` has its connection from then on. Raises OSError.
+    """Perform a TLS handshake as the server, then pass the connection to `protocol`. Raises OSError.
 
-    `shutdown_s`: seconds for the client's part in the end of TLS.
+    `handshake_s`: timeout of the handshake. `shutdown_s`: seconds to wait for the client's TLS close_notify.
     """
-    shaken: asyncio.Future[None] = loop.create_future()
+    handshake: asyncio.Future[None] = loop.create_future()
     tls = _TlsProtocol(
         loop,
         protocol,
         context,
-        shaken,
+        handshake,
         server_side=True,
         ssl_handshake_timeout=handshake_s,
         ssl_shutdown_timeout=shutdown_s,
@@ -44,8 +45,8 @@
     transport = TcpTransport(loop, sock, tls)
     transport.start()
     try:
-        await shaken
-    except BaseException:  # cancelled among them
+        await handshake
+    except BaseException:  # including CancelledError
         transport.abort()
         raise
 
@@ -58,12 +59,15 @@
     context: ssl.SSLContext,
     server_name: str | None,
 ) -> None:
-    """Connect `protocol` over TLS; its certificate must name `server_name`, or `host`. Raises OSError."""
-    shaken: asyncio.Future[None] = loop.create_future()
-    tls = _TlsProtocol(loop, protocol, context, shaken, server_hostname=server_name or host)
+    """Connect `protocol` over TLS. Raises OSError.
+
+    The server's certificate must be valid for `server_name`, or for `host` if that is None or empty.
+    """
+    handshake: asyncio.Future[None] = loop.create_future()
+    tls = _TlsProtocol(loop, protocol, context, handshake, server_hostname=server_name or host)
     transport = await connect_tcp(loop, tls, host, port)
     try:
-        await shaken
-    except BaseException:  # cancelled among them
+        await handshake
+    except BaseException:  # including CancelledError
         transport.abort()
         raise
--- a/badgergap/proxy/unread_input.py
+++ b/badgergap/proxy/unread_input.py
@@ -1,4 +1,4 @@
-"""Looks at what a socket holds that its transport has not read: before a close, an attempt or a decision."""
+"""Inspects the receive side of a socket ahead of its transport: before a close, an attempt or a decision."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 
 from badgergap.proxy.tcp_transport import TCP_INFO, TcpTransport
 
-# Linux reports a peer's close apart from its data; elsewhere only a reset is seen.
+# Linux reports a peer's close separately from its data; other systems only report a reset.
 CLOSE_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 READ_SIZE = 64 * 1024
 
 
 def is_quiet(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether nothing waits to be read, neither data nor an end.
+    """Whether nothing waits to be read, neither data nor an end of stream.
 
-    Guards against a close that crosses a request: the loop runs timers before it reads, so what has come
-    meanwhile stands in the socket, and closing would reset the connection under it.
+    Guards against closing a connection on which a request has just arrived: the event loop runs timers before
+    it reads, so the request can still be in the socket, and closing would reset the connection.
     """
     return _poll(transport, select.POLLIN) == 0
 
 
 def peer_has_closed(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the other side has closed, also where it is not read: its close comes after what it has sent.
+    """Whether the peer has closed the connection, even while unread data precedes the close.
 
-    Not seen while more than the system holds for a socket waits to be read.
+    A close is not detected while the unread data exceeds the receive buffer of the socket.
     """
     return _poll(transport, CLOSE_EVENTS) & CLOSE_EVENTS != 0
 
 
 def read_now(transport: asyncio.BaseTransport | None, limit: int) -> Iterator[bytes]:
-    """Read what stands in a socket, `limit` bytes at the most, ahead of the loop's turn. Not for TLS.
+    """Read up to `limit` bytes from a socket now, ahead of the event loop. Yields nothing for TLS.
 
-    Ends before an end of the other side, which is left to the transport, as is an error.
+    Stops at the end of the stream or an error, either of which is left to the transport.
     """
     if transport is None or transport.get_extra_info("ssl_object") is not None:
         return
     with (
         contextlib.suppress(OSError, ValueError),
-        # A descriptor of its own: the loop may close the transport's meanwhile.
+        # Uses a duplicate descriptor: the event loop may close the transport's in the meantime.
         socket.socket(fileno=os.dup(transport.get_extra_info("socket").fileno())) as sock,
     ):
         while limit > 0 and (data := sock.recv(min(limit, READ_SIZE), socket.MSG_DONTWAIT)):
@@ -52,7 +52,7 @@
 
 
 def data_age_s(transport: asyncio.BaseTransport | None) -> float:
-    """Seconds since the last data came to a TCP socket, read or not; 0 where the system does not tell."""
+    """Return the seconds since a TCP socket last received data, read or unread; 0 if not available."""
     if transport is None or transport.is_closing():
         return 0.0
     if isinstance(transport, TcpTransport):
@@ -67,20 +67,20 @@
 
 
 def is_bound(sock: socket.socket, address: tuple[str, int]) -> bool:
-    """Whether a socket is bound to `address`; port 0 is any port."""
+    """Whether a socket is bound to `address`; port 0 matches any port."""
     try:
         host, port = sock.getsockname()[:2]
     except (OSError, ValueError):
         return False
-    given = "127.0.0.1" if address[0] == "localhost" else address[0]
-    return host == given and address[1] in (0, port)
+    expected_host = "127.0.0.1" if address[0] == "localhost" else address[0]
+    return host == expected_host and address[1] in (0, port)
 
 
 def _poll(transport: asyncio.BaseTransport | None, events: int) -> int:
-    """Return which of `events` a socket has; all of them if its transport is closing."""
+    """Return which of `events` are set on a socket; all of them if its transport is closing."""
     if transport is None or transport.is_closing():
         return events
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), events)
-    found = poll.poll(0)
-    return found[0][1] if found else 0
+    ready = poll.poll(0)
+    return ready[0][1] if ready else 0
