--- a/badgergap/proxy/limits/__init__.py
+++ b/badgergap/proxy/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Bounds on descriptors, memory and connections, and who is evicted at them."""
+"""Limits on descriptors, memory and connections, and the eviction of connections at them."""
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -73,7 +73,7 @@
     deadline_s: float, half_s: float
 ) -> None:
     assert eviction.partial_request_s(deadline_s) == pytest.approx(half_s)
-    killed_s = min(deadline_s, eviction.DEADLINE_MOST_S) + eviction.KILLED_AFTER_S
+    killed_s = min(deadline_s, eviction.MAX_DEADLINE_S) + eviction.KILL_DELAY_S
     assert half_s <= max(eviction.PARTIAL_REQUEST_MIN_S, killed_s)
 
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -326,8 +326,8 @@
     klass: str, early: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With a longer time than is left, at a host that hangs, it was found unanswered by SIGKILL."""
-    monkeypatch.setattr(eviction, "DEADLINE_MOST_S", 0.3)
-    monkeypatch.setattr(eviction, "KILLED_AFTER_S", 0.6)
+    monkeypatch.setattr(eviction, "MAX_DEADLINE_S", 0.3)
+    monkeypatch.setattr(eviction, "KILL_DELAY_S", 0.6)
 
     async def test() -> None:
         async with gateway() as it:
