--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -146,7 +146,7 @@
     driver = Driver(servers=2)
     driver.balancer.endpoints[0].weight = 0.2
     driver.balancer.endpoints[1].weight = 0.6
-    driver.list_servers(ListedEndpoint(9), kind=EndpointListKind.DELTA)
+    driver.list_endpoints(ListedEndpoint(9), kind=EndpointListKind.DELTA)
     assert driver.balancer.endpoints[9].weight == 0.4
 
 
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -24,7 +24,7 @@
 
 
 def tell(driver: Driver, number: int, status: EndpointStatus, started_us: int = 0) -> None:
-    driver.list_servers(
+    driver.list_endpoints(
         ListedEndpoint(number, status, group=number % 2, started_us=started_us), kind=EndpointListKind.DELTA
     )
 
@@ -93,10 +93,10 @@
     """By the draw it would come up once in hundreds of requests."""
     driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), servers=0)
     near = [ListedEndpoint(n) for n in range(6)]
-    driver.list_servers(*near, ListedEndpoint(6, zone=1))
+    driver.list_endpoints(*near, ListedEndpoint(6, zone=1))
     driver.balancer.endpoints[6].used = True
     for status in (OUT, READY):
-        driver.list_servers(ListedEndpoint(6, status, zone=1), kind=EndpointListKind.DELTA)
+        driver.list_endpoints(ListedEndpoint(6, status, zone=1), kind=EndpointListKind.DELTA)
     began_us = driver.now_us
     while 6 not in serve(driver):
         driver.now_us += 23_000
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -215,7 +215,7 @@
 
 def test_servers_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
     driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), servers=0)
-    driver.list_servers(ListedEndpoint(1, zone=0), ListedEndpoint(2, zone=1))
+    driver.list_endpoints(ListedEndpoint(1, zone=0), ListedEndpoint(2, zone=1))
     to_home = 0
     for _ in range(200):
         name, actions = driver.arrive()
@@ -243,7 +243,7 @@
 
 def test_a_draining_or_gone_server_gets_nothing_new() -> None:
     driver = Driver(servers=3)
-    driver.list_servers(
+    driver.list_endpoints(
         ListedEndpoint(0, EndpointStatus.DRAINING),
         ListedEndpoint(1, EndpointStatus.GONE),
         kind=EndpointListKind.DELTA,
@@ -255,14 +255,14 @@
 def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
     driver = Driver(servers=3)
     driver.balancer.endpoints[1].breakers[0].record(0, True, 0, 0.0)
-    driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
+    driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
     assert list(driver.balancer.endpoints) == [1]
     assert driver.balancer.endpoints[1].breakers[0].failures == 0
 
 
 def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, endpoint_list_is_pushed=False), servers=0)
-    (timer,) = timers(driver.list_servers(ListedEndpoint(1), kind=EndpointListKind.DISK))
+    (timer,) = timers(driver.list_endpoints(ListedEndpoint(1), kind=EndpointListKind.DISK))
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all proxies at once
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
@@ -281,7 +281,7 @@
         for send in sends(actions):
             driver.end(name, send.endpoint_id, Outcome.SUCCESS if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
-            driver.list_servers(*(ListedEndpoint(n + i) for i in range(4)))
+            driver.list_endpoints(*(ListedEndpoint(n + i) for i in range(4)))
         for request in list(driver.balancer.requests):
             driver.handle(ClientDisconnected(request))
             for i in range(3):
@@ -416,7 +416,7 @@
     work_us = [0.0] * 20  # by windows of half a second
     for proxy in range(40):
         driver = Driver(replace(COLD, proxy_index=proxy), servers=0, seed=proxy)
-        driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
+        driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
         for step in range(1_000):
             name, actions = driver.arrive()
             if sends(actions):
@@ -434,7 +434,7 @@
     sent = []
     for usual_us in (10_000.0, 100_000.0):
         driver = Driver(cold, servers=0)
-        driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
+        driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
         driver.balancer.latency.baseline_us, driver.balancer.latency.smoothed_us = [10_000.0], [usual_us]
         driver.balancer.endpoints[1].spent_us = 0.0
         sent.append(sum(bool(sends(driver.arrive()[1])) for _ in range(300)))
@@ -473,7 +473,7 @@
     last = driver.balancer.table.ranked[-1].entry.endpoint_id
     for server in driver.balancer.table.ranked[:-1]:
         trip(server.breakers[0], driver.now_us)
-    driver.list_servers(ListedEndpoint(last, started_us=driver.now_us - 1), kind=EndpointListKind.DELTA)
+    driver.list_endpoints(ListedEndpoint(last, started_us=driver.now_us - 1), kind=EndpointListKind.DELTA)
     assert driver.balancer.selector.subset(0, driver.now_us) == []
 
 
@@ -595,14 +595,14 @@
     """A proxy with few answers noticed a crowd when the servers had choked already."""
     for live in (True, False):
         driver = Driver(replace(SETTINGS, weights_follow_load=live), servers=0)
-        driver.list_servers(*(ListedEndpoint(n, weight=4.0) for n in range(3)))
+        driver.list_endpoints(*(ListedEndpoint(n, weight=4.0) for n in range(3)))
         for _ in range(5):
-            driver.list_servers(
+            driver.list_endpoints(
                 *(ListedEndpoint(n, weight=0.5) for n in range(3)), kind=EndpointListKind.DELTA
             )
         assert (driver.balancer.admission.shed_fraction > 0.5) == live
         for _ in range(20):
-            driver.list_servers(
+            driver.list_endpoints(
                 *(ListedEndpoint(n, weight=4.0) for n in range(3)), kind=EndpointListKind.DELTA
             )
         assert driver.balancer.admission.shed_fraction == 0.0
@@ -735,7 +735,7 @@
     first, _ = driver.arrive(klass=1, key=7, patience_us=10**9)
     driver.balancer.latency.baseline_us[1] = 0.0
     waiting = [driver.arrive(klass=1, key=7, patience_us=10**9)[0] for _ in range(2_000)]
-    driver.list_servers(ListedEndpoint(0, EndpointStatus.DRAINING))
+    driver.list_endpoints(ListedEndpoint(0, EndpointStatus.DRAINING))
     answers = finals(driver.end(first, 0))
     assert answers == [Reject(name) for name in waiting] and not driver.balancer.lifecycle.ordering.queues
 
@@ -760,7 +760,7 @@
 def test_after_an_empty_list_requests_are_refused_and_late_outcomes_settle() -> None:
     driver = Driver()
     first, actions = driver.arrive(klass=2)
-    driver.list_servers()
+    driver.list_endpoints()
     second, answer = driver.arrive()
     assert finals(answer) == [Reject(second)]
     assert finals(driver.end(first, sends(actions)[0].endpoint_id, Outcome.RESET)) == [Fail(first)]
@@ -771,7 +771,7 @@
 @pytest.mark.parametrize("status", [EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.OUT])
 def test_retry_after_counts_only_endpoints_that_take_requests(status: EndpointStatus) -> None:
     driver = Driver(replace(SETTINGS, max_retry_after_us=30_000_000))
-    driver.list_servers(ListedEndpoint(0, status=status), kind=EndpointListKind.DELTA)
+    driver.list_endpoints(ListedEndpoint(0, status=status), kind=EndpointListKind.DELTA)
     for number in (1, 2):
         trip(driver.balancer.endpoints[number].breakers[0], driver.now_us)
     if status is EndpointStatus.READY:
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -140,7 +140,7 @@
     before = worked()
     after = Driver(COLD, servers=0)
     after.now_us = before.now_us
-    after.list_servers(*(s.entry for s in before.balancer.endpoints.values()), kind=EndpointListKind.DISK)
+    after.list_endpoints(*(s.entry for s in before.balancer.endpoints.values()), kind=EndpointListKind.DISK)
     assert json.dumps(after.balancer.snapshot()) != written
     after.balancer.restore(after.now_us, json.loads(written))
     assert json.dumps(after.balancer.snapshot()) == written
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -61,14 +61,14 @@
         self.count = 0
         self.timers: list[SetTimer] = []
         if servers:
-            self.list_servers(*(ListedEndpoint(n, group=n % 2) for n in range(servers)))
+            self.list_endpoints(*(ListedEndpoint(n, group=n % 2) for n in range(servers)))
 
     def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
         self.timers += [action for action in actions if isinstance(action, SetTimer)]
         return actions
 
-    def list_servers(
+    def list_endpoints(
         self, *entries: ListedEndpoint, kind: EndpointListKind = EndpointListKind.FULL
     ) -> list[Action]:
         return self.handle(EndpointList(kind, entries))
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -130,7 +130,7 @@
     """Another process: the same list, and what the first has learnt, by way of JSON."""
     heir = Driver(driver.balancer.settings, servers=0)
     heir.now_us = driver.now_us
-    heir.list_servers(*(s.entry for s in driver.balancer.endpoints.values()), kind=EndpointListKind.DISK)
+    heir.list_endpoints(*(s.entry for s in driver.balancer.endpoints.values()), kind=EndpointListKind.DISK)
     heir.balancer.restore(heir.now_us, json.loads(json.dumps(driver.balancer.snapshot())))
     return heir
 
@@ -190,7 +190,7 @@
     heir.now_us = driver.now_us
     entries = [s.entry for s in driver.balancer.endpoints.values()]
     started = replace(entries[2], started_us=driver.now_us)
-    heir.list_servers(
+    heir.list_endpoints(
         *(started if e.endpoint_id == entries[2].endpoint_id else e for e in entries),
         kind=EndpointListKind.DISK,
     )
@@ -222,7 +222,7 @@
 
 def test_a_process_whose_heir_serves_sends_cold_hosts_nothing() -> None:
     driver = Driver(COLD, servers=0)
-    driver.list_servers(ListedEndpoint(0, started_us=driver.now_us), ListedEndpoint(1))
+    driver.list_endpoints(ListedEndpoint(0, started_us=driver.now_us), ListedEndpoint(1))
     driver.balancer.is_standby = True
     assert set(serve(driver, 60)) == {1}
 
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -13,7 +13,7 @@
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from tests.hot_restart.test_coordinator import Box
 from tests.proxy.commands.test_commands import call, opened
-from tests.proxy.test_bodies import beside
+from tests.proxy.test_bodies import gateway_for
 from tests.sockets import Client, ask, gateway, run
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
@@ -108,7 +108,7 @@
 
     async def test() -> None:
         box = Box()
-        async with beside(box) as it, opened(it) as address:
+        async with gateway_for(box) as it, opened(it) as address:
             clients = [await it.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(ask()))[0] == 200
--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -13,7 +13,7 @@
 from badgergap.proxy.downstream import client_connection, listener, request_reader
 from badgergap.proxy.limits import eviction
 from badgergap.proxy.limits.eviction import EvictionPriority
-from tests.proxy.test_bodies import Echo, beside, with_length
+from tests.proxy.test_bodies import Echo, gateway_for, with_length
 from tests.sockets import ask, gateway, run
 
 COUNTS = st.integers(0, 2000)
@@ -89,7 +89,7 @@
     monkeypatch.setattr(client_connection, "IDLE_S", 1e6)
 
     async def test() -> None:
-        async with beside(
+        async with gateway_for(
             Echo(lambda body: with_length(body)), limits={"sockets": 128, "memory_mb": 40}
         ) as it:
             most = 0
@@ -148,7 +148,7 @@
     """A connection to a host is begun while clients have all there is: one that rests gives way."""
 
     async def test() -> None:
-        async with beside(Echo(lambda body: with_length(body)), limits={"sockets": 128}) as it:
+        async with gateway_for(Echo(lambda body: with_length(body)), limits={"sockets": 128}) as it:
             resting = [await it.client() for _ in range(it.downstream.limit - 1)]
             while len(it.downstream.connections) < len(resting):
                 await asyncio.sleep(0.001)
@@ -169,7 +169,7 @@
     monkeypatch.setattr(eviction, "STALLED_S", 30.0)
 
     async def test() -> None:
-        async with beside(Echo(lambda body: with_length(body))) as it:
+        async with gateway_for(Echo(lambda body: with_length(body))) as it:
             it.downstream.partial_request_s = 60.0
             slow, stalled = await it.client(), await it.client()
             whole = ask("buy", body=b"x" * 300)
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -90,7 +90,7 @@
 
 
 @asynccontextmanager
-async def beside(host: Server, **changed: Any) -> AsyncIterator[Gateway]:
+async def gateway_for(host: Server, **changed: Any) -> AsyncIterator[Gateway]:
     """A gateway whose only host is this one."""
     await host.start()
     known = {"index": 7, "endpoints": [entry("h0", host.address)]}
@@ -150,7 +150,7 @@
         sizes = iter(SIZES)
         host = Echo(lambda _: say(data(next(sizes))))
         host.end = ends
-        async with beside(host) as it:
+        async with gateway_for(host) as it:
             client = await it.client()
             for size in SIZES:
                 client.send(ask())
@@ -167,7 +167,7 @@
 
 def test_a_client_of_http_1_0_gets_a_long_answer_until_the_end() -> None:
     async def test() -> None:
-        async with beside(Echo(lambda _: chunked(data(LONG)))) as it:
+        async with gateway_for(Echo(lambda _: chunked(data(LONG)))) as it:
             client = await it.client()
             client.send(ask().replace(b"HTTP/1.1", b"HTTP/1.0"))
             status, head, body = await Reader(client.reader).answer()
@@ -190,7 +190,7 @@
 def test_requests_of_all_forms_and_sizes_come_whole(form: str) -> None:
     async def test() -> None:
         host = Echo(lambda body: with_length(hashlib.sha256(body).digest()))
-        async with beside(host) as it:
+        async with gateway_for(host) as it:
             client = await it.client()
             for size in SIZES:
                 body = data(min(size, 20_000) if form == "chunks of one byte" else size)
@@ -212,7 +212,7 @@
 
 def test_long_requests_ahead_of_their_turn_are_answered_in_turn() -> None:
     async def test() -> None:
-        async with beside(Echo(lambda body: with_length(body))) as it:
+        async with gateway_for(Echo(lambda body: with_length(body))) as it:
             client = await it.client()
             bodies = [data(LONG, seed) for seed in range(4)]
             sending = asyncio.create_task(send_all(client, [ask("buy", body=body) for body in bodies]))
@@ -234,7 +234,7 @@
     """Also behind another request: the word comes in its turn and not into that one's answer."""
 
     async def test() -> None:
-        async with beside(Echo(lambda body: with_length(body))) as it:
+        async with gateway_for(Echo(lambda body: with_length(body))) as it:
             client = await it.client()
             waits = ask("buy", Content_Length=str(size), Expect="100-continue")
             client.send(ask("buy", body=b"first") + waits)
@@ -263,7 +263,7 @@
     async def test() -> None:
         size = 16 * 1024 * 1024
         host = Echo(lambda body: with_length(body or data(1000) * (size // 1000), 65_536))
-        async with beside(host) as it:
+        async with gateway_for(host) as it:
             slow, quick = await it.client(), await it.client()
             slow.send(ask())
             await it.event(StreamStarted)
@@ -287,7 +287,7 @@
 
     async def test() -> None:
         size, readers, total = 512 * 1024, 40, 1024 * 1024
-        async with beside(Echo(lambda _: with_length(data(size)))) as it:
+        async with gateway_for(Echo(lambda _: with_length(data(size)))) as it:
             budget = it.proxy.upstream.budget
             budget.change(0)
             budget.total = total
@@ -418,7 +418,7 @@
 
 def test_a_client_that_takes_nothing_of_its_answer_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with beside(Echo(lambda _: with_length(data(8 * 1024 * 1024)))) as it:
+        async with gateway_for(Echo(lambda _: with_length(data(8 * 1024 * 1024)))) as it:
             client = await it.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(ask())
@@ -534,7 +534,7 @@
 
     async def test() -> None:
         host = Echo(with_length)
-        async with beside(host) as it:
+        async with gateway_for(host) as it:
             client = await it.client()
             whole = b"".join(chunks(data(LONG), 10_000))
             client.send(ask("buy", Transfer_Encoding="chunked") + whole[: -5 if end else None] + end)
@@ -548,7 +548,7 @@
 
 def test_a_full_budget_costs_tries_and_no_request() -> None:
     async def test() -> None:
-        async with beside(Echo(lambda body: with_length(body))) as it:
+        async with gateway_for(Echo(lambda body: with_length(body))) as it:
             it.proxy.upstream.budget.change(Budget().total)
             client = await it.client()
             for size in (0, 1000, MIN_BUFFER + 1, HOLD, LONG):
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -35,7 +35,7 @@
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.replication.keyed_attempt import PendingAttempt
 from tests.proxy.lifecycle.test_process import logged, process
-from tests.proxy.test_gateway import hold_connects
+from tests.proxy.test_gateway import block_connects
 from tests.sockets import (
     Client,
     Gateway,
@@ -94,7 +94,7 @@
 
     async def test() -> None:
         async with gateway(settings=settings(mayCancel=cancels)) as it:
-            free = hold_connects(it, monkeypatch)
+            free = block_connects(it, monkeypatch)
             client = await it.client()
             client.send(ask(klass))
             await it.event(RequestArrived)
@@ -125,7 +125,7 @@
 
     async def test() -> None:
         async with gateway() as it:
-            free = hold_connects(it, monkeypatch)
+            free = block_connects(it, monkeypatch)
             client = await it.client()
             data = ask("buy", body=bytes(body))
             client.send(data[:-20_000] if body else data + ask("buy"))
@@ -195,7 +195,7 @@
 ) -> None:
     async def test() -> None:
         async with gateway() as it:
-            free = hold_connects(it, monkeypatch)
+            free = block_connects(it, monkeypatch)
             client = await it.client()
             client.send(ask(Request_Timeout_Ms="2000"))
             await it.event(RequestArrived)
@@ -426,7 +426,7 @@
     async def test() -> None:
         async with gateway(settings=settings(**CAPS)) as it:
             _, watch = await it.registry.watches.get()
-            free = hold_connects(it, monkeypatch)
+            free = block_connects(it, monkeypatch)
             client = await it.client()
             client.send(ask("buy"))
             await it.event(RequestArrived)
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -227,7 +227,7 @@
 def test_a_connection_that_does_not_come_up_in_time_has_not_run_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with gateway(settings=settings(connectTimeoutUs=1_000)) as it:
-            hold_connects(it, monkeypatch)
+            block_connects(it, monkeypatch)
             assert (await (await it.client()).ask(ask("buy")))[0] == 503
             assert (await it.event(AttemptEnded)).outcome is Outcome.CONNECT_FAILED
 
@@ -359,7 +359,7 @@
     run(test())
 
 
-def hold_connects(it: Gateway, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+def block_connects(it: Gateway, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Connections to hosts come up only once the event is set."""
     free = asyncio.Event()
     connect = tcp_transport.connect_socket
@@ -379,7 +379,7 @@
     async def test() -> None:
         async with gateway() as it:
             _, watch = await it.registry.watches.get()
-            free = hold_connects(it, monkeypatch)
+            free = block_connects(it, monkeypatch)
             client = await it.client()
             client.send(ask("buy"))
             await it.event(RequestArrived)
--- a/tests/web/test_endings.py
+++ b/tests/web/test_endings.py
@@ -16,7 +16,7 @@
 from tests.web.harness import ROUTE, Raw, Site, request, site
 
 
-def hold_connects(it: Site, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+def block_connects(it: Site, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Connections to boxes come up only once the event is set."""
     free = asyncio.Event()
     connect = tcp_transport.connect_socket
@@ -46,7 +46,7 @@
 
     async def test() -> None:
         async with site(tmp_path, fleet=f"cancels = {cancels}\n") as it:
-            free = hold_connects(it, monkeypatch)
+            free = block_connects(it, monkeypatch)
             client = await it.client()
             body = bytes(HOLD + 50_000) if waits == "body" else b"x"
             data = request("POST", "/echo", body)
