--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -389,7 +389,7 @@
 
 def snapshots() -> None:
     for boxes in (10, 100, learned_state.ENDPOINTS_LIMIT):
-        driver = Driver(servers=boxes)
+        driver = Driver(endpoints=boxes)
         for n in range(min(20 * boxes, 4000)):
             name, actions = driver.arrive()
             driver.now_us += 10_000
--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -97,7 +97,7 @@
 
 
 def test_a_server_that_fails_is_opened_and_gets_nothing() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     for _ in range(200):
         name, actions = driver.arrive()
         server = sends(actions)[0].endpoint_id
@@ -112,7 +112,7 @@
 
 
 def test_weight_steps_up_and_is_cut() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     server = driver.balancer.endpoints[0]
     server.weight = 0.5
     name, _ = driver.arrive()
@@ -124,7 +124,7 @@
 
 
 def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     server = driver.balancer.endpoints[0]
     name, _ = driver.arrive()
     driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
@@ -132,7 +132,7 @@
 
 
 def test_weight_stays_between_floor_and_ceiling() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     server = driver.balancer.endpoints[0]
     for _ in range(40):
         server.weight = next_weight(server.weight, True)
@@ -143,7 +143,7 @@
 
 
 def test_a_newcomer_starts_at_the_mean_weight() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     driver.balancer.endpoints[0].weight = 0.2
     driver.balancer.endpoints[1].weight = 0.6
     driver.list_endpoints(ListedEndpoint(9), kind=EndpointListKind.DELTA)
@@ -151,7 +151,7 @@
 
 
 def test_a_closed_again_server_regains_its_weight() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     server = driver.balancer.endpoints[0]
     for _ in range(MINIMUM_OUTCOMES):
         name, actions = driver.arrive(klass=2)
@@ -170,7 +170,7 @@
 
 def test_a_server_that_fails_one_class_loses_that_class_only() -> None:
     """In one ring, a class's silence drowned in the answers to the others."""
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     for n in range(120):
         name, actions = driver.arrive(klass=n % 3)
         server = sends(actions)[0].endpoint_id
@@ -188,7 +188,7 @@
 
 def test_a_failed_connect_is_one_failure_among_others() -> None:
     """Where handshakes were slow, one failed connect shut out servers whose open connections worked."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     for n in range(MINIMUM_OUTCOMES):
         assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.CLOSED
         name, actions = driver.arrive(klass=n % 3)
@@ -198,7 +198,7 @@
 
 def test_a_jam_does_not_open_one_breaker_after_the_other() -> None:
     """Each one that opened left its work to the rest, until nine of twelve were open and all was refused."""
-    driver = Driver(servers=12)
+    driver = Driver(endpoints=12)
     servers = list(driver.balancer.endpoints.values())
     for server in servers[:4]:
         trip(server.breakers[0], driver.now_us)
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_host_put_back_is_used_soon_if_it_was_used_before(seed: int) -> None:
     """Within 5 s, also by a proxy that would not have drawn it: at thirty requests a second."""
-    driver = Driver(COLD, servers=12, seed=seed)
+    driver = Driver(COLD, endpoints=12, seed=seed)
     used = serve(driver, 200)
     number = max(set(used), key=used.count)
     tell(driver, number, OUT)
@@ -91,7 +91,7 @@
 
 def test_a_host_far_away_that_was_used_is_used_again_soon_too() -> None:
     """By the draw it would come up once in hundreds of requests."""
-    driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), servers=0)
+    driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), endpoints=0)
     near = [ListedEndpoint(n) for n in range(6)]
     driver.list_endpoints(*near, ListedEndpoint(6, zone=1))
     driver.balancer.endpoints[6].used = True
@@ -105,7 +105,7 @@
 
 
 def test_a_host_never_used_is_not_sought_out() -> None:
-    driver = Driver(COLD, servers=12)
+    driver = Driver(COLD, endpoints=12)
     used = set(serve(driver, 200))
     other = next(n for n in range(12) if n not in used)
     tell(driver, other, OUT)
@@ -139,7 +139,7 @@
 @given(STEPS)
 def test_no_attempt_goes_to_a_host_that_is_out(steps: list[tuple[str, int, int]]) -> None:
     """Under any order of calls, lists and requests; and a cold host is never sent more than its budget."""
-    driver = Driver(COLD, servers=4)
+    driver = Driver(COLD, endpoints=4)
     status = dict.fromkeys(range(4), READY)
     since = dict.fromkeys(range(4), 0)
     cold_from = dict.fromkeys(range(4), 0)
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -52,7 +52,7 @@
 
 
 def test_a_keyed_request_stays_in_its_group_and_window() -> None:
-    driver = Driver(servers=6)
+    driver = Driver(endpoints=6)
     name, actions = driver.arrive(klass=1)
     first = sends(actions)[0].endpoint_id
     again = sends(driver.end(name, first, Outcome.RESET))
@@ -77,7 +77,7 @@
 def test_a_bound_keyed_request_stays_in_its_group_and_window(
     bound: tuple[int, ...], waited_us: int, attempts: list[set[int]]
 ) -> None:
-    driver = Driver(servers=6)
+    driver = Driver(endpoints=6)
     name, actions = driver.arrive(klass=1, allowed_endpoints=bound)  # type: ignore[arg-type]
     sent: list[int] = []
     while sends(actions):
@@ -97,7 +97,7 @@
 
 
 def test_attempts_end_with_the_limit() -> None:
-    driver = Driver(replace(SETTINGS, max_attempts=2), servers=5)
+    driver = Driver(replace(SETTINGS, max_attempts=2), endpoints=5)
     name, actions = driver.arrive()
     again = sends(driver.end(name, sends(actions)[0].endpoint_id, Outcome.ERROR))
     assert finals(driver.end(name, again[0].endpoint_id, Outcome.ERROR, attempt=1)) == [Reject(name)]
@@ -148,7 +148,7 @@
 
 
 def test_an_unsafe_request_is_no_trial() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     breaker = driver.balancer.endpoints[0].breakers[0]
     trip(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
@@ -157,14 +157,14 @@
 
 
 def test_a_silent_server_gets_nothing_more() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     driver.arrive(klass=2)
     driver.now_us += int(OVERDUE_MULTIPLE * max(driver.balancer.latency.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
 def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     for number, server in driver.balancer.endpoints.items():
         trip(server.breakers[0], driver.now_us + number * 100_000)
     driver.now_us += 400_000
@@ -173,7 +173,7 @@
 
 
 def test_without_servers_requests_are_refused() -> None:
-    driver = Driver(servers=0)
+    driver = Driver(endpoints=0)
     name, actions = driver.arrive(klass=2)
     assert finals(actions) == [Reject(name)]
 
@@ -214,7 +214,7 @@
 
 
 def test_servers_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
-    driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), servers=0)
+    driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), endpoints=0)
     driver.list_endpoints(ListedEndpoint(1, zone=0), ListedEndpoint(2, zone=1))
     to_home = 0
     for _ in range(200):
@@ -225,7 +225,7 @@
 
 
 def test_a_keys_requests_go_home_while_it_has_room() -> None:
-    driver = Driver(replace(SETTINGS, sticky_keys=True), servers=8)
+    driver = Driver(replace(SETTINGS, sticky_keys=True), endpoints=8)
     met: dict[int, int] = {}
     for _ in range(100):
         name, actions = driver.arrive(key=77)
@@ -242,7 +242,7 @@
 
 
 def test_a_draining_or_gone_server_gets_nothing_new() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     driver.list_endpoints(
         ListedEndpoint(0, EndpointStatus.DRAINING),
         ListedEndpoint(1, EndpointStatus.GONE),
@@ -253,7 +253,7 @@
 
 
 def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     driver.balancer.endpoints[1].breakers[0].record(0, True, 0, 0.0)
     driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
     assert list(driver.balancer.endpoints) == [1]
@@ -261,7 +261,7 @@
 
 
 def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
-    driver = Driver(replace(SETTINGS, endpoint_list_is_pushed=False), servers=0)
+    driver = Driver(replace(SETTINGS, endpoint_list_is_pushed=False), endpoints=0)
     (timer,) = timers(driver.list_endpoints(ListedEndpoint(1), kind=EndpointListKind.DISK))
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all proxies at once
     driver.now_us = timer.due_us
@@ -275,7 +275,7 @@
 
 
 def test_nothing_is_kept_of_what_is_finished() -> None:
-    driver = Driver(servers=4)
+    driver = Driver(endpoints=4)
     for n in range(3_000):
         name, actions = driver.arrive(klass=n % 3)
         for send in sends(actions):
@@ -366,7 +366,7 @@
 def test_a_proxy_keeps_to_its_subset() -> None:
     """With a server each, hundreds of proxies filled every connection table: 90% of attempts got none."""
     met: set[int] = set()
-    driver = Driver(replace(SETTINGS, proxy_count=300, proxy_index=5), servers=60)
+    driver = Driver(replace(SETTINGS, proxy_count=300, proxy_index=5), endpoints=60)
     for _ in range(300):
         name, actions = driver.arrive()
         met.add(sends(actions)[0].endpoint_id)
@@ -387,14 +387,14 @@
 
 def test_a_proxy_with_more_in_hand_reaches_further(monkeypatch: pytest.MonkeyPatch) -> None:
     """One proxy with a fifth of all traffic would crush the few servers of a fixed subset."""
-    driver = Driver(replace(SETTINGS, proxy_count=300), servers=60)
+    driver = Driver(replace(SETTINGS, proxy_count=300), endpoints=60)
     monkeypatch.setattr(AdmissionControl, "burst_shed_fraction", lambda self: 0.0)
     met = {send.endpoint_id for _ in range(40) for send in sends(driver.arrive(klass=2)[1])}
     assert len(met) > 3 * MIN_SUBSET_SIZE
 
 
 def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
-    driver = Driver(replace(SETTINGS, proxy_count=300), servers=60)
+    driver = Driver(replace(SETTINGS, proxy_count=300), endpoints=60)
     subset = driver.balancer.selector.subset(0, driver.now_us)
     trip(subset[0].breakers[0], driver.now_us)
     after = driver.balancer.selector.subset(0, driver.now_us)
@@ -415,7 +415,7 @@
     """Each proxy sent its one allowed request at the moment a server was listed, forty at once."""
     work_us = [0.0] * 20  # by windows of half a second
     for proxy in range(40):
-        driver = Driver(replace(COLD, proxy_index=proxy), servers=0, seed=proxy)
+        driver = Driver(replace(COLD, proxy_index=proxy), endpoints=0, seed=proxy)
         driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
         for step in range(1_000):
             name, actions = driver.arrive()
@@ -433,7 +433,7 @@
     cold = replace(SETTINGS, classes=(UNSAFE,), cold_capacity=0.25, warm_up_us=8_000_000, overload_multiple=4)
     sent = []
     for usual_us in (10_000.0, 100_000.0):
-        driver = Driver(cold, servers=0)
+        driver = Driver(cold, endpoints=0)
         driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
         driver.balancer.latency.baseline_us, driver.balancer.latency.smoothed_us = [10_000.0], [usual_us]
         driver.balancer.endpoints[1].spent_us = 0.0
@@ -445,7 +445,7 @@
     """Only first tries counted: the class whose clients come back most was taken for the worst served."""
     for took_us, served in ((20_000, 1.0), (150_000, 0.0)):
         driver = Driver()
-        name, actions = driver.arrive(patience_us=300_000, is_retry=True)  # 100 ms of the aim are left
+        name, actions = driver.arrive(client_timeout_us=300_000, is_retry=True)  # 100 ms of the aim are left
         driver.now_us += took_us
         driver.end(name, sends(actions)[0].endpoint_id)
         assert driver.balancer.admission.served[0] == served
@@ -455,7 +455,7 @@
     """Drawn like any other, one in eight of the most worth queued behind others beside a free server."""
     spared = []
     for klass in (1, 2):  # of the three the last alone is worth more than the mean
-        driver = Driver(replace(SETTINGS, proxy_count=1), servers=3)
+        driver = Driver(replace(SETTINGS, proxy_count=1), endpoints=3)
         busy, free, _ = driver.balancer.table.ranked
         for server, out in ((busy, 2), (driver.balancer.table.ranked[2], 2), (free, 1)):
             server.in_flight = {Attempt(server, driver.now_us, (0, 0)): driver.now_us for _ in range(out)}
@@ -469,7 +469,7 @@
 
 def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
     """When many step aside from failing servers, all would meet on the same cold one."""
-    driver = Driver(replace(COLD, proxy_count=300), servers=60)
+    driver = Driver(replace(COLD, proxy_count=300), endpoints=60)
     last = driver.balancer.table.ranked[-1].entry.endpoint_id
     for server in driver.balancer.table.ranked[:-1]:
         trip(server.breakers[0], driver.now_us)
@@ -536,8 +536,8 @@
     for marks in (True, False):
         driver = Driver(replace(SETTINGS, classes=(late,), clients_mark_retries=marks))
         for n in range(30):
-            patience_us = 330_000 if n % 5 == 4 else 220_000
-            name, actions = driver.arrive(patience_us=patience_us, is_retry=marks and n % 5 == 4)
+            client_timeout_us = 330_000 if n % 5 == 4 else 220_000
+            name, actions = driver.arrive(client_timeout_us=client_timeout_us, is_retry=marks and n % 5 == 4)
             (send,) = sends(actions)
             if n > 4:
                 assert (send.timeout_us < 150_000) == (n % 5 == 4)
@@ -546,7 +546,7 @@
 
 def test_a_few_long_answers_among_hundreds_shed_little() -> None:
     """At 250 answers a second ten long ones in a row came every few seconds, and nearly all was refused."""
-    driver = Driver(servers=8)  # room for ten at once
+    driver = Driver(endpoints=8)  # room for ten at once
     crowd(driver)
     asked = [driver.arrive(klass=2) for _ in range(10)]
     driver.balancer.admission.shed_updated_us = driver.now_us
@@ -560,7 +560,7 @@
     """With three requests out at a dozen servers a proxy refused nine in ten: much of the work was long."""
     shed = []
     for out in (3, 30):
-        driver = Driver(servers=12)
+        driver = Driver(endpoints=12)
         asked = [driver.arrive(klass=2) for _ in range(out)]
         driver.now_us += 5_000_000
         driver.handle(EndpointList(EndpointListKind.DELTA))
@@ -572,18 +572,18 @@
 
 def test_a_burst_sheds_before_any_answer_tells_of_it() -> None:
     """Of a burst of hundreds every request was sent, every one waited past its aim, and all were repeated."""
-    driver = Driver(servers=4)
+    driver = Driver(endpoints=4)
     sent = sum(bool(sends(driver.arrive()[1])) for _ in range(200))
     assert 4 < sent < 100
     lone = Driver(
-        replace(SETTINGS, proxy_count=100), servers=4
+        replace(SETTINGS, proxy_count=100), endpoints=4
     )  # three of its own tell nothing of the others'
     assert all(sends(lone.arrive()[1]) for _ in range(3))
 
 
 def test_the_unhindered_latency_does_not_sink_to_the_shortest_work() -> None:
     """Of thousands of answers the shortest took a tenth of the mean: nearly all seemed to have waited."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     driver.balancer.random.seed(3)
     for number in range(3_000):
         name, _ = driver.arrive()
@@ -594,7 +594,7 @@
 def test_live_weights_that_tell_of_a_crowd_shed_before_any_answer_does() -> None:
     """A proxy with few answers noticed a crowd when the servers had choked already."""
     for live in (True, False):
-        driver = Driver(replace(SETTINGS, weights_follow_load=live), servers=0)
+        driver = Driver(replace(SETTINGS, weights_follow_load=live), endpoints=0)
         driver.list_endpoints(*(ListedEndpoint(n, weight=4.0) for n in range(3)))
         for _ in range(5):
             driver.list_endpoints(
@@ -610,7 +610,7 @@
 
 def test_a_server_keeps_its_weight_from_before_the_trip() -> None:
     """Late outcomes and failed trials cut the weight that a recovering server was to come back with."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     server = driver.balancer.endpoints[0]
     names = [driver.arrive(klass=2)[0] for _ in range(2)]
     trip(server.breakers[0], driver.now_us)
@@ -624,7 +624,7 @@
 
 def test_full_refusals_shed_nothing() -> None:
     """Where servers throttled one class, their refusals made a proxy shed every class."""
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     for _ in range(6):
         name, actions = driver.arrive()
         if sends(actions):
@@ -634,7 +634,7 @@
 
 def test_a_new_proxy_soon_learns_how_fast_the_servers_are() -> None:
     """Restarted proxies took a jam for the usual: the unhindered latency began high and sank slowly."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     balancer = driver.balancer
     start_us = balancer.latency.baseline_us[0]
     for _ in range(6):
@@ -649,7 +649,7 @@
 
 def test_a_little_over_the_unhindered_latency_is_no_jam_where_aims_are_tight() -> None:
     """A quarter of a small slack lay within the work's own scatter, and a quiet day shed half."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     crowd(driver)
     driver.balancer.latency.baseline_us[0] = 150_000.0  # of an aim of 200 ms
     for latency_us, sheds in ((250_000, False), (310_000, True)):
@@ -663,7 +663,7 @@
     """At half the worth after the aim a refusal costs more than the wait."""
     for late_worth, sheds in ((0.0, True), (0.5, False)):
         klass = replace(SAFE, late_weight=late_worth)
-        driver = Driver(replace(SETTINGS, classes=(klass,)), servers=1)
+        driver = Driver(replace(SETTINGS, classes=(klass,)), endpoints=1)
         crowd(driver)
         driver.balancer.latency.baseline_us[0] = 20_000.0
         name, _ = driver.arrive()
@@ -674,7 +674,7 @@
 def test_a_client_that_leaves_a_jam_counts_for_shedding() -> None:
     """Impatient clients hid the jam that they made: what they left taught nothing."""
     for stayed_us, sheds in ((10_000, False), (90_000, True)):
-        driver = Driver(servers=1)
+        driver = Driver(endpoints=1)
         crowd(driver)
         driver.balancer.latency.baseline_us[0] = 40_000.0
         name, _ = driver.arrive()
@@ -722,19 +722,19 @@
     driver = Driver(ORDERED)
     driver.arrive(klass=1, key=7)
     least_us = int(driver.balancer.latency.baseline_us[1])
-    late, actions = driver.arrive(klass=1, key=7, patience_us=2 * least_us - 1)
+    late, actions = driver.arrive(klass=1, key=7, client_timeout_us=2 * least_us - 1)
     assert finals(actions) == [Reject(late)]
-    waiting, actions = driver.arrive(klass=1, key=7, patience_us=2 * least_us + 1_000)
+    waiting, actions = driver.arrive(klass=1, key=7, client_timeout_us=2 * least_us + 1_000)
     (timer,) = timers(actions)
     driver.now_us = timer.due_us
     assert finals(driver.handle(TimerFired(timer.token))) == [Reject(waiting)]
 
 
 def test_many_turned_away_at_once_are_answered_without_recursion() -> None:
-    driver = Driver(ORDERED, servers=1)
-    first, _ = driver.arrive(klass=1, key=7, patience_us=10**9)
+    driver = Driver(ORDERED, endpoints=1)
+    first, _ = driver.arrive(klass=1, key=7, client_timeout_us=10**9)
     driver.balancer.latency.baseline_us[1] = 0.0
-    waiting = [driver.arrive(klass=1, key=7, patience_us=10**9)[0] for _ in range(2_000)]
+    waiting = [driver.arrive(klass=1, key=7, client_timeout_us=10**9)[0] for _ in range(2_000)]
     driver.list_endpoints(ListedEndpoint(0, EndpointStatus.DRAINING))
     answers = finals(driver.end(first, 0))
     assert answers == [Reject(name) for name in waiting] and not driver.balancer.lifecycle.ordering.queues
@@ -752,7 +752,7 @@
 def test_a_request_with_no_time_left_is_refused_unsent() -> None:
     driver = Driver()
     for klass in range(3):
-        name, actions = driver.arrive(klass=klass, patience_us=0)
+        name, actions = driver.arrive(klass=klass, client_timeout_us=0)
         assert finals(actions) == [Reject(name)] and not sends(actions)
     assert not driver.balancer.requests
 
--- a/tests/balancing/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -25,7 +25,7 @@
 
 
 def test_an_attempt_that_its_client_owns_is_no_load_and_no_silence() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     names = [begin(driver) for _ in range(5)]
     for name, _ in names:
         driver.handle(StreamStarted(name, 0, latency_us=10_000))
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.SUCCESS])
 def test_an_answer_that_breaks_off_was_no_good_one(outcome: Outcome) -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     for _ in range(5):
         name, number = begin(driver)
         driver.handle(StreamStarted(name, 0))
@@ -55,7 +55,7 @@
 
 
 def test_what_is_held_no_more_is_not_sent_again_and_counts_by_its_outcome() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     name, number = begin(driver)
     driver.handle(StreamStarted(name, 0, answered=False))
     assert driver.balancer.in_flight == 0
@@ -68,7 +68,7 @@
 
 
 def test_one_long_attempt_does_not_silence_a_server_whose_work_varies_and_two_do() -> None:
-    driver = Driver(VARIED, servers=1)
+    driver = Driver(VARIED, endpoints=1)
     (server,) = driver.balancer.endpoints.values()
     begin(driver)
     pass_time(driver)
@@ -84,14 +84,14 @@
 
 def test_servers_that_work_on_many_at_once_are_not_crowded_by_them() -> None:
     for at_once, shed in ((1, True), (1000, False)):
-        driver = Driver(replace(SETTINGS, endpoint_concurrency=at_once), servers=1)
+        driver = Driver(replace(SETTINGS, endpoint_concurrency=at_once), endpoints=1)
         begin(driver)
         driver.balancer.admission.in_flight = 100
         assert (driver.balancer.admission.burst_shed_fraction() > 0.0) is shed
 
 
 def test_a_class_that_comes_later_learns_from_the_one_it_is_like_and_changes_no_other() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     balancer = driver.balancer
     name, number = begin(driver)
     driver.end(name, number, latency_us=7_000)
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -18,7 +18,7 @@
 
 
 def test_a_look_names_open_silent_and_cold_servers() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     trip(driver.balancer.endpoints[0].breakers[0], START_US)
     _, actions = driver.arrive()
     (send,) = sends(actions)
@@ -31,7 +31,7 @@
 
 
 def test_a_look_at_some_of_them() -> None:
-    driver = Driver(servers=5)
+    driver = Driver(endpoints=5)
     assert [view.endpoint_id for view in driver.balancer.endpoint_views(START_US, [3, 99, 1])] == [3, 1]
 
 
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -138,7 +138,7 @@
 def test_what_the_decisions_had_learnt_is_read() -> None:
     written = (DATA / "balancer_snapshot.json").read_text()
     before = worked()
-    after = Driver(COLD, servers=0)
+    after = Driver(COLD, endpoints=0)
     after.now_us = before.now_us
     after.list_endpoints(*(s.entry for s in before.balancer.endpoints.values()), kind=EndpointListKind.DISK)
     assert json.dumps(after.balancer.snapshot()) != written
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Short ways to build settings and events, and a driver that keeps what the balancer has done."""
+"""Builders for settings and events, and a driver for one balancer."""
 
 from __future__ import annotations
 
@@ -53,15 +53,15 @@
 
 
 class Driver:
-    """One balancer and its clock."""
+    """Drives one balancer with a clock that the test sets, and records its timers."""
 
-    def __init__(self, settings: Settings = SETTINGS, servers: int = 3, seed: int = 1) -> None:
+    def __init__(self, settings: Settings = SETTINGS, endpoints: int = 3, seed: int = 1) -> None:
         self.balancer = Balancer(settings, seed)
         self.now_us = START_US
         self.count = 0
         self.timers: list[SetTimer] = []
-        if servers:
-            self.list_endpoints(*(ListedEndpoint(n, group=n % 2) for n in range(servers)))
+        if endpoints:
+            self.list_endpoints(*(ListedEndpoint(n, group=n % 2) for n in range(endpoints)))
 
     def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
@@ -74,27 +74,27 @@
         return self.handle(EndpointList(kind, entries))
 
     def arrive(
-        self, klass: int = 0, patience_us: int = 400_000, **extra: int | bool
+        self, klass: int = 0, client_timeout_us: int = 400_000, **extra: int | bool
     ) -> tuple[str, list[Action]]:
         self.count += 1
         name = f"r{self.count}"
-        event = RequestArrived(name, klass, patience_us)
+        event = RequestArrived(name, klass, client_timeout_us)
         return name, self.handle(replace(event, **extra))  # type: ignore[arg-type]
 
     def end(
         self,
         request: str,
-        server: int,
+        endpoint: int,
         outcome: Outcome = Outcome.SUCCESS,
         attempt: int = 0,
         latency_us: int = 20_000,
     ) -> list[Action]:
         finished = outcome is Outcome.SUCCESS
-        return self.handle(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
+        return self.handle(AttemptEnded(request, attempt, endpoint, outcome, latency_us, finished))
 
 
 def crowd(driver: Driver) -> None:
-    """As if very many requests had been out of late."""
+    """Make the balancer behave as if very many requests had been in flight recently."""
     driver.balancer.admission.mean_in_flight = 1e99
 
 
@@ -111,7 +111,7 @@
 
 
 def trip(breaker: CircuitBreaker, now_us: int) -> None:
-    """Open a fresh breaker with the fewest failures that can."""
+    """Open a new circuit breaker with the minimum number of failures."""
     for _ in range(MINIMUM_OUTCOMES):
         breaker.record(now_us, True, 0, 0.0)
     assert breaker.state is BreakerState.OPEN
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -128,7 +128,7 @@
 
 def heir_of(driver: Driver) -> Driver:
     """Another process: the same list, and what the first has learnt, by way of JSON."""
-    heir = Driver(driver.balancer.settings, servers=0)
+    heir = Driver(driver.balancer.settings, endpoints=0)
     heir.now_us = driver.now_us
     heir.list_endpoints(*(s.entry for s in driver.balancer.endpoints.values()), kind=EndpointListKind.DISK)
     heir.balancer.restore(heir.now_us, json.loads(json.dumps(driver.balancer.snapshot())))
@@ -137,7 +137,7 @@
 
 def worked(seed: int = 1) -> Driver:
     """One that has something to tell: an open breaker, a cold host that was sent work, one put back."""
-    driver = Driver(COLD, servers=6, seed=seed)
+    driver = Driver(COLD, endpoints=6, seed=seed)
     used = [number for number in serve(driver, 50) if number not in (1, 5)]
     tell(driver, used[-1], EndpointStatus.OUT)
     tell(driver, 5, EndpointStatus.READY, started_us=driver.now_us - 1_000_000)
@@ -186,7 +186,7 @@
 
 def test_a_host_that_has_restarted_since_begins_as_new() -> None:
     driver = worked()
-    heir = Driver(COLD, servers=0)
+    heir = Driver(COLD, endpoints=0)
     heir.now_us = driver.now_us
     entries = [s.entry for s in driver.balancer.endpoints.values()]
     started = replace(entries[2], started_us=driver.now_us)
@@ -211,7 +211,7 @@
             place[key] = data.draw(st.sampled_from([None, "x", -1, [], {}, float("inf"), [[]]]))
             break
         place = place[key]
-    heir = Driver(COLD, servers=6)
+    heir = Driver(COLD, endpoints=6)
     before = heir.balancer.snapshot()
     try:
         heir.balancer.restore(driver.now_us, damaged)
@@ -221,7 +221,7 @@
 
 
 def test_a_process_whose_heir_serves_sends_cold_hosts_nothing() -> None:
-    driver = Driver(COLD, servers=0)
+    driver = Driver(COLD, endpoints=0)
     driver.list_endpoints(ListedEndpoint(0, started_us=driver.now_us), ListedEndpoint(1))
     driver.balancer.is_standby = True
     assert set(serve(driver, 60)) == {1}
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -42,10 +42,10 @@
     Host,
     ask,
     chunk,
+    class_settings,
     configuration,
     entry,
     gateway,
-    lane,
     news,
     run,
     settings,
@@ -760,7 +760,7 @@
 
 def lanes(**changed: object) -> dict[str, object]:
     return settings(**CAPS, secondCopies=True) | {
-        "lanes": [{**lane("look", "free"), **changed}],
+        "lanes": [{**class_settings("look", "free"), **changed}],
         "contract": {"mustAskInUs": 100_000, "stopSendingWithinUs": 0, "keyQuietUs": 0},
     }
 
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -139,7 +139,9 @@
     good = learned_state.pack(HealthSnapshot(old.now_us, ("a",), {"": raw, "gone": raw}))
     bad = learned_state.pack(HealthSnapshot(old.now_us, ("a",), {"": {**raw, "reach": float("nan")}}))
     assert good is not None and bad is not None
-    assert room_of(Driver(servers=0)).restore("g1", StoredSnapshot(good, S)) is False  # until there is a list
+    assert (
+        room_of(Driver(endpoints=0)).restore("g1", StoredSnapshot(good, S)) is False
+    )  # until there is a list
     room = room_of(taken := Driver())
     assert room.restore("g1", StoredSnapshot(good, S)) and room.restored_count == 3
     assert taken.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A gateway in this process and the parties around it, scripted, on real sockets of 127.0.0.1."""
+"""A gateway in this process with scripted clients, endpoint and registry, on real sockets of 127.0.0.1."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
     "read_message",
 ]
 
-PATIENCE_S = 30.0  # no test waits for this long unless it fails
+PATIENCE_S = 30.0  # timeout of a test
 
-ids = itertools.count()  # of requests: new with every one
+request_ids = itertools.count()  # a new one for every request
 E = TypeVar("E")
 
 
@@ -48,11 +48,11 @@
         async with asyncio.timeout(patience_s):
             await test
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # the loop that the gateway runs on
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # the gateway uses uvloop
         runner.run(bounded())
 
 
-def lane(name: str, effect: str) -> dict[str, object]:
+def class_settings(name: str, effect: str) -> dict[str, object]:
     return {
         "name": name,
         "effect": effect,
@@ -66,7 +66,11 @@
 
 def settings(**caps: object) -> dict[str, object]:
     return {
-        "lanes": [lane("look", "free"), lane("pay", "guarded"), lane("buy", "single_shot")],
+        "lanes": [
+            class_settings("look", "free"),
+            class_settings("pay", "guarded"),
+            class_settings("buy", "single_shot"),
+        ],
         "zones": ["a", "b"],
         "shapes": ["m1"],
         "membershipMode": "on_request",
@@ -97,7 +101,7 @@
 def ask(klass: str = "look", method: str = "", body: bytes = b"", **headers: str | None) -> bytes:
     lines: dict[str, str | None] = {
         "Host": "service.internal",
-        "Request-Id": f"{next(ids):08x}",
+        "Request-Id": f"{next(request_ids):08x}",
         "Request-Class": klass,
         "Request-Timeout-Ms": "30000",
         "Content-Length": str(len(body)) if body else None,
@@ -110,7 +114,7 @@
 
 
 class Clients:
-    """Some that ask without a pause, each a task of `tasks`, until `over`; `answers`: by status."""
+    """Clients that send requests continuously, one task each, until `over`; `answers` counts statuses."""
 
     def __init__(self) -> None:
         self.answers: Counter[int] = Counter()
@@ -137,18 +141,18 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def watch_events(self) -> None:
-        """Note what the balancer is told, in order."""
+        """Record the events that the balancer receives, in order."""
         handle = self.proxy.balancer.handle
 
-        def noting(now_us: int, event: Event) -> list[Action]:
+        def record(now_us: int, event: Event) -> list[Action]:
             self.events.append(event)
             self.changed.set()
             return handle(now_us, event)
 
-        self.proxy.balancer.handle = noting  # type: ignore[method-assign]
+        self.proxy.balancer.handle = record  # type: ignore[method-assign]
 
     async def event(self, kind: type[E], where: Callable[[E], bool] = lambda _: True) -> E:
-        """The first such event, waited for; it and those before it are used up."""
+        """Wait for the first such event and return it; removes it and all earlier ones."""
         while True:
             while self.events:
                 event = self.events.pop(0)
@@ -158,13 +162,13 @@
             await self.changed.wait()
 
     async def served(self, client: Client, data: bytes = b"") -> None:
-        """One request of this client all the way."""
+        """Send a request from this client, answer it at the endpoint and receive the response."""
         client.send(data or ask())
         (await self.host.taken.get()).answer()
         assert (await client.answer())[0] == 200
 
     def stop_reading(self, client: Client) -> ClientConnection:
-        """The client takes in nothing more, and little is on the way; returns the gateway's side of it."""
+        """Stop the client from reading, with a small send buffer. Returns the gateway's side."""
         (connection,) = self.downstream.connections
         assert connection.transport is not None
         ours = connection.transport.get_extra_info("socket")
@@ -183,9 +187,9 @@
 
 @asynccontextmanager
 async def gateway(hosts: int = 1, rest_s: float = 0.0, **changed: Any) -> AsyncIterator[Gateway]:
-    """A running gateway that knows `hosts` hosts, all at the one address of `host`.
+    """Run a gateway with `hosts` endpoints, all at the address of `Gateway.host`.
 
-    `rest_s`: how long its connections to them rest; 0 where a test looks for the same one again.
+    `rest_s`: how long its connections to them rest before reuse; 0 where a test expects immediate reuse.
     """
     host, registry = Host(), Registry()
     await host.start()
