--- a/tests/proxy/limits/test_eviction.py
+++ b/tests/proxy/limits/test_eviction.py
@@ -1,4 +1,4 @@
-"""Crowds that never finish a request: true requests get in, and nothing runs out."""
+"""Many connections that never complete a request: valid requests are served, no resource runs out."""
 
 from __future__ import annotations
 
@@ -20,24 +20,25 @@
 
 
 @given(st.integers(128, 4096), COUNTS, COUNTS)
-def test_descriptors_are_never_promised_twice(sockets: int, hosts: int, clients: int) -> None:
-    """Whoever grows to its limit while the other has so many: together they leave the reserve alone."""
-    whole = sockets - eviction.reserve(sockets)
+def test_descriptors_are_never_allocated_twice(sockets: int, hosts: int, clients: int) -> None:
+    """Whichever side grows to its limit, both together never use the reserve."""
+    available = sockets - eviction.reserve(sockets)
     hosts = min(hosts, eviction.limit(sockets, clients))
     clients = min(clients, eviction.limit(sockets, hosts))
-    assert hosts + clients <= whole
-    least = int(whole * eviction.MIN_SHARE)
-    assert eviction.limit(sockets, whole) == least and eviction.limit(sockets, 0) == whole - least
+    assert hosts + clients <= available
+    minimum = int(available * eviction.MIN_SHARE)
+    assert eviction.limit(sockets, available) == minimum
+    assert eviction.limit(sockets, 0) == available - minimum
     assert 32 <= eviction.reserve(sockets) <= eviction.RESERVE_MAX
 
 
 @given(*(st.booleans(),) * 4, st.integers(0, 3), st.booleans(), *(st.floats(0, 5),) * 2)
-def test_who_is_owed_never_gives_way_and_who_goes_on_comes_last(
+def test_open_requests_are_never_evicted_and_progressing_ones_last(
     closing: bool,
-    owed: bool,
+    awaits: bool,
     unsent: bool,
     for_memory: bool,
-    asked: int,
+    requests_read: int,
     reading: bool,
     age: float,
     quiet: float,
@@ -46,8 +47,8 @@
     found = eviction.eviction_priority(
         10.0,
         closing=closing,
-        awaits_response=owed,
-        requests_read=asked,
+        awaits_response=awaits,
+        requests_read=requests_read,
         receiving=reading,
         phase_began_at=10.0 - age,
         progress_at=10.0 - quiet,
@@ -55,33 +56,35 @@
         for_memory=for_memory,
     )
     taken = unsent and not (for_memory and quiet > eviction.STALLED_S)
-    assert (found is EvictionPriority.AWAITING_RESPONSE) is (owed or taken)
-    assert (found is EvictionPriority.CLOSING) is (closing and not owed and not unsent)
-    if unsent and not owed and not taken:
+    assert (found is EvictionPriority.AWAITING_RESPONSE) is (awaits or taken)
+    assert (found is EvictionPriority.CLOSING) is (closing and not awaits and not unsent)
+    if unsent and not awaits and not taken:
         assert found is EvictionPriority.STALLED
-    elif not closing and not owed and not unsent:
+    elif not closing and not awaits and not unsent:
         comes_on = reading and quiet <= eviction.STALLED_S
         assert (found is EvictionPriority.RECEIVING) is comes_on
-        if not reading and not asked and age > eviction.SILENT_S:
+        if not reading and not requests_read and age > eviction.SILENT_S:
             assert found is EvictionPriority.SILENT
 
 
 @pytest.mark.parametrize(
-    ("deadline_s", "half_s"), [(0.1, 1.0), (1.2, 1.3), (2.4, 2.5), (3.0, 3.1), (60.0, 3.1)]
+    ("deadline_s", "partial_s"), [(0.1, 1.0), (1.2, 1.3), (2.4, 2.5), (3.0, 3.1), (60.0, 3.1)]
 )
-def test_what_has_come_in_part_is_waited_for_while_it_can_be_answered(
-    deadline_s: float, half_s: float
+def test_partial_requests_are_waited_for_while_they_can_be_answered(
+    deadline_s: float, partial_s: float
 ) -> None:
-    assert eviction.partial_request_s(deadline_s) == pytest.approx(half_s)
+    assert eviction.partial_request_s(deadline_s) == pytest.approx(partial_s)
     killed_s = min(deadline_s, eviction.MAX_DEADLINE_S) + eviction.KILL_DELAY_S
-    assert half_s <= max(eviction.PARTIAL_REQUEST_MIN_S, killed_s)
+    assert partial_s <= max(eviction.PARTIAL_REQUEST_MIN_S, killed_s)
 
 
-def test_a_request_that_is_written_slowly_gets_in_through_a_crowd(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Thousands connect meanwhile: silent, stalled in mid-head, or asked once and gone quiet.
+def test_slowly_written_request_is_served_among_many_idle_connections(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Hundreds of other clients connect meanwhile: silent, stalled within a request, or idle after one.
 
-    Between two pieces of the slow one all others grow older by more than the bounds, which are far beyond
-    what a busy machine adds: no clock decides who is which.
+    Between two pieces of the slow request all others age by more than the bounds, which far exceed the delays
+    of a busy machine, so the result does not depend on real time.
     """
     monkeypatch.setattr(eviction, "STALLED_S", 30.0)
     monkeypatch.setattr(eviction, "SILENT_S", 30.0)
@@ -96,19 +99,19 @@
             slow = await it.client()
             while not it.downstream.connections:
                 await asyncio.sleep(0.001)
-            (ours,) = it.downstream.connections
-            whole = ask("buy", body=b"x" * 200)
+            (slow_connection,) = it.downstream.connections
+            request = ask("buy", body=b"x" * 200)
             starts = itertools.cycle([b"", b"POST /bu", ask("buy", Content_Length="9") + b"abc", ask()])
-            for place in range(0, len(whole), 20):
-                slow.send(whole[place : place + 20])
+            for place in range(0, len(request), 20):
+                slow.send(request[place : place + 20])
                 for _ in range(40):
                     other = await it.client()
                     start = next(starts)
                     if start:
                         other.send(start)
                     most = max(most, len(it.downstream.connections))
-                await asyncio.sleep(0.01)  # what has come is read
-                for connection in it.downstream.connections - {ours}:
+                await asyncio.sleep(0.01)  # the gateway reads what has arrived
+                for connection in it.downstream.connections - {slow_connection}:
                     connection.phase_began_at -= 31.0
                     connection.progress_at -= 31.0
             assert (await slow.answer())[0] == 200
@@ -121,8 +124,8 @@
     run(test(), patience_s=60)
 
 
-def test_heads_that_do_not_end_are_bounded_in_bytes() -> None:
-    """With the budget used up those that stall are closed at the next look, however few they are."""
+def test_incomplete_heads_are_bounded_in_bytes() -> None:
+    """With the budget exhausted, stalled connections are closed at the next check, however few they are."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -144,8 +147,8 @@
     run(test())
 
 
-def test_hosts_take_back_descriptors_that_a_crowd_has() -> None:
-    """A connection to a host is begun while clients have all there is: one that rests gives way."""
+def test_endpoint_connections_reclaim_descriptors_from_idle_clients() -> None:
+    """A connection to an endpoint is opened while clients use all descriptors: an idle one is evicted."""
 
     async def test() -> None:
         async with gateway_for(Echo(lambda body: with_length(body)), limits={"sockets": 128}) as it:
@@ -162,19 +165,19 @@
     run(test())
 
 
-def test_a_planned_end_waits_for_a_request_that_comes_on_and_for_no_other(
+def test_graceful_shutdown_waits_only_for_progressing_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """How long each has been quiet is set, not slept: what a busy machine adds is far below the bounds."""
+    """Idle times are set rather than slept, with bounds far above the delays of a busy machine."""
     monkeypatch.setattr(eviction, "STALLED_S", 30.0)
 
     async def test() -> None:
         async with gateway_for(Echo(lambda body: with_length(body))) as it:
             it.downstream.partial_request_s = 60.0
             slow, stalled = await it.client(), await it.client()
-            whole = ask("buy", body=b"x" * 300)
-            slow.send(whole[:10])
-            stalled.send(whole[:10])
+            request = ask("buy", body=b"x" * 300)
+            slow.send(request[:10])
+            stalled.send(request[:10])
             while sum(c.is_receiving for c in it.downstream.connections) < 2:
                 await asyncio.sleep(0.001)
             sides = {
@@ -182,20 +185,20 @@
                 for c in it.downstream.connections
                 if c.transport is not None
             }
-            ours = sides[slow.writer.get_extra_info("sockname")]
-            theirs = sides[stalled.writer.get_extra_info("sockname")]
+            slow_connection = sides[slow.writer.get_extra_info("sockname")]
+            stalled_connection = sides[stalled.writer.get_extra_info("sockname")]
             it.downstream.draining = True
             it.downstream.stop_listening()
-            theirs.progress_at -= 31.0
+            stalled_connection.progress_at -= 31.0
             end = asyncio.create_task(it.downstream.finish_requests())
             assert await stalled.closed()
-            for place in range(10, len(whole), 50):
-                ours.progress_at -= 15.0
-                came = ours.progress_at
-                for _ in range(3):  # looks of the end at its connections
+            for place in range(10, len(request), 50):
+                slow_connection.progress_at -= 15.0
+                came = slow_connection.progress_at
+                for _ in range(3):  # polls of the shutdown
                     await asyncio.sleep(listener.FINISH_POLL_S)
-                slow.send(whole[place : place + 50])
-                while ours.progress_at == came and not end.done():
+                slow.send(request[place : place + 50])
+                while slow_connection.progress_at == came and not end.done():
                     await asyncio.sleep(0.001)
             status, head, body = await slow.answer()
             assert status == 200 and head["connection"] == "close" and len(body) == 300
--- a/tests/proxy/limits/test_memory.py
+++ b/tests/proxy/limits/test_memory.py
@@ -1,4 +1,4 @@
-"""The bound on what a process holds of bodies."""
+"""The bound on the memory that a process uses for bodies."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
     st.integers(MIN_TOTAL, DEFAULT_TOTAL),
     st.lists(st.tuples(st.integers(0, 400), st.booleans()), max_size=2000),
 )
-def test_what_is_held_stays_near_the_total(total: int, steps: list[tuple[int, bool]]) -> None:
+def test_buffered_bytes_stay_near_the_total(total: int, steps: list[tuple[int, bool]]) -> None:
     """However readers buffer and release, at most the total and MIN_BUFFER for each of them is in use."""
     budget, held = Budget(total), dict[int, int]()
-    for who, lets_go in steps:
-        now = 0 if lets_go else min(held.get(who, 0) + budget.read, max(held.get(who, 0), budget.hold))
-        budget.change(now - held.get(who, 0))
-        held[who] = now
+    for reader, releases in steps:
+        size = (
+            0 if releases else min(held.get(reader, 0) + budget.read, max(held.get(reader, 0), budget.hold))
+        )
+        budget.change(size - held.get(reader, 0))
+        held[reader] = size
         assert MIN_BUFFER <= budget.read <= MAX_BUFFER and MIN_BUFFER <= budget.hold <= MAX_BUFFER
         assert budget.used == sum(held.values())
         assert budget.used <= total + MIN_BUFFER * len(held)
 
 
-def test_as_it_fills_less_is_read_and_held_and_all_comes_back() -> None:
+def test_read_and_hold_limits_shrink_as_the_budget_fills_and_recover() -> None:
     budget = Budget(4 * 1024 * 1024)
     assert budget.read == budget.hold == MAX_BUFFER
     reads, step = [], 256 * 1024
@@ -48,7 +50,7 @@
 
 
 @pytest.mark.parametrize("memory_mb", [0, 1, 16, 32, 40, 80, 192])
-def test_the_total_leaves_room_for_the_process(memory_mb: int) -> None:
+def test_total_leaves_memory_for_the_process(memory_mb: int) -> None:
     total = total_of(memory_mb)
     if memory_mb == 0:
         assert total == DEFAULT_TOTAL
--- a/tests/proxy/test_tcp_transport.py
+++ b/tests/proxy/test_tcp_transport.py
@@ -1,4 +1,4 @@
-"""The transport of plain connections on real sockets: resets, pauses, and what is unsent at the end."""
+"""TcpTransport on real sockets: resets, pauses, and unsent data on close."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Recorder(asyncio.Protocol):
-    """Keeps what came and how the connection ended."""
+    """Records the received data and how the connection ended."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def connected() -> AsyncIterator[tuple[TcpTransport, Recorder, socket.socket]]:
-    """A transport, its protocol and the other side's socket."""
+    """Yield a transport, its protocol and the peer's socket."""
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.create_connection(listener.getsockname()) as peer,
@@ -53,10 +53,10 @@
     peer.close()
 
 
-# Guards against a reset that nobody notices: uvloop calls the reader of a broken socket once, and no more.
-@pytest.mark.parametrize("size", [0, 1, 60_000])  # the last in sixty reads
+# Guards against a reset that is never noticed: uvloop calls the reader of a broken socket only once.
+@pytest.mark.parametrize("size", [0, 1, 60_000])  # 60_000 takes sixty reads
 @pytest.mark.parametrize("paused", [False, True])
-def test_a_reset_is_noticed_behind_all_that_came_before_it(
+def test_reset_is_noticed_after_all_data_before_it(
     size: int, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(tcp_transport, "READ_SIZE", 1000)
@@ -76,8 +76,8 @@
     run(test())
 
 
-# Guards against a look between two reads that counts for the second: a reset behind that one was not noticed.
-def test_a_reset_is_noticed_though_the_connection_was_open_before_the_read() -> None:
+# Guards against an error check before a read being counted for that read: a reset after it went unnoticed.
+def test_reset_is_noticed_if_connection_was_open_before_the_read() -> None:
     async def test() -> None:
         async with connected() as (transport, recorder, peer):
             transport.data_age_s()
@@ -89,7 +89,7 @@
     run(test())
 
 
-def test_a_reset_is_noticed_while_the_other_side_takes_nothing() -> None:
+def test_reset_is_noticed_while_peer_reads_nothing() -> None:
     async def test() -> None:
         async with connected() as (transport, recorder, peer):
             transport.pause_reading()
@@ -101,7 +101,7 @@
     run(test())
 
 
-def test_a_close_sends_the_rest_first_and_an_end_of_the_other_side_is_no_error() -> None:
+def test_close_sends_buffered_data_and_end_of_stream_is_no_error() -> None:
     async def test() -> None:
         async with connected() as (transport, recorder, peer):
             loop = asyncio.get_running_loop()
