--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long and slow bodies on the platform's way: whole, at their peers' pace, each with one outcome."""
+"""Long and slow bodies: forwarded complete, with flow control, each attempt with one outcome."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.sockets import Client, Gateway, ask, entry, gateway, run, settings
 
 LONG = 300_000
-TRIES = {**settings(maxAttempts=3)}
+RETRY_SETTINGS = {**settings(maxAttempts=3)}
 
 
 def data(size: int, seed: int = 3) -> bytes:
@@ -31,7 +31,7 @@
 
 
 class Reader:
-    """Reads HTTP/1.1 as anyone may meet it: lengths, chunks with extensions, ends of connections."""
+    """A minimal HTTP/1.1 reader: Content-Length, chunks with extensions, bodies until end of stream."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
         self.reader = reader
@@ -42,7 +42,7 @@
         return first, {name.lower(): value.strip() for name, _, value in fields}
 
     async def body(self, head: dict[str, str], until_end: bool) -> bytes:
-        """Raises IncompleteReadError or ConnectionError for one that is not whole."""
+        """Read a body. Raises IncompleteReadError or ConnectionError if it is truncated."""
         if head.get("transfer-encoding") == "chunked":
             parts = []
             while size := int((await self.reader.readuntil(b"\r\n")).split(b";")[0], 16):
@@ -63,11 +63,11 @@
 
 
 class Echo(Server):
-    """Answers each request with what `say` makes of its body, in the pieces and with the pauses it names."""
+    """An endpoint that sends the pieces that `respond` returns for a request body, `pause_s` apart."""
 
-    def __init__(self, say: Callable[[bytes], Iterator[bytes]]) -> None:
+    def __init__(self, respond: Callable[[bytes], Iterator[bytes]]) -> None:
         super().__init__()
-        self.say, self.end, self.pause_s = say, False, 0.0
+        self.respond, self.end, self.pause_s = respond, False, 0.0
         self.bodies: list[bytes] = []
         self.left = asyncio.Event()
 
@@ -76,7 +76,7 @@
             _, head = await Reader(reader).head()
             body = await Reader(reader).body(head, False)
             self.bodies.append(body)
-            for piece in self.say(body):
+            for piece in self.respond(body):
                 writer.write(piece)
                 await writer.drain()
                 await asyncio.sleep(self.pause_s)
@@ -91,7 +91,7 @@
 
 @asynccontextmanager
 async def gateway_for(host: Server, **changed: Any) -> AsyncIterator[Gateway]:
-    """A gateway whose only host is this one."""
+    """Run a gateway with `host` as its only endpoint."""
     await host.start()
     known = {"index": 7, "endpoints": [entry("h0", host.address)]}
     async with gateway(hosts=0, known=known, **changed) as it:
@@ -105,8 +105,8 @@
 
 
 def pieces(body: bytes, step: int) -> Iterator[bytes]:
-    for place in range(0, len(body), step or max(1, len(body))):
-        yield body[place : place + (step or len(body))]
+    for offset in range(0, len(body), step or max(1, len(body))):
+        yield body[offset : offset + (step or len(body))]
 
 
 def chunks(body: bytes, step: int, extension: bytes = b"", trailer: bytes = b"") -> Iterator[bytes]:
@@ -143,12 +143,12 @@
 
 
 @pytest.mark.parametrize("form", ANSWERS)
-def test_answers_of_all_forms_and_sizes_come_whole(form: str) -> None:
-    say, ends = ANSWERS[form]
+def test_responses_of_all_framings_and_sizes_are_complete(form: str) -> None:
+    respond, ends = ANSWERS[form]
 
     async def test() -> None:
         sizes = iter(SIZES)
-        host = Echo(lambda _: say(data(next(sizes))))
+        host = Echo(lambda _: respond(data(next(sizes))))
         host.end = ends
         async with gateway_for(host) as it:
             client = await it.client()
@@ -165,7 +165,7 @@
     run(test())
 
 
-def test_a_client_of_http_1_0_gets_a_long_answer_until_the_end() -> None:
+def test_http_1_0_client_gets_a_response_until_end_of_stream() -> None:
     async def test() -> None:
         async with gateway_for(Echo(lambda _: chunked(data(LONG)))) as it:
             client = await it.client()
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("form", BODIES)
-def test_requests_of_all_forms_and_sizes_come_whole(form: str) -> None:
+def test_requests_of_all_framings_and_sizes_are_complete(form: str) -> None:
     async def test() -> None:
         host = Echo(lambda body: with_length(hashlib.sha256(body).digest()))
         async with gateway_for(host) as it:
@@ -201,8 +201,8 @@
                 for piece in BODIES[form](body):
                     client.send(piece)
                     await client.writer.drain()
-                status, _, said = await Reader(client.reader).answer()
-                assert status == 200 and said == hashlib.sha256(body).digest()
+                status, _, digest = await Reader(client.reader).answer()
+                assert status == 200 and digest == hashlib.sha256(body).digest()
             assert len(host.bodies) == len(SIZES)
             (connection,) = it.downstream.connections
             assert it.proxy.upstream.budget.used == connection.accounted_bytes == 0
@@ -210,7 +210,7 @@
     run(test())
 
 
-def test_long_requests_ahead_of_their_turn_are_answered_in_turn() -> None:
+def test_long_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with gateway_for(Echo(lambda body: with_length(body))) as it:
             client = await it.client()
@@ -230,8 +230,8 @@
 
 
 @pytest.mark.parametrize("size", [100, LONG])
-def test_a_client_that_waits_to_be_told_so_sends_its_body(size: int) -> None:
-    """Also behind another request: the word comes in its turn and not into that one's answer."""
+def test_client_waiting_for_100_continue_sends_its_body(size: int) -> None:
+    """Also for a pipelined request: the 100 (Continue) must not be mixed into the response before it."""
 
     async def test() -> None:
         async with gateway_for(Echo(lambda body: with_length(body))) as it:
@@ -247,18 +247,18 @@
     run(test())
 
 
-# Peers that take their time, stop, or leave
+# Peers that are slow, stall, or disconnect
 
 
 def small_buffer(connection: ClientConnection) -> None:
-    """The system takes little of what the client does not: the rest waits in the process."""
+    """Use a small send buffer, so that unread data stays in the process."""
     assert connection.transport is not None
     sock = connection.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
 
-def test_a_slow_reader_holds_up_its_host_and_nobody_else() -> None:
-    """What its host still has to say stays with the host; a neighbour is served meanwhile."""
+def test_slow_reader_slows_down_only_its_own_endpoint_connection() -> None:
+    """The rest of the response stays at the endpoint, and another client is served meanwhile."""
 
     async def test() -> None:
         size = 16 * 1024 * 1024
@@ -282,8 +282,8 @@
     run(test())
 
 
-def test_many_slow_readers_hold_no_more_than_the_budget() -> None:
-    """All of them have their answer; what is held meanwhile is bounded by one number for all."""
+def test_many_slow_readers_stay_within_the_budget() -> None:
+    """All readers get their response; the memory buffered meanwhile is bounded for all of them together."""
 
     async def test() -> None:
         size, readers, total = 512 * 1024, 40, 1024 * 1024
@@ -314,7 +314,7 @@
     run(test())
 
 
-def test_a_host_that_stops_in_mid_body_is_seen_and_the_client_can_tell(
+def test_endpoint_stall_within_a_body_is_detected_and_visible_to_the_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "ENDPOINT_QUIET_S", 0.1)
@@ -340,11 +340,11 @@
     "framing", ["Content-Length: 200000", "Transfer-Encoding: chunked", "X: until the end"]
 )
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_an_answer_that_breaks_off_is_never_taken_for_whole(framing: str, version: str) -> None:
-    """Once its head is passed on there is no other try, whatever is left of them."""
+def test_truncated_response_never_looks_complete(framing: str, version: str) -> None:
+    """Once its head is forwarded there is no retry, however many attempts are left."""
 
     async def test() -> None:
-        async with gateway(hosts=3, settings=TRIES) as it:
+        async with gateway(hosts=3, settings=RETRY_SETTINGS) as it:
             client = await it.client()
             client.send(ask().replace(b"HTTP/1.1", f"HTTP/{version}".encode()))
             taken = await it.host.taken.get()
@@ -363,9 +363,9 @@
     run(test())
 
 
-def test_an_answer_that_breaks_off_while_it_is_held_is_asked_of_another() -> None:
+def test_response_truncated_while_held_is_retried_elsewhere() -> None:
     async def test() -> None:
-        async with gateway(hosts=3, settings=TRIES) as it:
+        async with gateway(hosts=3, settings=RETRY_SETTINGS) as it:
             client = await it.client()
             client.send(ask())
             (await it.host.taken.get()).raw(
@@ -377,7 +377,7 @@
     run(test())
 
 
-def test_the_beginning_of_an_answer_of_unknown_length_does_not_wait_for_its_end(
+def test_start_of_a_response_of_unknown_length_is_forwarded_early(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(stream_exchange, "HOLD_S", 0.02)
@@ -399,7 +399,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_in_mid_answer_takes_its_attempt_along() -> None:
+def test_client_disconnect_within_a_response_cancels_its_attempt() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -416,7 +416,7 @@
     run(test())
 
 
-def test_a_client_that_takes_nothing_of_its_answer_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_reads_nothing_of_its_response_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with gateway_for(Echo(lambda _: with_length(data(8 * 1024 * 1024)))) as it:
             client = await it.client()
@@ -436,16 +436,16 @@
     run(test())
 
 
-# What may be sent again
+# Retries
 
 
-def test_a_body_that_is_held_goes_to_another_host_and_one_that_is_not_does_not() -> None:
-    """A host that is full has not run it: refused where the body is gone, which any client may try again."""
+def test_only_a_held_body_is_retried_at_another_endpoint() -> None:
+    """An overloaded endpoint did not execute it: without the body the client gets a 503, and may retry."""
 
     async def test() -> None:
         full = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-        async with gateway(hosts=3, settings=TRIES) as it:
-            for size, tries, status in ((HOLD, 2, 200), (LONG, 1, 503)):
+        async with gateway(hosts=3, settings=RETRY_SETTINGS) as it:
+            for size, attempts, status in ((HOLD, 2, 200), (LONG, 1, 503)):
                 client = await it.client()
                 client.send(ask("buy", Content_Length=str(size)) + data(size)[:HOLD])
                 while not it.proxy.upstream.connections:
@@ -453,10 +453,10 @@
                 if size > HOLD:
                     client.send(data(size)[HOLD:])
                     await it.event(StreamStarted)
-                for number in range(tries):
+                for index in range(attempts):
                     taken = await it.host.taken.get()
                     assert taken.body == data(size)
-                    if number == 0:
+                    if index == 0:
                         taken.raw(full)
                     else:
                         taken.answer()
@@ -466,8 +466,8 @@
     run(test())
 
 
-def test_an_upload_that_breaks_before_its_last_byte_has_not_run() -> None:
-    """An unsafe request: refused, so that its client may try again, and not failed."""
+def test_upload_broken_before_its_last_byte_was_not_executed() -> None:
+    """An UNSAFE request gets a 503, so that its client may retry, and not a 502."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -483,7 +483,7 @@
     run(test())
 
 
-def test_the_time_of_a_long_request_counts_from_its_last_byte() -> None:
+def test_timeout_of_a_long_request_starts_at_its_last_byte() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -493,7 +493,7 @@
                 await asyncio.sleep(0.12)
             taken = await it.host.taken.get()
             assert len(taken.body) == LONG
-            assert (await Reader(client.reader).answer())[0] == 504  # and then it is over
+            assert (await Reader(client.reader).answer())[0] == 504  # the client timeout
             assert (await it.event(AttemptEnded)).outcome is Outcome.CANCELLED
 
     run(test())
@@ -503,15 +503,15 @@
     ("got", "after_s", "late"),
     [(0, 0.9, False), (0, 3.0, True), (64_000, 2.9, False), (64_000, 5.0, True), (640_000, 10.0, False)],
 )
-def test_a_body_has_to_get_on(got: int, after_s: float, late: bool) -> None:
-    """Half the pace of the slowest clients there are is enough, and so is a pause; no more than that."""
-    loop = Clockwork()
+def test_body_needs_progress(got: int, after_s: float, late: bool) -> None:
+    """Half the rate of the slowest known clients is enough, and so is one pause, but nothing slower."""
+    loop = ManualClock()
     connection = ClientConnection.__new__(ClientConnection)
     connection.loop = loop  # type: ignore[assignment]
     due_at = request_reader.REQUEST_S
-    for number in itertools.count():
-        loop.now = number * 0.1
-        if number * 6400 >= got or loop.now > due_at:
+    for index in itertools.count():
+        loop.now = index * 0.1
+        if index * 6400 >= got or loop.now > due_at:
             break
         due_at = max(
             due_at,
@@ -520,15 +520,15 @@
     assert (after_s > due_at) is late
 
 
-class Clockwork:
+class ManualClock:
     now = 0.0
 
 
 @pytest.mark.parametrize(("end", "status"), [(b"", 413), (b"zz\r\n", 400)])
-def test_a_body_that_goes_wrong_on_its_way_ends_its_request(
+def test_body_error_within_an_upload_ends_its_request(
     end: bytes, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Too long, or its framing lost, with most of it at a host already: that host never has it whole."""
+    """Too long or malformed, with most of it already sent: the endpoint never receives a complete body."""
     for module in (request_reader, forwarding):
         monkeypatch.setattr(module, "BODY_LIMIT", 200_000 if status == 413 else 2 * LONG)
 
@@ -546,7 +546,7 @@
     run(test())
 
 
-def test_a_full_budget_costs_tries_and_no_request() -> None:
+def test_exhausted_budget_costs_retries_but_no_request() -> None:
     async def test() -> None:
         async with gateway_for(Echo(lambda body: with_length(body))) as it:
             it.proxy.upstream.budget.change(Budget().total)
--- a/tests/proxy/test_gateway.py
+++ b/tests/proxy/test_gateway.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and bad input over real sockets: a test for each way to go wrong."""
+"""Requests, attempts and invalid input over real sockets: a test for each kind of failure."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from tests.sockets import PATIENCE_S, Client, Gateway, ask, chunk, entry, gateway, news, run, settings
 
 
-def test_a_request_goes_on_and_its_answer_comes_back_unchanged() -> None:
+def test_request_is_forwarded_and_response_returned_unchanged() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -56,8 +56,8 @@
     run(test())
 
 
-def test_connections_to_hosts_are_kept() -> None:
-    """The parser, asked after a message whether to keep the connection, always said no."""
+def test_endpoint_connections_are_kept_alive() -> None:
+    """After a message the parser always reports that the connection is not kept alive."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -69,7 +69,7 @@
     run(test())
 
 
-def test_a_host_that_closes_after_its_answer_is_not_asked_there_again() -> None:
+def test_connection_closed_after_response_is_not_reused() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -117,7 +117,7 @@
             client.send(ask("buy"))
             (await it.host.taken.get()).raw(answer, close=True)
             assert (await it.event(AttemptEnded)).outcome is outcome
-            # An unsafe request is refused only where it is sure not to have run.
+            # An UNSAFE request gets a 503 only if it certainly was not executed.
             assert (await client.answer())[0] == {Outcome.REJECTED: 503, Outcome.SUCCESS: 200}.get(
                 outcome, 502
             )
@@ -134,8 +134,8 @@
 
 
 @pytest.mark.parametrize("start", ENDLESS)
-def test_an_answer_without_end_is_given_up(start: bytes) -> None:
-    """Only whole headers were counted: one that does not end grew inside the parser."""
+def test_endless_response_is_aborted(start: bytes) -> None:
+    """Guards against counting only complete header fields: an endless one grew inside the parser."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -152,8 +152,8 @@
 
 
 @pytest.mark.parametrize("extra", [GOOD.replace(b"good", b"evil"), b"noise\xff\r\n", b"HT", b"\0"])
-def test_what_comes_right_behind_a_good_answer_spoils_the_connection_only(extra: bytes) -> None:
-    """The parser's error threw the good answer away, and the host was blamed."""
+def test_data_after_valid_response_only_closes_the_connection(extra: bytes) -> None:
+    """Guards against the parser's error discarding the valid response and counting against the endpoint."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -169,14 +169,14 @@
     run(test())
 
 
-def test_what_came_unasked_is_no_answer_to_the_next_request() -> None:
+def test_unsolicited_data_is_not_the_response_to_the_next_request() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
             await it.served(client)
             (connection,) = it.proxy.upstream.connections
             assert connection.transport is not None
-            connection.transport.pause_reading()  # as when the data comes just as the next request goes out
+            connection.transport.pause_reading()  # as if the data arrived just when the next request is sent
             it.host.writers[0].write(GOOD.replace(b"good", b"evil"))
             await it.host.writers[0].drain()
             while connection.is_quiet():
@@ -188,7 +188,7 @@
     run(test())
 
 
-def test_an_interim_answer_is_not_the_final_one() -> None:
+def test_interim_response_is_not_the_final_one() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -201,7 +201,7 @@
     run(test())
 
 
-def test_a_host_that_refuses_the_connection_has_not_run_it() -> None:
+def test_refused_connection_means_request_was_not_executed() -> None:
     async def test() -> None:
         async with gateway() as it:
             it.host.stop()
@@ -211,8 +211,8 @@
     run(test())
 
 
-def test_an_address_that_is_none_is_not_connected() -> None:
-    """It raises no OSError: its attempt waited for its time-out, its connection was never dropped."""
+def test_invalid_endpoint_address_fails_the_attempt() -> None:
+    """Guards against errors other than OSError: the attempt hung until its timeout, the connection leaked."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -224,7 +224,7 @@
     run(test())
 
 
-def test_a_connection_that_does_not_come_up_in_time_has_not_run_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connect_timeout_means_request_was_not_executed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with gateway(settings=settings(connectTimeoutUs=1_000)) as it:
             block_connects(it, monkeypatch)
@@ -234,8 +234,8 @@
     run(test())
 
 
-def test_a_request_still_in_the_buffer_has_not_run() -> None:
-    """Handed to the transport is not written: the host had read a part, and the rest never left."""
+def test_request_still_in_the_write_buffer_was_not_executed() -> None:
+    """Guards against counting data as sent that only reached the transport's write buffer."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -243,7 +243,7 @@
             await it.served(client)
             (connection,) = it.proxy.upstream.connections
             assert connection.transport is not None
-            # No room on either side, so that most of a large body has to wait in the transport.
+            # Small buffers on both sides, so that most of a large body stays in the transport.
             connection.transport.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
             )
@@ -261,7 +261,7 @@
     run(test())
 
 
-def test_an_attempt_that_times_out_closes_its_connection() -> None:
+def test_attempt_timeout_closes_its_connection() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -274,7 +274,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_takes_its_attempt_along() -> None:
+def test_client_disconnect_cancels_its_attempt() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -289,7 +289,7 @@
     run(test())
 
 
-def test_a_request_nobody_answers_gets_the_last_resort(caplog: pytest.LogCaptureFixture) -> None:
+def test_unanswered_request_gets_504_at_its_deadline(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with gateway() as it:
             it.proxy.balancer.handle = lambda now_us, event: []  # type: ignore[method-assign]
@@ -299,22 +299,22 @@
     run(test())
 
 
-@pytest.mark.parametrize(("after_us", "told"), [(1_250_000, 1.25), (0, 1.0)])
-def test_a_refusal_comes_at_once_and_says_when_to_come_back(after_us: int, told: float) -> None:
+@pytest.mark.parametrize(("retry_after_us", "retry_after_s"), [(1_250_000, 1.25), (0, 1.0)])
+def test_rejection_is_immediate_and_has_retry_after(retry_after_us: int, retry_after_s: float) -> None:
     async def test() -> None:
         async with gateway() as it:
 
             def refuse(now_us: int, event: Event) -> list[Action]:
-                return [Reject(event.request_id, after_us)] if isinstance(event, RequestArrived) else []
+                return [Reject(event.request_id, retry_after_us)] if isinstance(event, RequestArrived) else []
 
             it.proxy.balancer.handle = refuse  # type: ignore[method-assign]
             status, head, _ = await (await it.client()).ask(ask())
-            assert status == 503 and float(head["retry-after"]) == told
+            assert status == 503 and float(head["retry-after"]) == retry_after_s
 
     run(test())
 
 
-def test_an_exception_in_a_decision_fails_its_request_alone(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_the_balancer_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with gateway() as it:
             handle = it.proxy.balancer.handle
@@ -335,7 +335,7 @@
 
 
 @pytest.mark.parametrize("attempts", [2, 1])
-def test_an_attempt_beyond_the_limit_is_never_sent(attempts: int) -> None:
+def test_attempt_beyond_the_limit_is_never_sent(attempts: int) -> None:
     async def test() -> None:
         async with gateway(settings=settings(maxAttempts=attempts)) as it:
 
@@ -360,7 +360,7 @@
 
 
 def block_connects(it: Gateway, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """Connections to hosts come up only once the event is set."""
+    """Block connections to the endpoint until the returned event is set."""
     free = asyncio.Event()
     connect = tcp_transport.connect_socket
 
@@ -373,7 +373,7 @@
     return free
 
 
-def test_a_request_waiting_for_a_connection_is_not_written_after_a_drain(
+def test_request_waiting_for_a_connection_is_not_sent_after_a_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -434,7 +434,7 @@
 
 
 @pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_input_is_answered_and_reaches_no_host(data: bytes, status: int) -> None:
+def test_invalid_input_is_rejected_and_not_forwarded(data: bytes, status: int) -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -451,8 +451,8 @@
     run(test())
 
 
-def test_what_a_client_sends_after_a_refusal_resets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Closed at once, the connection is reset by the rest of a body, which can overtake the 413."""
+def test_data_sent_after_a_rejection_does_not_reset_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against closing at once: the rest of the body then causes a reset that can overtake the 413."""
     monkeypatch.setattr(http_connection, "LINGER_S", 2 * PATIENCE_S)
 
     async def test() -> None:
@@ -461,7 +461,7 @@
             client.send(ask("buy", body=bytes(HOLD), Content_Length=str(2 * BODY_LIMIT)))
             assert (await client.answer())[0] == 413
             assert await client.closed()
-            for _ in range(2):  # the first would draw the reset, the second would meet it
+            for _ in range(2):  # the first would trigger the reset, the second would receive it
                 client.send(b"the rest")
             assert not client.writer.transport.is_closing()
             client.writer.transport.abort()
@@ -469,7 +469,7 @@
     run(test())
 
 
-def test_a_client_that_reads_no_answers_is_not_read_either() -> None:
+def test_client_that_reads_no_responses_is_not_read() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -489,7 +489,7 @@
     run(test())
 
 
-def test_tenants_go_by_their_place() -> None:
+def test_tenants_are_numbered_by_position() -> None:
     async def test() -> None:
         tenants = [{"name": "acme"}, {"name": "zeta"}]
         async with gateway(settings={**settings(), "tenants": tenants}) as it:
@@ -502,8 +502,8 @@
     run(test())
 
 
-def test_figures_that_clients_give_are_bounded_by_the_class() -> None:
-    """An hour's time and a year's work went into what the balancer takes for usual, and into timers."""
+def test_client_supplied_values_are_bounded_by_the_class() -> None:
+    """Guards against excessive timeouts and work hints skewing the balancer's averages and its timers."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -515,7 +515,7 @@
     run(test())
 
 
-def test_the_id_of_an_open_request_is_refused_to_another_client() -> None:
+def test_id_of_an_open_request_is_rejected_for_another_client() -> None:
     async def test() -> None:
         async with gateway() as it:
             first, second = await it.client(), await it.client()
@@ -525,7 +525,7 @@
             assert it.host.taken.empty()
             taken.answer()
             assert (await first.answer())[0] == 200
-            await it.served(first, ask(Request_Id="77"))  # over, and so free again
+            await it.served(first, ask(Request_Id="77"))  # free again, since the request has ended
             first.send(ask(Request_Id="77"))
             await it.host.taken.get()
             first.writer.close()
@@ -536,8 +536,8 @@
 
 
 @pytest.mark.parametrize("start", [b"", b"GET /lo", ask("buy", Content_Length="9") + b"abc"])
-def test_a_client_that_does_not_get_on_is_closed_soon(start: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silent ones stayed for 75 s, and those that sent a byte now and then for good."""
+def test_client_without_progress_is_closed_soon(start: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against silent clients staying for 75 s, and clients that send single bytes staying forever."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -554,7 +554,7 @@
                 await asyncio.sleep(0.01)
             connection.check_time(
                 at + request_reader.REQUEST_S + 0.01
-            )  # from the accept, not from the last byte
+            )  # counted from the accept, not from the last byte
             if start:
                 assert (await client.answer())[0] == 408
             assert await client.closed()
@@ -568,7 +568,7 @@
     return next(iter(it.downstream.connections))
 
 
-def test_far_too_many_requests_ahead_are_turned_away_at_once() -> None:
+def test_too_many_pipelined_requests_are_rejected_at_once() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -580,10 +580,10 @@
     run(test())
 
 
-def test_a_flood_of_silent_connections_does_not_push_out_the_usual_ones(
+def test_flood_of_silent_connections_does_not_evict_active_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection that was idle for longest went, and that was a client's own."""
+    """Guards against evicting the longest idle connection, which belonged to an active client."""
     monkeypatch.setattr(eviction, "SILENT_S", -1.0)
     monkeypatch.setattr(eviction, "STALLED_S", -1.0)
 
@@ -605,7 +605,7 @@
     run(test())
 
 
-def test_requests_sent_ahead_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -619,7 +619,7 @@
     run(test())
 
 
-def test_more_open_requests_than_allowed_are_refused() -> None:
+def test_open_requests_beyond_the_limit_are_rejected() -> None:
     async def test() -> None:
         async with gateway(settings=settings(mostHeld=1)) as it:
             first = await it.client()
@@ -633,7 +633,7 @@
     run(test())
 
 
-def test_connections_are_bounded_and_idle_ones_make_room() -> None:
+def test_connections_are_bounded_and_idle_ones_evicted() -> None:
     async def test() -> None:
         async with gateway(limits={"sockets": 128}) as it:
             limit = it.downstream.limit
@@ -641,26 +641,26 @@
             idle = [await it.client() for _ in range(limit)]
             busy = await it.client()
             await it.served(busy)
-            await it.event(RequestArrived)  # used up: below each request is waited for
+            await it.event(RequestArrived)  # consumed, because each request is awaited below
             ends = [asyncio.create_task(client.closed()) for client in idle]
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
             assert any(end.done() and end.result() for end in ends)
             held: list[Client] = []
-            while len(held) < it.downstream.limit:  # it is less, the more its hosts have
+            while len(held) < it.downstream.limit:  # it shrinks as endpoint connections are opened
                 held.append(await it.client())
                 held[-1].send(ask())
                 await it.event(RequestArrived)
             while it.downstream.evict_one():
-                """All that are left are owed an answer."""
-            turned_away = await it.client()
-            status, head, _ = await turned_away.ask(ask())
+                """All remaining connections have an open request."""
+            rejected = await it.client()
+            status, head, _ = await rejected.ask(ask())
             assert status == 503 and head["connection"] == "close"
 
     run(test())
 
 
-def test_clients_that_ask_once_and_stay_do_not_fill_the_connections() -> None:
-    """Below the limit none was closed for 5 s, and clients that may hold no more found no connection."""
+def test_idle_clients_do_not_use_up_the_connections() -> None:
+    """Guards against keeping idle connections for 5 s below the limit: new clients then found none free."""
 
     async def test() -> None:
         async with gateway(limits={"sockets": 256}) as it:
@@ -676,8 +676,8 @@
     run(test())
 
 
-def test_connections_to_hosts_are_bounded() -> None:
-    """The want of a connection was blamed on the host, and could open every breaker."""
+def test_endpoint_connections_are_bounded() -> None:
+    """Guards against a lack of connections counting as endpoint failures, which could open every breaker."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -693,7 +693,7 @@
     run(test())
 
 
-def test_no_descriptor_left_is_not_the_hosts_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_descriptor_shortage_is_no_endpoint_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     async def none_left(*_: Any, **__: Any) -> Any:
         raise OSError(errno.EMFILE, "too many open files")
 
@@ -707,8 +707,8 @@
     run(test())
 
 
-def test_a_connection_to_an_address_before_is_not_used_for_the_one_after() -> None:
-    """Busy while the list changed, it rested in the pool of the new address: the wrong machine."""
+def test_connection_to_an_old_address_is_not_reused_for_the_new_one() -> None:
+    """Guards against a connection, busy during an address change, that was pooled for the new address."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -725,7 +725,7 @@
     run(test())
 
 
-def test_idle_connections_to_hosts_are_retired_early(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_endpoint_connections_are_closed_early(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -741,7 +741,7 @@
     run(test())
 
 
-def test_ready_once_hosts_are_known() -> None:
+def test_ready_once_endpoints_are_known() -> None:
     async def test() -> None:
         for hosts, status in ((1, 200), (0, 503)):
             async with gateway(hosts=hosts) as it:
@@ -751,7 +751,7 @@
     run(test())
 
 
-def test_load_reports_come_with_answers() -> None:
+def test_load_reports_in_responses() -> None:
     async def test() -> None:
         reports = {**settings(), "report": {"how": "piggyback", "fields": ["inflight", "util"]}}
         async with gateway(settings=reports) as it:
@@ -765,7 +765,7 @@
 
 
 @pytest.mark.parametrize(("how", "path"), [("silent", "/health/live"), ("pull", "/stats")])
-def test_probes(how: str, path: str) -> None:
+def test_health_checks(how: str, path: str) -> None:
     async def test() -> None:
         probing = {**settings(probes=True), "report": {"how": how, "fields": ["queue"]}}
         async with gateway(settings=probing) as it:
@@ -780,5 +780,5 @@
     run(test())
 
 
-def test_hosts_have_the_same_number_everywhere() -> None:
+def test_endpoint_ids_are_the_same_on_all_gateways() -> None:
     assert endpoint_id_of("s-5be2a07c") == 0x850D21AD14919D0C
