--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -1,4 +1,4 @@
-"""Paths that end something, each with the crossing forced: what is owed in that instant is paid, and once."""
+"""Races at the end of requests, connections and processes: each pending request is answered exactly once."""
 
 from __future__ import annotations
 
@@ -51,19 +51,19 @@
     settings,
 )
 
-CAPS: dict[str, object] = {"maxAttempts": 4}
+RETRY_CAPS: dict[str, object] = {"maxAttempts": 4}
 
 
-def nothing_left(it: Gateway) -> None:
-    """No request, id, attempt or place is held for anything that is over."""
+def assert_nothing_left(it: Gateway) -> None:
+    """Assert that no request, id, attempt or buffered byte is left."""
     assert not it.proxy.requests and it.proxy.open_requests == 0 and not it.downstream.validator.open_ids
     assert it.proxy.balancer.in_flight == 0 and not it.proxy.balancer.requests
     assert it.downstream.budget.used == 0
     assert not any(c.exchange is not None for c in it.proxy.upstream.connections)
 
 
-def unread(it: Gateway) -> list[client_connection.ClientConnection]:
-    """The loop is busy elsewhere: what clients send stands in their sockets."""
+def pause_clients(it: Gateway) -> list[client_connection.ClientConnection]:
+    """Pause all client connections, as if the event loop were busy: received data stays in the sockets."""
     held = list(it.downstream.connections)
     for connection in held:
         assert connection.transport is not None
@@ -77,20 +77,20 @@
 
 
 async def settled(it: Gateway) -> None:
-    """All that has been begun is over."""
+    """Wait until all requests have ended."""
     await until(lambda: not it.proxy.requests and not it.proxy.balancer.requests)
 
 
-# A client that has left while its request waited
+# Clients that disconnect while their request waits
 
 
 @pytest.mark.parametrize("klass", ["look", "pay", "buy"])
 @pytest.mark.parametrize("cancels", [True, False])
 @pytest.mark.parametrize("left", [True, False])
-def test_what_waits_for_a_connection_is_not_sent_once_its_request_is_over(
+def test_attempt_waiting_for_a_connection_is_not_sent_after_its_request_ended(
     klass: str, cancels: bool, left: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where the settings allow no cancelling it was sent on after its final answer: the lost rule."""
+    """Guards against forwarding a request after its final answer, where settings forbid cancelling."""
 
     async def test() -> None:
         async with gateway(settings=settings(mayCancel=cancels)) as it:
@@ -110,17 +110,17 @@
             assert ended.outcome is (Outcome.CANCELLED if cancels else Outcome.NEVER_SENT)
             await settled(it)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("body", [0, HOLD + 20_000])
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_client_that_leaves_while_it_is_not_read_is_noticed(
+def test_disconnect_of_a_paused_client_is_noticed(
     body: int, reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end stands behind a body that nobody takes yet, or behind requests sent ahead."""
+    """The close follows a body that is not read yet, or pipelined requests."""
     monkeypatch.setattr(listener, "CLEANUP_INTERVAL_S", 0.01)
 
     async def test() -> None:
@@ -144,35 +144,35 @@
             await settled(it)
             await until(lambda: not it.downstream.connections)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_no_retry_for_a_client_whose_end_is_not_read_yet() -> None:
+def test_no_retry_for_a_client_whose_close_is_not_read_yet() -> None:
     async def test() -> None:
-        async with gateway(hosts=2, settings=settings(**CAPS)) as it:
+        async with gateway(hosts=2, settings=settings(**RETRY_CAPS)) as it:
             client = await it.client()
             client.send(ask())
             taken = await it.host.taken.get()
-            (connection,) = unread(it)
+            (connection,) = pause_clients(it)
             client.writer.close()
             await until(lambda: unread_input.peer_has_closed(connection.transport))
             taken.answer(500)
             await it.event(ClientDisconnected)
             await settled(it)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("klass", ["look", "buy"])
-def test_no_attempt_follows_once_the_client_has_left(klass: str) -> None:
-    """Neither a retry, though the attempt before failed or was turned away, nor what stands behind it."""
+def test_no_attempt_after_the_client_disconnected(klass: str) -> None:
+    """Neither a retry after a failed or rejected attempt, nor a pipelined request."""
 
     async def test() -> None:
-        async with gateway(hosts=2, settings=settings(**CAPS, mayCancel=False)) as it:
+        async with gateway(hosts=2, settings=settings(**RETRY_CAPS, mayCancel=False)) as it:
             client = await it.client()
             client.send(ask(klass) + ask(klass))
             taken = await it.host.taken.get()
@@ -182,15 +182,15 @@
             assert (await it.event(AttemptEnded)).outcome is Outcome.REJECTED
             await settled(it)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-# Guards against a deadline that was written before its connection was there: the endpoint was told of time
-# that its client no longer had.
+# Guards against a deadline computed before the connection was established: the endpoint was given more time
+# than its client had left.
 @pytest.mark.parametrize("waited_s", [0.0, 0.4])
-def test_the_deadline_passed_on_is_what_is_left_once_the_connection_is_there(
+def test_forwarded_deadline_is_the_time_left_after_connecting(
     waited_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -209,10 +209,10 @@
     run(test())
 
 
-# Guards against the answer of last resort ahead of an attempt's own time-out, on a starved machine: 504 in
-# place of what the attempt's end means.
+# Guards against the fallback 504 preceding an attempt's own timeout on an overloaded machine: the status must
+# follow from the outcome of the attempt.
 @pytest.mark.parametrize(("klass", "status"), [("look", 503), ("buy", 502)])
-def test_at_the_deadline_an_attempt_ends_by_its_own_time_out_first(klass: str, status: int) -> None:
+def test_at_the_deadline_the_attempt_times_out_first(klass: str, status: int) -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -224,12 +224,12 @@
             assert (await client.answer())[0] == status
             assert (await it.event(AttemptEnded)).outcome is Outcome.TIMEOUT
             await settled(it)
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-# Closing a connection at rest against a request that has come
+# Closing an idle connection while a request arrives
 
 
 async def by_time(it: Gateway) -> None:
@@ -263,14 +263,14 @@
 
 @pytest.mark.parametrize("close", CLOSES)
 @pytest.mark.parametrize("crossing", [True, False])
-def test_a_close_does_not_cross_a_request_that_has_come(close: Any, crossing: bool) -> None:
-    """The loop runs timers before it reads: the request stood in the socket, and its close reset it."""
+def test_close_does_not_race_with_a_received_request(close: Any, crossing: bool) -> None:
+    """The event loop runs timers before it reads: closing would reset a request still in the socket."""
 
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
             await it.served(client)
-            (connection,) = unread(it)
+            (connection,) = pause_clients(it)
             if crossing:
                 client.send(ask())
                 await until(lambda: not unread_input.is_quiet(connection.transport))
@@ -279,7 +279,7 @@
             assert connection.transport.is_closing() is not crossing
             if crossing:
                 connection.transport.resume_reading()
-                if close is by_drain_of_the_gateway:  # too late in it to be carried out
+                if close is by_drain_of_the_gateway:  # too late in the drain to be served
                     assert (await client.answer())[0] == 503
                 else:
                     (await it.host.taken.get()).answer()
@@ -290,18 +290,18 @@
     run(test())
 
 
-# The end of the process
+# Shutdown of the process
 
 
-def test_connections_in_the_queue_are_taken_before_the_listener_closes() -> None:
-    """They were accepted by the machine: at the close they and their requests were reset."""
+def test_queued_connections_are_accepted_before_the_listener_closes() -> None:
+    """Guards against resetting connections, and requests on them, that the kernel has already accepted."""
 
     async def test() -> None:
         async with gateway() as it:
             it.downstream.draining = True
             assert it.downstream.socket is not None
             address = it.downstream.socket.getsockname()
-            it.downstream.stop_listening()  # as with a loop that does not get round to it
+            it.downstream.stop_listening()  # as if the event loop had no time to accept
             waiting = []
             for _ in range(3):
                 client = Client(*await asyncio.open_connection(*address))
@@ -322,10 +322,10 @@
 
 @pytest.mark.parametrize("early", [True, False])
 @pytest.mark.parametrize("klass", ["look", "buy"])
-def test_all_is_answered_before_the_process_may_be_killed(
+def test_all_requests_are_answered_before_the_process_may_be_killed(
     klass: str, early: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With a longer time than is left, at a host that hangs, it was found unanswered by SIGKILL."""
+    """Guards against SIGKILL hitting an open request whose deadline is after the end of the shutdown."""
     monkeypatch.setattr(eviction, "MAX_DEADLINE_S", 0.3)
     monkeypatch.setattr(eviction, "KILL_DELAY_S", 0.6)
 
@@ -336,7 +336,7 @@
             if early:
                 client.send(ask(klass))
                 await it.host.taken.get()
-            told = loop.time()
+            signalled_at = loop.time()
             end = loop.create_task(it.downstream.drain())
             await asyncio.sleep(0)
             if not early:
@@ -345,17 +345,18 @@
             request = next(iter(it.proxy.requests.values()))
             left_s = (request.deadline_us - it.proxy.clock.now_us()) / 1e6
             assert (
-                left_s <= eviction.kill_after_s(60.0) - eviction.LAST_ANSWER_S - (loop.time() - told) + 0.05
+                left_s
+                <= eviction.kill_after_s(60.0) - eviction.LAST_ANSWER_S - (loop.time() - signalled_at) + 0.05
             )
             assert (await client.answer())[0] in ((503, 504) if klass == "look" else (502, 504))
             await end
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_what_waits_behind_another_is_no_connection_at_rest() -> None:
-    """Between two requests read ahead none is in hand: the end closed the connection under the second."""
+def test_connection_with_a_pipelined_request_is_not_idle() -> None:
+    """Guards against a shutdown that closes the connection between two pipelined requests."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -370,7 +371,7 @@
                 finished(incoming)
                 assert connection.current is None and connection.pipeline
                 end = it.downstream.finish_requests()
-                end.send(None)  # as far as its first wait, in just this moment
+                end.send(None)  # runs to its first await at exactly this point
                 end.close()
 
             monkey = pytest.MonkeyPatch()
@@ -385,7 +386,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_with_requests_in_every_state_loses_none(number: signal.Signals, tmp_path: Path) -> None:
+def test_signal_loses_no_request_in_any_state(number: signal.Signals, tmp_path: Path) -> None:
     async def test() -> None:
         host = Host()
         async with process(host, tmp_path) as (child, port):
@@ -407,7 +408,7 @@
             others = [await host.taken.get() for _ in range(3)]
             for taken in (first, second, *others):
                 taken.answer()
-            (await host.taken.get()).answer()  # that stood behind another
+            (await host.taken.get()).answer()  # the pipelined one
             for client in (*clients, ahead):
                 assert (await client.answer())[0] == 200
             child.send_signal(signal.SIGTERM)
@@ -416,15 +417,13 @@
     run(test())
 
 
-# A host that drains, between any two steps
+# Endpoints that drain between two steps of an attempt
 
 
 @pytest.mark.parametrize("how", ["leaving", "left", "moved"])
-def test_a_drain_that_is_told_between_the_choice_and_the_write(
-    how: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_drain_between_endpoint_selection_and_sending(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with gateway(settings=settings(**CAPS)) as it:
+        async with gateway(settings=settings(**RETRY_CAPS)) as it:
             _, watch = await it.registry.watches.get()
             free = block_connects(it, monkeypatch)
             client = await it.client()
@@ -438,17 +437,17 @@
             assert (await it.event(AttemptEnded)).outcome is Outcome.NEVER_SENT
             assert (await client.answer())[0] == 503 and it.host.taken.empty()
             await settled(it)
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_an_end_behind_data_is_told_apart_from_data() -> None:
+def test_end_of_stream_after_data_is_distinguished_from_data() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
             await until(lambda: bool(it.downstream.connections))
-            (connection,) = unread(it)
+            (connection,) = pause_clients(it)
             assert unread_input.is_quiet(connection.transport) and not unread_input.peer_has_closed(
                 connection.transport
             )
@@ -466,12 +465,12 @@
     run(test())
 
 
-# A host's second answer, some milliseconds late
+# A second response of an endpoint, some milliseconds later
 
 
 @pytest.mark.parametrize("taken_again", [True, False])
-def test_a_late_second_answer_is_no_answer_to_the_next_request(taken_again: bool) -> None:
-    """On a connection that was taken again at once it was served to another client."""
+def test_late_second_response_is_not_the_response_to_the_next_request(taken_again: bool) -> None:
+    """Guards against immediate reuse of a connection: the second response went to another client."""
 
     async def test() -> None:
         async with gateway(rest_s=60.0) as it:
@@ -495,12 +494,12 @@
             it.proxy.upstream.rest_s = 0.0
             await it.served(client)
             assert list(it.proxy.upstream.connections) == [connection]
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_with_no_room_for_a_new_connection_one_that_hardly_rested_is_used() -> None:
+def test_recently_used_connection_is_reused_at_the_connection_limit() -> None:
     async def test() -> None:
         async with gateway(rest_s=60.0) as it:
             client = await it.client()
@@ -513,10 +512,10 @@
 
 
 @pytest.mark.parametrize("says", [True, False])
-def test_a_gateway_with_a_pushed_list_is_ready_once_it_has_that_of_now(
+def test_gateway_with_a_pushed_list_is_ready_once_the_list_is_current(
     says: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It counts as told from the first moment of a process, which begins with an older one."""
+    """Guards against a new process that takes the older list it starts with for the current one."""
     monkeypatch.setattr(discovery, "FIRST_S", 60.0)
 
     async def test() -> None:
@@ -535,14 +534,14 @@
             else:
                 it.proxy.directory.discovery.current_at = (
                     it.proxy.loop.time()
-                )  # it was waited for long enough
+                )  # the wait for the list has expired
             assert (await client.ask(ready))[0] == 200
 
     run(test())
 
 
 def started(path: Path, held: str, number: signal.Signals) -> Any:
-    """A process that sends itself a signal in the midst of its start, when it calls `held` (module:name)."""
+    """Start a process that sends itself a signal during startup, when it calls `held` (module:name)."""
     module, _, name = held.partition(":")
     code = (
         "import os, badgergap.__main__ as m\n"
@@ -563,7 +562,7 @@
     )
 
 
-# Where the start is held, whether it listens by then, and how the process ends.
+# The function during whose call the signal arrives, and the exit code of the process.
 STARTS = [
     ("badgergap.proxy.lifecycle.config:load_config", -signal.SIGTERM),
     ("badgergap.proxy.lifecycle.process:gc.freeze", -signal.SIGTERM),
@@ -574,10 +573,10 @@
 
 
 @pytest.mark.parametrize(("held", "code"), STARTS, ids=[held.rpartition(":")[2] for held, _ in STARTS])
-def test_a_sigterm_while_the_process_starts_ends_it_with_nobody_taken(
+def test_sigterm_during_startup_ends_the_process_without_clients(
     held: str, code: int, tmp_path: Path
 ) -> None:
-    """Before it can heed the signal it has accepted nobody; after that it ends as planned, and ends well."""
+    """Before its signal handler is set it has accepted no client; after that it shuts down gracefully."""
 
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as free:
@@ -597,8 +596,8 @@
     run(test())
 
 
-def test_a_sighup_while_the_process_starts_is_heeded_and_ends_nothing(tmp_path: Path) -> None:
-    """Until the loop heeded it, the signal ended the process."""
+def test_sighup_during_startup_reloads_the_configuration(tmp_path: Path) -> None:
+    """Guards against SIGHUP ending the process before the event loop handles it."""
 
     async def test() -> None:
         path = tmp_path / "config.json"
@@ -616,30 +615,30 @@
     run(test())
 
 
-# A request that must not run twice, and times that cross an answer
+# UNSAFE requests, and timeouts that race with a response
 
 WHOLE = b"HTTP/1.1 200 Any\r\nContent-Length: 4\r\n\r\n"
-# What the host does once it has the whole request, whether it may have run, and so whether another is asked.
+# Response of the endpoint to a complete request, whether it closes then, and whether a retry is allowed.
 ENDS: list[tuple[str, bytes, bool, bool]] = [
-    ("turned away", b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", False, True),
-    ("turned away and closed", b"HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", True, True),
+    ("rejected", b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", False, True),
+    ("rejected and closed", b"HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", True, True),
     ("failed", b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", False, False),
-    ("said nothing, closed", b"", True, False),
-    ("cut in its head", b"HTTP/1.1 200 An", True, False),
-    ("cut behind its head", WHOLE, True, False),
-    ("cut in its body", WHOLE + b"ab", True, False),
-    ("turned away, without its word", b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", False, False),
+    ("closed without response", b"", True, False),
+    ("truncated head", b"HTTP/1.1 200 An", True, False),
+    ("truncated after its head", WHOLE, True, False),
+    ("truncated body", WHOLE + b"ab", True, False),
+    ("503 without Not-Started", b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", False, False),
     ("noise", b"\0\1\2\r\n\r\n", False, False),
 ]
 
 
 @pytest.mark.parametrize("reset", [True, False])
 @pytest.mark.parametrize(("says", "closes", "again"), [end[1:] for end in ENDS], ids=[e[0] for e in ENDS])
-def test_what_must_not_run_twice_is_sent_again_only_where_it_never_ran(
+def test_unsafe_request_is_retried_only_if_it_was_not_executed(
     says: bytes, closes: bool, again: bool, reset: bool
 ) -> None:
     async def test() -> None:
-        async with gateway(hosts=3, settings=settings(**CAPS, secondCopies=True)) as it:
+        async with gateway(hosts=3, settings=settings(**RETRY_CAPS, secondCopies=True)) as it:
             client = await it.client()
             client.send(ask("buy", body=b"x" * 100))
             taken = await it.host.taken.get()
@@ -662,15 +661,15 @@
                 assert (await client.answer())[0] == 502
             await settled(it)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("klass", ["look", "buy"])
 @pytest.mark.parametrize("order", ["answer first", "time first", "time over a reused connection"])
-def test_a_time_out_that_crosses_its_answer(klass: str, order: str) -> None:
-    """One final answer in both orders, and no timer of something over fires into what came after it."""
+def test_timeout_races_with_the_response(klass: str, order: str) -> None:
+    """One final answer in either order, and no stale timer affects the next request."""
 
     async def test() -> None:
         async with gateway(settings=settings(maxAttempts=1)) as it:
@@ -681,7 +680,7 @@
             exchange = connection.exchange
             assert exchange is not None and connection.transport is not None
             if order == "time first":
-                connection.transport.pause_reading()  # the answer has come, and the loop sees the time first
+                connection.transport.pause_reading()  # the response has arrived, but the timeout fires first
                 taken.answer()
                 await until(lambda: not unread_input.is_quiet(connection.transport))
                 exchange.give_up(Outcome.TIMEOUT)
@@ -696,17 +695,17 @@
             again = await it.host.taken.get()
             if order == "time over a reused connection":
                 assert list(it.proxy.upstream.connections) == [connection]
-                exchange.give_up(Outcome.TIMEOUT)  # of the first: it is over
+                exchange.give_up(Outcome.TIMEOUT)  # the timer of the first request, which has ended
             again.answer(body=b"mine")
             assert (await client.answer())[::2] == (200, b"mine")
             await settled(it)
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_an_answer_and_the_end_of_its_connection_in_one_read(reset: bool) -> None:
+def test_response_and_close_of_its_connection_in_one_read(reset: bool) -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -726,47 +725,47 @@
             assert (await client.answer())[::2] == (200, b"whole")
             await settled(it)
             assert not it.proxy.upstream.connections
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_an_attempt_that_waits_for_its_copies_is_not_sent_once_its_request_is_over() -> None:
+def test_attempt_waiting_for_its_replicas_is_not_sent_after_its_request_ended() -> None:
     async def test() -> None:
-        told: list[Outcome] = []
+        outcomes: list[Outcome] = []
         over: list[bool] = []
         upstream = Upstream(
             asyncio.get_running_loop(), connections=1, connect_timeout_us=0, idle_us=0, drain_grace_us=0
         )
-        seat = SimpleNamespace(
+        keyed_request = SimpleNamespace(
             loop=upstream.loop, idempotent=SimpleNamespace(attempt_over=over.append, launch=lambda *_: None)
         )
-        books = SimpleNamespace(on_ended=lambda outcome, answer: told.append(outcome))
+        attempt_listener = SimpleNamespace(on_ended=lambda outcome, answer: outcomes.append(outcome))
         begun: list[float] = []
 
         def begin(left_s: float, told: AttemptListener) -> Any:
             begun.append(left_s)
 
-        held = PendingAttempt(seat, upstream, 9.0, books, begin)  # type: ignore[arg-type]
+        held = PendingAttempt(keyed_request, upstream, 9.0, attempt_listener, begin)  # type: ignore[arg-type]
         held.unwant()
         held.go(True)
-        assert told == [Outcome.NEVER_SENT] and over == [False] and not begun
+        assert outcomes == [Outcome.NEVER_SENT] and over == [False] and not begun
 
     run(test())
 
 
-# Waits that the decisions make
+# Delays by the balancer
 
 
 def lanes(**changed: object) -> dict[str, object]:
-    return settings(**CAPS, secondCopies=True) | {
+    return settings(**RETRY_CAPS, secondCopies=True) | {
         "lanes": [{**class_settings("look", "free"), **changed}],
         "contract": {"mustAskInUs": 100_000, "stopSendingWithinUs": 0, "keyQuietUs": 0},
     }
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_no_second_copy_for_a_client_that_has_left(leaves: bool) -> None:
+def test_no_hedged_request_for_a_disconnected_client(leaves: bool) -> None:
     async def test() -> None:
         async with gateway(hosts=3, settings=lanes(aimUs=200_000) | {"caps": {"mayCancel": False}}) as it:
             it.proxy.settings = replace(it.proxy.settings, hedging_allowed=True, max_attempts=4)
@@ -789,13 +788,13 @@
                 assert (await client.answer())[0] == 200
                 first.answer()
                 await settled(it)
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_who_leaves_before_its_turn_at_a_key_is_not_sent(leaves: bool) -> None:
+def test_queued_request_of_a_disconnected_client_is_not_sent(leaves: bool) -> None:
     async def test() -> None:
         async with gateway(hosts=2, settings=lanes(sequential=True, aimUs=4_000_000)) as it:
             one, two, three = [await it.client() for _ in range(3)]
@@ -819,13 +818,13 @@
             assert (await three.answer())[0] == 200
             await settled(it)
             assert it.host.taken.empty() and not it.proxy.balancer.lifecycle.ordering.queues
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_a_host_that_is_back_under_its_name_is_met_anew() -> None:
-    """Its connection of before belongs to the process that has gone, and it is cold again."""
+def test_endpoint_that_returns_under_its_name_is_new() -> None:
+    """Its old connections belong to a process that has ended, and it needs to warm up again."""
 
     async def test() -> None:
         async with gateway(
@@ -860,12 +859,12 @@
     run(test())
 
 
-# Answers that are still on their way
+# Responses in transit
 
 
 @pytest.mark.parametrize("how", ["close", "keep-alive"])
-def test_who_waits_for_its_last_answer_does_not_give_way(how: str) -> None:
-    """With "Connection: close" nothing more is read: it passed for one of which nothing more will come."""
+def test_connection_awaiting_its_last_response_is_not_evicted(how: str) -> None:
+    """Guards against evicting it because, with "Connection: close", nothing more is read from it."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -878,14 +877,14 @@
             taken.answer()
             assert (await client.answer())[0] == 200
             await settled(it)
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["close", "keep-alive"])
-def test_who_has_not_taken_its_answer_does_not_give_way(how: str) -> None:
-    """It was written whole, and so counted as given: making room dropped what had not left the process."""
+def test_connection_with_unsent_response_is_not_evicted(how: str) -> None:
+    """Guards against an eviction that drops the part of a written response still in the process."""
 
     async def test() -> None:
         async with gateway() as it:
@@ -900,12 +899,12 @@
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert (await client.answer())[::2] == (200, bytes(60_000))
             await until(lambda: not it.downstream.budget.used)
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_who_takes_nothing_of_its_answer_gives_way_where_memory_is_short() -> None:
+def test_client_that_reads_nothing_is_evicted_when_memory_is_short() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -925,15 +924,15 @@
 
 
 @pytest.mark.parametrize("size", [100, 3_000_000])
-def test_what_comes_behind_the_last_answer_does_not_reset_it(size: int) -> None:
-    """A close on unread bytes is a reset, which takes with it what the system still holds of the answer."""
+def test_data_after_the_last_request_does_not_reset_its_response(size: int) -> None:
+    """Closing with unread bytes sends a reset, which drops the part of the response still in the kernel."""
 
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
             client.send(ask("buy", Connection="close"))
             taken = await it.host.taken.get()
-            (connection,) = unread(it)
+            (connection,) = pause_clients(it)
             client.send(ask())
             await until(lambda: not unread_input.is_quiet(connection.transport))
             taken.answer(body=bytes(size))
@@ -941,27 +940,27 @@
             assert await client.closed()
             await settled(it)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_the_end_does_not_reset_what_lingers() -> None:
-    """A last answer is on its way, and what the client still sends is dropped: it was closed on that."""
+def test_shutdown_does_not_reset_lingering_connections() -> None:
+    """Guards against closing while the last response is in transit and further input is discarded."""
 
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
             client.send(ask(Connection="close"))
             taken = await it.host.taken.get()
-            (connection,) = unread(it)
+            (connection,) = pause_clients(it)
             transport = connection.transport
             assert transport is not None
             client.send(ask())
             await until(lambda: not unread_input.is_quiet(transport))
             taken.answer()
             await settled(it)
-            unread(it)
+            pause_clients(it)
             client.send(ask())
             await until(lambda: not unread_input.is_quiet(transport))
             ending = asyncio.get_running_loop().create_task(it.downstream.finish_requests())
@@ -971,16 +970,16 @@
             await ending
             assert (await client.answer())[0] == 200 and await client.closed()
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
-def test_nothing_follows_for_a_client_that_ends_with_an_answer_on_its_way() -> None:
-    """Its connection is not lost before that is sent: what it had asked behind it went on to a host."""
+def test_no_further_request_for_a_client_that_closes_during_a_response() -> None:
+    """The connection stays until the response is sent; pipelined requests were still forwarded by then."""
 
     async def test() -> None:
-        async with gateway(hosts=2, settings=settings(**CAPS)) as it:
+        async with gateway(hosts=2, settings=settings(**RETRY_CAPS)) as it:
             client = await it.client()
             client.send(ask())
             first = await it.host.taken.get()
@@ -998,14 +997,14 @@
             client.writer.transport.abort()
             await until(lambda: not it.downstream.connections)
             assert it.host.taken.empty()
-            nothing_left(it)
+            assert_nothing_left(it)
 
     run(test())
 
 
 @pytest.mark.parametrize("says", [b"", b"HTTP/1.1 200 Any\r\n\r\nwhole"])
-def test_a_host_that_ends_before_it_has_the_whole_request_is_not_waited_for(says: bytes) -> None:
-    """Until the rest was sent, its connection did not count as lost: the attempt hung until its time-out."""
+def test_endpoint_that_closes_before_the_whole_request_ends_the_attempt(says: bytes) -> None:
+    """Guards against an attempt that hangs until its timeout, since the rest of its body cannot be sent."""
 
     async def test() -> None:
         async with gateway(hosts=1) as it:
@@ -1014,8 +1013,10 @@
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 reader._transport.pause_reading()  # type: ignore[attr-defined]
-                (box,) = it.proxy.upstream.connections
-                await until(lambda: box.transport is not None and box.transport.get_write_buffer_size() > 0)
+                (upstream,) = it.proxy.upstream.connections
+                await until(
+                    lambda: upstream.transport is not None and upstream.transport.get_write_buffer_size() > 0
+                )
                 writer.write(says)
                 writer.write_eof()
                 reading.set()
@@ -1034,10 +1035,10 @@
 
 
 @pytest.mark.parametrize("beyond", [0, 1])
-def test_a_connection_beyond_the_limit_hears_so_though_it_has_asked_already(
+def test_connection_beyond_the_limit_gets_503_despite_unread_input(
     beyond: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What it had sent stood unread as it was closed: the reset could overtake the 503."""
+    """Guards against closing with unread input: the reset could overtake the 503."""
     monkeypatch.setattr(listener.Downstream, "limit", 0)
     monkeypatch.setattr(listener.Downstream, "evict_one", lambda *_, **__: False)
 
@@ -1050,7 +1051,7 @@
             with contextlib.ExitStack() as open_ones:
                 many = [open_ones.enter_context(socket.create_connection(address)) for _ in range(1 + beyond)]
                 for sock in many:
-                    sock.sendall(ask())  # before the loop has come to accept it
+                    sock.sendall(ask())  # before the event loop accepts it
                     sock.setblocking(False)
                 for sock in many:
                     said = b""
