--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -93,9 +93,8 @@
         self.requests: dict[str, Request] = {}
         self.open_requests = 0  # requests without a final answer
         self.client_address: Address | None = None  # the address that clients connect to, once it is known
-        self.shutdown_us = (
-            NEVER_US  # the time by which all requests must be answered: the process is killed soon after
-        )
+        # All requests must be answered by then: the process is killed soon after.
+        self.shutdown_us = NEVER_US
         self.accepted_count = 0  # also the id of the last request
         # Set where several pools share one limit on open requests. None: the limit of the settings applies.
         self.may_admit: Callable[[], bool] | None = None
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -743,7 +743,7 @@
         attempt_listener = SimpleNamespace(on_ended=lambda outcome, answer: outcomes.append(outcome))
         begun: list[float] = []
 
-        def begin(left_s: float, told: AttemptListener) -> Any:
+        def begin(left_s: float, recorder: AttemptListener) -> Any:
             begun.append(left_s)
 
         held = PendingAttempt(keyed_request, upstream, 9.0, attempt_listener, begin)  # type: ignore[arg-type]
