--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -103,7 +103,7 @@
 
 
 def test_a_failing_endpoint_gets_an_open_breaker_and_no_requests() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     for _ in range(200):
         name, actions = driver.arrive()
         endpoint = sends(actions)[0].endpoint_id
@@ -118,7 +118,7 @@
 
 
 def test_weight_rises_after_success_and_falls_after_failure() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     endpoint = driver.balancer.endpoints[0]
     endpoint.weight = 0.5
     name, _ = driver.arrive()
@@ -130,7 +130,7 @@
 
 
 def test_a_response_over_twice_the_smoothed_latency_lowers_the_weight() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     endpoint = driver.balancer.endpoints[0]
     name, _ = driver.arrive()
     driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
@@ -138,7 +138,7 @@
 
 
 def test_weight_stays_between_minimum_and_maximum() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     endpoint = driver.balancer.endpoints[0]
     for _ in range(40):
         endpoint.weight = next_weight(endpoint.weight, True)
@@ -149,15 +149,15 @@
 
 
 def test_a_new_endpoint_starts_at_the_mean_weight() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     driver.balancer.endpoints[0].weight = 0.2
     driver.balancer.endpoints[1].weight = 0.6
-    driver.list_servers(ListedEndpoint(9), kind=EndpointListKind.DELTA)
+    driver.list_endpoints(ListedEndpoint(9), kind=EndpointListKind.DELTA)
     assert driver.balancer.endpoints[9].weight == 0.4
 
 
 def test_an_endpoint_keeps_its_weight_until_the_breaker_closes_again() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     endpoint = driver.balancer.endpoints[0]
     for _ in range(MINIMUM_OUTCOMES):
         name, actions = driver.arrive(klass=2)
@@ -176,7 +176,7 @@
 
 def test_an_endpoint_that_fails_one_class_is_excluded_for_that_class_only() -> None:
     """With a single ring, the failures of one class were outnumbered by successes of the others."""
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     for n in range(120):
         name, actions = driver.arrive(klass=n % 3)
         endpoint = sends(actions)[0].endpoint_id
@@ -194,7 +194,7 @@
 
 def test_a_failed_connect_is_one_failure_among_others() -> None:
     """With slow handshakes, one failed connect excluded endpoints whose open connections worked."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     for n in range(MINIMUM_OUTCOMES):
         assert driver.balancer.endpoints[0].breakers[0].state is BreakerState.CLOSED
         name, actions = driver.arrive(klass=n % 3)
@@ -204,7 +204,7 @@
 
 def test_an_overload_does_not_open_one_breaker_after_the_other() -> None:
     """Each opened breaker moved its load to the others, until nine of twelve were open."""
-    driver = Driver(servers=12)
+    driver = Driver(endpoints=12)
     all_endpoints = list(driver.balancer.endpoints.values())
     for endpoint in all_endpoints[:4]:
         trip(endpoint.breakers[0], driver.now_us)
--- a/tests/balancing/test_manual_drains.py
+++ b/tests/balancing/test_manual_drains.py
@@ -24,7 +24,7 @@
 
 
 def tell(driver: Driver, number: int, status: EndpointStatus, started_us: int = 0) -> None:
-    driver.list_servers(
+    driver.list_endpoints(
         ListedEndpoint(number, status, group=number % 2, started_us=started_us), kind=EndpointListKind.DELTA
     )
 
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_reinstated_endpoint_that_was_used_before_is_used_soon(seed: int) -> None:
     """Within 4 s at about thirty requests a second, also if the random choice would rarely pick it."""
-    driver = Driver(COLD, servers=12, seed=seed)
+    driver = Driver(COLD, endpoints=12, seed=seed)
     used = serve(driver, 200)
     number = max(set(used), key=used.count)
     tell(driver, number, OUT)
@@ -91,12 +91,12 @@
 
 def test_a_reinstated_endpoint_in_another_zone_is_used_soon() -> None:
     """The random choice alone would pick it once in hundreds of requests."""
-    driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), servers=0)
+    driver = Driver(replace(COLD, prices=Prices(cross_zone=1.0)), endpoints=0)
     near = [ListedEndpoint(n) for n in range(6)]
-    driver.list_servers(*near, ListedEndpoint(6, zone=1))
+    driver.list_endpoints(*near, ListedEndpoint(6, zone=1))
     driver.balancer.endpoints[6].used = True
     for status in (OUT, READY):
-        driver.list_servers(ListedEndpoint(6, status, zone=1), kind=EndpointListKind.DELTA)
+        driver.list_endpoints(ListedEndpoint(6, status, zone=1), kind=EndpointListKind.DELTA)
     reinstated_at_us = driver.now_us
     while 6 not in serve(driver):
         driver.now_us += 23_000
@@ -105,7 +105,7 @@
 
 
 def test_a_reinstated_endpoint_that_was_never_used_is_not_preferred() -> None:
-    driver = Driver(COLD, servers=12)
+    driver = Driver(COLD, endpoints=12)
     used = set(serve(driver, 200))
     other = next(n for n in range(12) if n not in used)
     tell(driver, other, OUT)
@@ -139,7 +139,7 @@
 @given(STEPS)
 def test_no_attempt_goes_to_a_drained_endpoint(steps: list[tuple[str, int, int]]) -> None:
     """For any order of drains, list updates and requests; a reinstated endpoint starts cold."""
-    driver = Driver(COLD, servers=4)
+    driver = Driver(COLD, endpoints=4)
     status = dict.fromkeys(range(4), READY)
     started_us = dict.fromkeys(range(4), 0)
     cold_since_us = dict.fromkeys(range(4), 0)
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -52,7 +52,7 @@
 
 
 def test_a_keyed_request_stays_in_its_group_and_window() -> None:
-    driver = Driver(servers=6)
+    driver = Driver(endpoints=6)
     name, actions = driver.arrive(klass=1)
     first = sends(actions)[0].endpoint_id
     again = sends(driver.end(name, first, Outcome.RESET))
@@ -77,7 +77,7 @@
 def test_a_restricted_keyed_request_stays_in_its_group_and_window(
     allowed: tuple[int, ...], waited_us: int, attempts: list[set[int]]
 ) -> None:
-    driver = Driver(servers=6)
+    driver = Driver(endpoints=6)
     name, actions = driver.arrive(klass=1, allowed_endpoints=allowed)  # type: ignore[arg-type]
     sent: list[int] = []
     while sends(actions):
@@ -97,7 +97,7 @@
 
 
 def test_the_number_of_attempts_is_limited() -> None:
-    driver = Driver(replace(SETTINGS, max_attempts=2), servers=5)
+    driver = Driver(replace(SETTINGS, max_attempts=2), endpoints=5)
     name, actions = driver.arrive()
     again = sends(driver.end(name, sends(actions)[0].endpoint_id, Outcome.ERROR))
     assert finals(driver.end(name, again[0].endpoint_id, Outcome.ERROR, attempt=1)) == [Reject(name)]
@@ -149,7 +149,7 @@
 
 
 def test_an_unsafe_request_is_not_used_as_a_trial() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     breaker = driver.balancer.endpoints[0].breakers[0]
     trip(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
@@ -158,14 +158,14 @@
 
 
 def test_an_unresponsive_endpoint_gets_no_further_requests() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     driver.arrive(klass=2)
     driver.now_us += int(OVERDUE_MULTIPLE * max(driver.balancer.latency.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
 def test_rejections_state_the_shortest_cooldown_when_all_breakers_are_open() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     for number, endpoint in driver.balancer.endpoints.items():
         trip(endpoint.breakers[0], driver.now_us + number * 100_000)
     driver.now_us += 400_000
@@ -174,7 +174,7 @@
 
 
 def test_without_endpoints_requests_are_rejected() -> None:
-    driver = Driver(servers=0)
+    driver = Driver(endpoints=0)
     name, actions = driver.arrive(klass=2)
     assert finals(actions) == [Reject(name)]
 
@@ -215,8 +215,8 @@
 
 
 def test_endpoints_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
-    driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), servers=0)
-    driver.list_servers(ListedEndpoint(1, zone=0), ListedEndpoint(2, zone=1))
+    driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), endpoints=0)
+    driver.list_endpoints(ListedEndpoint(1, zone=0), ListedEndpoint(2, zone=1))
     to_home = 0
     for _ in range(200):
         name, actions = driver.arrive()
@@ -226,7 +226,7 @@
 
 
 def test_requests_of_a_sticky_key_prefer_its_home_endpoint() -> None:
-    driver = Driver(replace(SETTINGS, sticky_keys=True), servers=8)
+    driver = Driver(replace(SETTINGS, sticky_keys=True), endpoints=8)
     used: dict[int, int] = {}
     for _ in range(100):
         name, actions = driver.arrive(key=77)
@@ -243,8 +243,8 @@
 
 
 def test_a_draining_or_gone_endpoint_gets_no_new_requests() -> None:
-    driver = Driver(servers=3)
-    driver.list_servers(
+    driver = Driver(endpoints=3)
+    driver.list_endpoints(
         ListedEndpoint(0, EndpointStatus.DRAINING),
         ListedEndpoint(1, EndpointStatus.GONE),
         kind=EndpointListKind.DELTA,
@@ -254,16 +254,16 @@
 
 
 def test_a_full_list_removes_missing_endpoints_and_a_restart_resets_the_record() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     driver.balancer.endpoints[1].breakers[0].record(0, True, 0, 0.0)
-    driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
+    driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
     assert list(driver.balancer.endpoints) == [1]
     assert driver.balancer.endpoints[1].breakers[0].failures == 0
 
 
 def test_the_list_is_subscribed_to_and_retried_after_an_error() -> None:
-    driver = Driver(replace(SETTINGS, endpoint_list_is_pushed=False), servers=0)
-    (timer,) = timers(driver.list_servers(ListedEndpoint(1), kind=EndpointListKind.DISK))
+    driver = Driver(replace(SETTINGS, endpoint_list_is_pushed=False), endpoints=0)
+    (timer,) = timers(driver.list_endpoints(ListedEndpoint(1), kind=EndpointListKind.DISK))
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # spread over the proxies
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
@@ -276,13 +276,13 @@
 
 
 def test_no_state_is_kept_of_finished_requests() -> None:
-    driver = Driver(servers=4)
+    driver = Driver(endpoints=4)
     for n in range(3_000):
         name, actions = driver.arrive(klass=n % 3)
         for send in sends(actions):
             driver.end(name, send.endpoint_id, Outcome.SUCCESS if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
-            driver.list_servers(*(ListedEndpoint(n + i) for i in range(4)))
+            driver.list_endpoints(*(ListedEndpoint(n + i) for i in range(4)))
         for request in list(driver.balancer.requests):
             driver.handle(ClientDisconnected(request))
             for i in range(3):
@@ -367,7 +367,7 @@
 def test_a_proxy_keeps_to_its_subset() -> None:
     """Without subsets hundreds of proxies filled all connection tables; 90% of attempts got none."""
     used: set[int] = set()
-    driver = Driver(replace(SETTINGS, proxy_count=300, proxy_index=5), servers=60)
+    driver = Driver(replace(SETTINGS, proxy_count=300, proxy_index=5), endpoints=60)
     for _ in range(300):
         name, actions = driver.arrive()
         used.add(sends(actions)[0].endpoint_id)
@@ -388,14 +388,14 @@
 
 def test_the_subset_grows_with_the_attempts_in_flight(monkeypatch: pytest.MonkeyPatch) -> None:
     """One proxy with a fifth of all traffic would overload the few endpoints of a fixed subset."""
-    driver = Driver(replace(SETTINGS, proxy_count=300), servers=60)
+    driver = Driver(replace(SETTINGS, proxy_count=300), endpoints=60)
     monkeypatch.setattr(AdmissionControl, "burst_shed_fraction", lambda self: 0.0)
     used = {send.endpoint_id for _ in range(40) for send in sends(driver.arrive(klass=2)[1])}
     assert len(used) > 3 * MIN_SUBSET_SIZE
 
 
 def test_an_endpoint_with_an_open_breaker_is_replaced_by_the_next_in_rank() -> None:
-    driver = Driver(replace(SETTINGS, proxy_count=300), servers=60)
+    driver = Driver(replace(SETTINGS, proxy_count=300), endpoints=60)
     subset = driver.balancer.selector.subset(0, driver.now_us)
     trip(subset[0].breakers[0], driver.now_us)
     after = driver.balancer.selector.subset(0, driver.now_us)
@@ -416,8 +416,8 @@
     """All forty proxies sent their one allowed request when the endpoint was listed, at the same time."""
     work_us = [0.0] * 20  # per half second
     for proxy in range(40):
-        driver = Driver(replace(COLD, proxy_index=proxy), servers=0, seed=proxy)
-        driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
+        driver = Driver(replace(COLD, proxy_index=proxy), endpoints=0, seed=proxy)
+        driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
         for step in range(1_000):
             name, actions = driver.arrive()
             if sends(actions):
@@ -434,8 +434,8 @@
     cold = replace(SETTINGS, classes=(UNSAFE,), cold_capacity=0.25, warm_up_us=8_000_000, overload_multiple=4)
     sent = []
     for usual_us in (10_000.0, 100_000.0):
-        driver = Driver(cold, servers=0)
-        driver.list_servers(ListedEndpoint(1, started_us=driver.now_us))
+        driver = Driver(cold, endpoints=0)
+        driver.list_endpoints(ListedEndpoint(1, started_us=driver.now_us))
         driver.balancer.latency.baseline_us, driver.balancer.latency.smoothed_us = [10_000.0], [usual_us]
         driver.balancer.endpoints[1].spent_us = 0.0
         sent.append(sum(bool(sends(driver.arrive()[1])) for _ in range(300)))
@@ -446,7 +446,9 @@
     """Only new requests counted: the class with most client retries was taken for the worst served."""
     for duration_us, served in ((20_000, 1.0), (150_000, 0.0)):
         driver = Driver()
-        name, actions = driver.arrive(patience_us=300_000, is_retry=True)  # 100 ms of the objective are left
+        name, actions = driver.arrive(
+            client_timeout_us=300_000, is_retry=True
+        )  # 100 ms of the objective are left
         driver.now_us += duration_us
         driver.end(name, sends(actions)[0].endpoint_id)
         assert driver.balancer.admission.served[0] == served
@@ -456,7 +458,7 @@
     """Otherwise one in eight of the most valuable requests queued although another endpoint was free."""
     chosen = []
     for klass in (1, 2):  # only the last of the three has a weight above the mean
-        driver = Driver(replace(SETTINGS, proxy_count=1), servers=3)
+        driver = Driver(replace(SETTINGS, proxy_count=1), endpoints=3)
         busy, free, _ = driver.balancer.table.ranked
         for endpoint, out in ((busy, 2), (driver.balancer.table.ranked[2], 2), (free, 1)):
             endpoint.in_flight = {Attempt(endpoint, driver.now_us, (0, 0)): driver.now_us for _ in range(out)}
@@ -470,11 +472,11 @@
 
 def test_a_cold_endpoint_outside_the_subset_is_not_used_as_a_replacement() -> None:
     """Many proxies that avoid failing endpoints would all converge on the same cold one."""
-    driver = Driver(replace(COLD, proxy_count=300), servers=60)
+    driver = Driver(replace(COLD, proxy_count=300), endpoints=60)
     last = driver.balancer.table.ranked[-1].entry.endpoint_id
     for endpoint in driver.balancer.table.ranked[:-1]:
         trip(endpoint.breakers[0], driver.now_us)
-    driver.list_servers(ListedEndpoint(last, started_us=driver.now_us - 1), kind=EndpointListKind.DELTA)
+    driver.list_endpoints(ListedEndpoint(last, started_us=driver.now_us - 1), kind=EndpointListKind.DELTA)
     assert driver.balancer.selector.subset(0, driver.now_us) == []
 
 
@@ -537,8 +539,8 @@
     for marks in (True, False):
         driver = Driver(replace(SETTINGS, classes=(late,), clients_mark_retries=marks))
         for n in range(30):
-            patience_us = 330_000 if n % 5 == 4 else 220_000
-            name, actions = driver.arrive(patience_us=patience_us, is_retry=marks and n % 5 == 4)
+            client_timeout_us = 330_000 if n % 5 == 4 else 220_000
+            name, actions = driver.arrive(client_timeout_us=client_timeout_us, is_retry=marks and n % 5 == 4)
             (send,) = sends(actions)
             if n > 4:
                 assert (send.timeout_us < 150_000) == (n % 5 == 4)
@@ -547,7 +549,7 @@
 
 def test_a_few_slow_responses_among_hundreds_shed_little() -> None:
     """At 250 responses/s ten slow ones in a row came every few seconds, and nearly all was rejected."""
-    driver = Driver(servers=8)  # enough for ten requests at the same time
+    driver = Driver(endpoints=8)  # enough for ten requests at the same time
     crowd(driver)
     requests = [driver.arrive(klass=2) for _ in range(10)]
     driver.balancer.admission.shed_updated_us = driver.now_us
@@ -561,7 +563,7 @@
     """With three requests in flight at 12 endpoints a proxy rejected 90%, as much of the work took long."""
     shed = []
     for out in (3, 30):
-        driver = Driver(servers=12)
+        driver = Driver(endpoints=12)
         requests = [driver.arrive(klass=2) for _ in range(out)]
         driver.now_us += 5_000_000
         driver.handle(EndpointList(EndpointListKind.DELTA))
@@ -573,17 +575,17 @@
 
 def test_a_burst_is_shed_before_any_response_shows_it() -> None:
     """All of a burst of hundreds of requests were sent, exceeded their objective, and were retried."""
-    driver = Driver(servers=4)
+    driver = Driver(endpoints=4)
     sent = sum(bool(sends(driver.arrive()[1])) for _ in range(200))
     assert 4 < sent < 100
     # Three requests at one of many proxies do not predict the load from the others.
-    single = Driver(replace(SETTINGS, proxy_count=100), servers=4)
+    single = Driver(replace(SETTINGS, proxy_count=100), endpoints=4)
     assert all(sends(single.arrive()[1]) for _ in range(3))
 
 
 def test_the_baseline_does_not_fall_to_the_shortest_response() -> None:
     """The shortest of thousands took a tenth of the mean, so that nearly all seemed to have queued."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     driver.balancer.random.seed(3)
     for number in range(3_000):
         name, _ = driver.arrive()
@@ -594,15 +596,15 @@
 def test_live_weights_that_show_an_overload_shed_before_any_response() -> None:
     """A proxy with few responses noticed an overload only when it had already impaired the endpoints."""
     for live in (True, False):
-        driver = Driver(replace(SETTINGS, weights_follow_load=live), servers=0)
-        driver.list_servers(*(ListedEndpoint(n, weight=4.0) for n in range(3)))
+        driver = Driver(replace(SETTINGS, weights_follow_load=live), endpoints=0)
+        driver.list_endpoints(*(ListedEndpoint(n, weight=4.0) for n in range(3)))
         for _ in range(5):
-            driver.list_servers(
+            driver.list_endpoints(
                 *(ListedEndpoint(n, weight=0.5) for n in range(3)), kind=EndpointListKind.DELTA
             )
         assert (driver.balancer.admission.shed_fraction > 0.5) == live
         for _ in range(20):
-            driver.list_servers(
+            driver.list_endpoints(
                 *(ListedEndpoint(n, weight=4.0) for n in range(3)), kind=EndpointListKind.DELTA
             )
         assert driver.balancer.admission.shed_fraction == 0.0
@@ -610,7 +612,7 @@
 
 def test_an_endpoint_keeps_its_weight_while_its_breaker_is_not_closed() -> None:
     """Late outcomes and failed trials lowered the weight with which an endpoint was to recover."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     endpoint = driver.balancer.endpoints[0]
     names = [driver.arrive(klass=2)[0] for _ in range(2)]
     trip(endpoint.breakers[0], driver.now_us)
@@ -624,7 +626,7 @@
 
 def test_rejections_by_endpoints_shed_nothing() -> None:
     """Where endpoints throttled one class, their rejections made a proxy shed every class."""
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     for _ in range(6):
         name, actions = driver.arrive()
         if sends(actions):
@@ -634,7 +636,7 @@
 
 def test_a_new_proxy_soon_learns_the_baseline_latency() -> None:
     """Restarted proxies learned an overload as the baseline, which started high and fell slowly."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     balancer = driver.balancer
     start_us = balancer.latency.baseline_us[0]
     for _ in range(6):
@@ -649,7 +651,7 @@
 
 def test_a_small_wait_is_no_overload_where_objectives_are_tight() -> None:
     """A quarter of a small slack was within the normal variation, and half was shed without overload."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     crowd(driver)
     driver.balancer.latency.baseline_us[0] = 150_000.0  # of an objective of 200 ms
     for latency_us, is_shedding in ((250_000, False), (310_000, True)):
@@ -663,7 +665,7 @@
     """If half the value remains after the objective, a rejection costs more than the wait."""
     for late_share, is_shedding in ((0.0, True), (0.5, False)):
         klass = replace(SAFE, late_weight=late_share)
-        driver = Driver(replace(SETTINGS, classes=(klass,)), servers=1)
+        driver = Driver(replace(SETTINGS, classes=(klass,)), endpoints=1)
         crowd(driver)
         driver.balancer.latency.baseline_us[0] = 20_000.0
         name, _ = driver.arrive()
@@ -674,7 +676,7 @@
 def test_a_client_that_disconnects_during_an_overload_counts_for_shedding() -> None:
     """Clients with short timeouts hid the overload that they caused: abandoned attempts were not counted."""
     for connected_us, is_shedding in ((10_000, False), (90_000, True)):
-        driver = Driver(servers=1)
+        driver = Driver(endpoints=1)
         crowd(driver)
         driver.balancer.latency.baseline_us[0] = 40_000.0
         name, _ = driver.arrive()
@@ -722,20 +724,20 @@
     driver = Driver(ORDERED)
     driver.arrive(klass=1, key=7)
     min_duration_us = int(driver.balancer.latency.baseline_us[1])
-    late, actions = driver.arrive(klass=1, key=7, patience_us=2 * min_duration_us - 1)
+    late, actions = driver.arrive(klass=1, key=7, client_timeout_us=2 * min_duration_us - 1)
     assert finals(actions) == [Reject(late)]
-    waiting, actions = driver.arrive(klass=1, key=7, patience_us=2 * min_duration_us + 1_000)
+    waiting, actions = driver.arrive(klass=1, key=7, client_timeout_us=2 * min_duration_us + 1_000)
     (timer,) = timers(actions)
     driver.now_us = timer.due_us
     assert finals(driver.handle(TimerFired(timer.token))) == [Reject(waiting)]
 
 
 def test_many_rejections_from_one_queue_are_answered_without_recursion() -> None:
-    driver = Driver(ORDERED, servers=1)
-    first, _ = driver.arrive(klass=1, key=7, patience_us=10**9)
+    driver = Driver(ORDERED, endpoints=1)
+    first, _ = driver.arrive(klass=1, key=7, client_timeout_us=10**9)
     driver.balancer.latency.baseline_us[1] = 0.0
-    waiting = [driver.arrive(klass=1, key=7, patience_us=10**9)[0] for _ in range(2_000)]
-    driver.list_servers(ListedEndpoint(0, EndpointStatus.DRAINING))
+    waiting = [driver.arrive(klass=1, key=7, client_timeout_us=10**9)[0] for _ in range(2_000)]
+    driver.list_endpoints(ListedEndpoint(0, EndpointStatus.DRAINING))
     answers = finals(driver.end(first, 0))
     assert answers == [Reject(name) for name in waiting] and not driver.balancer.lifecycle.ordering.queues
 
@@ -752,7 +754,7 @@
 def test_a_request_with_no_time_left_is_rejected_without_an_attempt() -> None:
     driver = Driver()
     for klass in range(3):
-        name, actions = driver.arrive(klass=klass, patience_us=0)
+        name, actions = driver.arrive(klass=klass, client_timeout_us=0)
         assert finals(actions) == [Reject(name)] and not sends(actions)
     assert not driver.balancer.requests
 
@@ -760,7 +762,7 @@
 def test_after_an_empty_list_requests_are_rejected_and_late_outcomes_processed() -> None:
     driver = Driver()
     first, actions = driver.arrive(klass=2)
-    driver.list_servers()
+    driver.list_endpoints()
     second, answer = driver.arrive()
     assert finals(answer) == [Reject(second)]
     assert finals(driver.end(first, sends(actions)[0].endpoint_id, Outcome.RESET)) == [Fail(first)]
@@ -771,7 +773,7 @@
 @pytest.mark.parametrize("status", [EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.OUT])
 def test_retry_after_counts_only_endpoints_that_take_requests(status: EndpointStatus) -> None:
     driver = Driver(replace(SETTINGS, max_retry_after_us=30_000_000))
-    driver.list_servers(ListedEndpoint(0, status=status), kind=EndpointListKind.DELTA)
+    driver.list_endpoints(ListedEndpoint(0, status=status), kind=EndpointListKind.DELTA)
     for number in (1, 2):
         trip(driver.balancer.endpoints[number].breakers[0], driver.now_us)
     if status is EndpointStatus.READY:
--- a/tests/balancing/test_streaming.py
+++ b/tests/balancing/test_streaming.py
@@ -25,7 +25,7 @@
 
 
 def test_a_stream_counts_neither_as_load_nor_as_unresponsive() -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     names = [send_request(driver) for _ in range(5)]
     for name, _ in names:
         driver.handle(StreamStarted(name, 0, latency_us=10_000))
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.SUCCESS])
 def test_an_aborted_stream_counts_as_a_failure(outcome: Outcome) -> None:
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     for _ in range(5):
         name, number = send_request(driver)
         driver.handle(StreamStarted(name, 0))
@@ -55,7 +55,7 @@
 
 
 def test_an_attempt_that_cannot_be_repeated_is_not_retried_and_counts_by_its_outcome() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     name, number = send_request(driver)
     driver.handle(StreamStarted(name, 0, answered=False))
     assert driver.balancer.in_flight == 0
@@ -68,7 +68,7 @@
 
 
 def test_with_varying_work_two_overdue_attempts_make_an_endpoint_unresponsive_and_one_does_not() -> None:
-    driver = Driver(VARIED, servers=1)
+    driver = Driver(VARIED, endpoints=1)
     (endpoint,) = driver.balancer.endpoints.values()
     send_request(driver)
     advance_clock(driver)
@@ -84,14 +84,14 @@
 
 def test_burst_shedding_takes_the_concurrency_of_endpoints_into_account() -> None:
     for concurrency, shed in ((1, True), (1000, False)):
-        driver = Driver(replace(SETTINGS, endpoint_concurrency=concurrency), servers=1)
+        driver = Driver(replace(SETTINGS, endpoint_concurrency=concurrency), endpoints=1)
         send_request(driver)
         driver.balancer.admission.in_flight = 100
         assert (driver.balancer.admission.burst_shed_fraction() > 0.0) is shed
 
 
 def test_an_added_class_starts_with_the_latency_of_a_similar_one_and_changes_no_other() -> None:
-    driver = Driver(servers=2)
+    driver = Driver(endpoints=2)
     balancer = driver.balancer
     name, number = send_request(driver)
     driver.end(name, number, latency_us=7_000)
--- a/tests/balancing/test_view.py
+++ b/tests/balancing/test_view.py
@@ -18,7 +18,7 @@
 
 
 def test_views_report_open_overdue_and_half_open_endpoints() -> None:
-    driver = Driver(servers=3)
+    driver = Driver(endpoints=3)
     trip(driver.balancer.endpoints[0].breakers[0], START_US)
     _, actions = driver.arrive()
     (send,) = sends(actions)
@@ -31,7 +31,7 @@
 
 
 def test_views_of_selected_endpoints() -> None:
-    driver = Driver(servers=5)
+    driver = Driver(endpoints=5)
     assert [view.endpoint_id for view in driver.balancer.endpoint_views(START_US, [3, 99, 1])] == [3, 1]
 
 
