--- a/badgergap/consensus/__init__.py
+++ b/badgergap/consensus/__init__.py
@@ -1,6 +1,6 @@
-"""What a group of gateways agrees on, by a Raft log.
+"""Agreement within a group of gateways on settings, drains and endpoint lists, through a Raft log.
 
-Pure state machines: `raft` (the protocol), `replicated_state` (versions), `lease` (who may act), and
-`member`, which puts them together. With I/O: `transport` (sockets between members), `service` (the member
-with its disk, links and clock in a gateway) and `commands` (what operators ask).
+Pure state machines: `raft` (the protocol), `replicated_state` (versions), `lease` (the right to act), and
+`member`, which combines them. With I/O: `transport` (sockets between members), `service` (connects the member
+to disk, links, clock and gateway) and `commands` (operator commands).
 """
--- a/badgergap/consensus/background_tasks.py
+++ b/badgergap/consensus/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that belong to a component, and end with it."""
+"""Background tasks that belong to a component and are cancelled with it."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class BackgroundTasks:
-    """Holds its tasks, so that none is lost, until they are done or cancelled."""
+    """Keeps references to running tasks, without which the event loop may garbage-collect them."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Begin a task on the running loop."""
+        """Start a task on the running loop."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def cancel_all(self) -> None:
-        """Cancel all that are not done."""
+        """Cancel all tasks that are not done."""
         for task in list(self._tasks):
             task.cancel()
--- a/badgergap/consensus/clock.py
+++ b/badgergap/consensus/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted by."""
+"""The clock that leases are measured with."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def clock_us() -> int:
-    """Microseconds since the machine started. It goes on while the machine sleeps, and is never set."""
+    """Return microseconds since boot. The clock runs while the machine is suspended, and is never set."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NS_PER_US
--- a/badgergap/consensus/commands.py
+++ b/badgergap/consensus/commands.py
@@ -1,6 +1,7 @@
-"""What operators ask of a group, at any member's admin socket: JSON in, JSON out.
+"""The commands that operators send to a group at the admin socket of any member, as JSON.
 
-The names of commands, arguments and results are those of the command line and of scripts: they stay.
+The names of commands, arguments and results are an external interface, which the command line and scripts
+use: they must not change.
 """
 
 from __future__ import annotations
@@ -32,17 +33,17 @@
 CHANGE_TIMEOUT_S = 15.0
 CHANGE_REPEAT_S = 3.0
 CHANGE_POLL_S = 0.1
-ALIVE_MS = 2000  # a member that was heard within this is there
+ALIVE_MS = 2000  # a member counts as alive if its last contact is at most this long ago
 HISTORY_DEFAULT = 50
 ALERTS_SHOWN = 10
 CHANGES_SHOWN = 20
 
-Arguments = Mapping[str, Any]  # foreign JSON
-Reply = Mapping[str, Any]  # becomes JSON
+Arguments = Mapping[str, Any]  # decoded JSON, not validated
+Reply = Mapping[str, Any]  # encoded as JSON
 
 
 class GroupCommands:
-    """Raises CommandRefusedError for what cannot be done."""
+    """Carries out commands. Each raises CommandRefusedError if it cannot be done."""
 
     def __init__(self, service: GroupService) -> None:
         self.service = service
@@ -62,7 +63,7 @@
         }
 
     async def call(self, op: str, arguments: Arguments) -> Reply:
-        """Carry out one command."""
+        """Carry out the command `op` and return its reply."""
         if op not in self.handlers:
             raise CommandRefusedError(f"no call of a group is named {op!r}")
         try:
@@ -70,10 +71,10 @@
         except (KeyError, TypeError, ValueError) as error:
             raise CommandRefusedError(f"the call {op} lacks something: {error}") from None
 
-    # What is known
+    # Queries
 
     async def status(self, arguments: Arguments) -> Reply:
-        """All members, and what is wrong."""
+        """Return the status of all members, and current problems."""
         member = self.service.member
         statuses = await self.service.statuses()
         problems = self.service.problems()
@@ -117,7 +118,7 @@
         return {"messages": messages, "bytes": size}
 
     async def who(self, arguments: Arguments) -> Reply:
-        """What this member knows by itself, at once."""
+        """Return what this member knows locally, without a request to the leader."""
         member = self.service.member
         if member is None:
             return {"leader": "", "term": 0, "leads": False, "acting": 0, "lease_ms": 0}
@@ -130,12 +131,12 @@
         }
 
     async def show(self, arguments: Arguments) -> Reply:
-        """The settings of a version, or of the newest."""
+        """Return the settings of a version, by default of the newest."""
         number = int(arguments.get("version") or self._state().newest.settings_at)
         return {"version": number, "tables": decode_tables(self._body(number))}
 
     async def history(self, arguments: Arguments) -> Reply:
-        """The newest versions."""
+        """Return the headers of the newest versions."""
         headers = list(self._state().headers)
         count = int(arguments.get("last", HISTORY_DEFAULT))
         return {
@@ -144,7 +145,7 @@
         }
 
     async def diff(self, arguments: Arguments) -> Reply:
-        """What differs between two versions' settings."""
+        """Return the differences between the settings of two versions."""
         older, newer = (self._body(int(arguments[key])) for key in ("a", "b"))
         return {
             "contradictions": contradictions_between(older, newer),
@@ -154,7 +155,7 @@
     # Versions
 
     async def publish(self, arguments: Arguments) -> Reply:
-        """Propose settings."""
+        """Publish settings as a new version."""
         tables = arguments["tables"]
         if not isinstance(tables, dict):
             raise CommandRefusedError("settings are tables")
@@ -162,7 +163,7 @@
         return await self._publish(encode_tables(tables), author, reason, arguments)
 
     async def rollback(self, arguments: Arguments) -> Reply:
-        """Propose the settings of an earlier version."""
+        """Publish the settings of an earlier version again."""
         number = int(arguments["version"])
         reason = str(arguments.get("reason") or f"back to version {number}")
         return await self._publish(self._body(number), str(arguments["by"]), reason, arguments)
@@ -191,7 +192,7 @@
         }
 
     async def wait(self, arguments: Arguments) -> Reply:
-        """Wait until a version is in force."""
+        """Wait until a version is in force at all members that act."""
         number = int(arguments["version"])
         if number > self._state().newest.number:
             raise CommandRefusedError(f"there is no version {number} here")
@@ -199,7 +200,7 @@
         return {"version": number, "in_force": not reason_not, "not": reason_not}
 
     async def _wait_in_force(self, number: int, within_s: float) -> str:
-        """Where the version is not in force in time; empty if it is everywhere."""
+        """Return where the version is not in force in time; empty if it is in force everywhere."""
         try:
             await self.service.wait_in_force(number, within_s)
         except NotInForceError as error:
@@ -207,27 +208,30 @@
         return ""
 
     async def out(self, arguments: Arguments) -> Reply:
-        """Drain an endpoint by hand, for scripts; `badgergap drain` also checks that one is left."""
+        """Drain an endpoint manually.
+
+        Meant for scripts; `badgergap drain` also checks that an endpoint is left to serve.
+        """
         return await self._drain_or_reinstate(arguments, True)
 
     async def back(self, arguments: Arguments) -> Reply:
-        """Reinstate an endpoint that was drained by hand."""
+        """Reinstate an endpoint that was drained manually."""
         return await self._drain_or_reinstate(arguments, False)
 
-    async def _drain_or_reinstate(self, arguments: Arguments, out: bool) -> Reply:
+    async def _drain_or_reinstate(self, arguments: Arguments, drained: bool) -> Reply:
         host, author = str(arguments["host"]), str(arguments["by"])
         try:
-            await self.service.set_manual_drain(host, author, out, _seconds(arguments, IN_FORCE_WAIT_S))
+            await self.service.set_manual_drain(host, author, drained, _seconds(arguments, IN_FORCE_WAIT_S))
         except ConsensusError as error:
             raise CommandRefusedError(str(error)) from None
-        return {"host": host, "out": out}
+        return {"host": host, "out": drained}
 
     # Members
 
     async def change(self, arguments: Arguments) -> Reply:
-        """Add, remove or replace a member. The leader carries it out, whichever member is asked.
+        """Add, remove or replace a member, and return once that is done.
 
-        Returns once it is done.
+        Any member accepts the command; the leader carries it out.
         """
         name, action = str(arguments["name"]), str(arguments["do"])
         if action == "remove":
@@ -240,7 +244,7 @@
         return await self._await_change(name, action)
 
     async def _request_change(self, name: str, action: str, within_s: float) -> str | None:
-        """Why the change was not begun, empty if it was, and None if no leader has said so in time."""
+        """Request the change. Returns why it was not begun, empty if it was, None if no leader answered."""
         request = ChangeMembers(uuid.uuid4().hex, name, action)
         outcome = await self.service.change_members(request, within_s)
         if outcome is None:
@@ -259,8 +263,8 @@
     async def _await_change(self, name: str, action: str) -> Reply:
         """Wait until the change is done.
 
-        It is requested again now and then: a leader that comes after knows of no change that was begun, and
-        one that is requested twice is done once.
+        The request is repeated at intervals, because a new leader does not know of a change that its
+        predecessor began. A change that is requested twice is carried out once.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + CHANGE_TIMEOUT_S
@@ -277,7 +281,7 @@
         raise CommandRefusedError("it is under way and not done: see `group status`, and say it again")
 
     async def force(self, arguments: Arguments) -> Reply:
-        """Make this member the whole group, without the others."""
+        """Make this member the only member of the group, for when the others are lost."""
         member = self.service.member
         if member is None:
             raise CommandRefusedError("this gateway is no member at the moment")
@@ -328,7 +332,7 @@
 
 
 def _conflicting_changes(state: GroupState, parent: int, why: str) -> str:
-    """What has come in between, where a proposal was refused for that."""
+    """Describe the versions that came in between, if a proposal was rejected as a conflict with them."""
     if not why.startswith("conflict"):
         return ""
     found = contradictions_between(str(state.bodies.get(parent, "")), state.newest.settings)
--- a/badgergap/consensus/endpoint_list_source.py
+++ b/badgergap/consensus/endpoint_list_source.py
@@ -1,5 +1,5 @@
-"""The agreed endpoint list in a gateway: who follows the source, and what the gateway gets in the source's
-place.
+"""Connects the agreed endpoint list to a gateway: decides which member follows the service discovery source,
+and passes the agreed list to the gateway in place of the source's own updates.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-REFRESH_S = 1.0  # between two updates that say that the list is unchanged
+REFRESH_S = 1.0  # interval of empty updates, which keep an unchanged list from becoming stale
 
 
 class Group(Protocol):
-    """What this needs of the group."""
+    """The part of the group service that this module uses."""
 
     def leads(self) -> bool:
-        """Whether this member leads it."""
+        """Return whether this member is the leader."""
 
-    def orphaned_us(self) -> int:
-        """For how long no leader was heard of."""
+    def leaderless_us(self) -> int:
+        """Return for how long no leader has been known."""
 
     async def propose(self, proposal: ProposeVersion) -> Outcome | None:
-        """What became of a proposal; None if that is not known in time."""
+        """Propose a version and return its outcome, or None if it is not known in time."""
 
 
 class EndpointListFollower:
-    """Takes the place of one dynamic source of the main pool."""
+    """Replaces the updates of one dynamic source of the main pool by the agreed list."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.acting: Endpoints = {}
         self.newest: Endpoints = {}
         self.has_agreed_list = False
-        self.passed_on: Endpoints | None = None  # the list that the gateway has
+        self.applied: Endpoints | None = None  # the list that was last passed to the gateway
         self.follows_source = False
         self.refreshed_at = 0.0  # loop time
         zones, kinds = proxy.config.names.zones, proxy.config.names.kinds
@@ -66,9 +66,9 @@
         proxy.directory.may_follow = self._may_follow
 
     @property
-    def is_orphan(self) -> bool:
-        """Whether no leader was heard of for so long that the own source counts."""
-        return self.group.orphaned_us() > endpoint_lists.ORPHAN_US
+    def is_leaderless(self) -> bool:
+        """Whether no leader has been known for so long that this member uses its own source."""
+        return self.group.leaderless_us() > endpoint_lists.LEADERLESS_US
 
     # The source
 
@@ -76,7 +76,7 @@
         return source != self.source or self.follows_source
 
     def _on_source_update(self, source: str, update: EndpointUpdate) -> bool:
-        """True for an update that goes to the group; failures are for the gateway, which polls again."""
+        """Return True if the update is handled here; an error goes on to the gateway, which polls again."""
         if source != self.source:
             return False
         if update.kind is EndpointListKind.ERROR:
@@ -87,26 +87,28 @@
             self.own.update(map(self._to_agreed, present), removed)
         elif update.kind is EndpointListKind.FULL:
             self.own.replace(map(self._to_agreed, present))
-        if self.is_orphan:
-            self._pass_on(self.own.endpoints)
+        if self.is_leaderless:
+            self._apply(self.own.endpoints)
         return True
 
     async def run(self) -> None:
-        """Follow or not, and propose, until cancelled."""
+        """Follow the source when this member should, and propose its list, until cancelled."""
         while True:
-            self._follow_or_leave()
+            self._update_following()
             if self.group.leads():
                 await self._propose()
             self._refresh()
             await asyncio.sleep(TICK_S)
 
-    def _follow_or_leave(self) -> None:
-        follows = self.group.leads() or self.is_orphan
+    def _update_following(self) -> None:
+        follows = self.group.leads() or self.is_leaderless
         if follows is self.follows_source:
             return
         self.follows_source = follows
         source = self.proxy.directory.sources[self.source]
-        log.info("the group's list: this gateway %s the source", "follows" if follows else "leaves")
+        log.info(
+            "shared endpoint list: this gateway %s the source", "follows" if follows else "stops following"
+        )
         source.watch(follows)
         if follows:
             source.fetch()
@@ -114,45 +116,45 @@
             self.own = SourceList()
 
     def _refresh(self) -> None:
-        """Say that the list is unchanged: without updates the gateway would take it for stale."""
+        """Send the gateway an empty update; without updates it would treat the list as stale."""
         now = asyncio.get_running_loop().time()
-        if self.has_agreed_list and now - self.refreshed_at > REFRESH_S and not self.is_orphan:
+        if self.has_agreed_list and now - self.refreshed_at > REFRESH_S and not self.is_leaderless:
             self.refreshed_at = now
             self.proxy.directory.apply_update(self.source, EndpointUpdate(EndpointListKind.DELTA))
 
     async def _propose(self) -> None:
-        found = self.own.propose(self.now_us(), self.newest)
-        if found.alert:
-            self.alert(found.alert)
-        if not found.body:
+        list_proposal = self.own.propose(self.now_us(), self.newest)
+        if list_proposal.alert:
+            self.alert(list_proposal.alert)
+        if not list_proposal.body:
             return
         proposal = ProposeVersion(
-            uuid.uuid4().hex, "list", found.body, self.source, "as the source says", ANY_PARENT, True
+            uuid.uuid4().hex, "list", list_proposal.body, self.source, "as the source says", ANY_PARENT, True
         )
         outcome = await self.group.propose(proposal)
         if outcome is not None and not outcome.version:
-            log.warning("the source's list is not agreed: %s", outcome.why)
+            log.warning("the group rejected the endpoint list of the source: %s", outcome.why)
 
     # The group
 
     def on_versions(self, acting: VersionContent, newest: VersionContent) -> None:
-        """The version in force, and the newest that is known."""
+        """Apply the lists of the version in force and of the newest known one."""
         if not acting.endpoint_list and not newest.endpoint_list:
             return
         self.acting = endpoint_lists.decode(acting.endpoint_list)
         self.newest = endpoint_lists.decode(newest.endpoint_list)
         self.has_agreed_list = True
-        self._pass_on(endpoint_lists.effective(self.acting, self.newest))
+        self._apply(endpoint_lists.effective(self.acting, self.newest))
 
-    def _pass_on(self, endpoints: Endpoints) -> None:
-        """Give the gateway a list, unless it has it."""
-        if endpoints == self.passed_on:
+    def _apply(self, endpoints: Endpoints) -> None:
+        """Pass a list to the gateway, unless it has that list already."""
+        if endpoints == self.applied:
             return
-        self.passed_on = dict(endpoints)
+        self.applied = dict(endpoints)
         entries = tuple(map(self._to_entry, endpoints.values()))
         self.proxy.directory.apply_update(self.source, EndpointUpdate(EndpointListKind.FULL, entries))
 
-    # Endpoints of the gateway, with its own numbers of zones and kinds, and agreed ones
+    # Conversion between agreed endpoints and the gateway's, which have local numbers for zones and kinds
 
     def _to_agreed(self, entry: Entry) -> AgreedEndpoint:
         listed, names = entry.listed, self.proxy.config.names
--- a/badgergap/consensus/endpoint_lists.py
+++ b/badgergap/consensus/endpoint_lists.py
@@ -1,16 +1,17 @@
-"""One endpoint list for a group: what its leader's source says, agreed like any version. Pure.
-
-The rules, stated once:
-
-1. The leader follows the source and proposes its list whenever that is not what was agreed last. Others do
-   not follow, but for those that have heard of no leader for `ORPHAN_US`: they follow by themselves, and
-   their own list counts (only `alone = "serve"` acts in that state at all).
-2. A list that leaves fewer than half of the endpoints that were to serve, in one step and out of at least
-   `SHRINK_MIN`, is held back, with an alert: a broken source is likelier than half a fleet that goes at
-   once. It is believed once the source has said it for `HOLD_US` without an update in between that is not
-   so short. Endpoints that it calls draining count as present: a planned end is announced so.
-3. An endpoint that a version calls draining, or leaves out, gets nothing new as soon as the version is
-   known, in force or not: that does less than was allowed. One that it adds is used once it is in force.
+"""One endpoint list for a group: the list of the leader's source, agreed like any version. Pure.
+
+The rules:
+
+1. The leader follows the source and proposes its list whenever it differs from the last agreed one. Other
+   members do not follow the source, except those that have had no leader for `LEADERLESS_US`: they follow it
+   themselves and use their own list (in that state only a member with `alone = "serve"` acts at all).
+2. A list that drops more than half of at least `SHRINK_MIN` serving endpoints in one step is held back, with
+   an alert: a broken source is more likely than the loss of half a fleet at once. The list is accepted once
+   the source has reported it for `HOLD_US` without a less drastic update in between. Endpoints that the list
+   marks as draining count as present, because a planned removal is announced in that manner.
+3. An endpoint that a version marks as draining, or omits, gets no new requests as soon as the version is
+   known, even before it is in force: that only restricts what was allowed. An endpoint that a version adds
+   is used once the version is in force.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 
 import msgspec
 
-ORPHAN_US = 5_000_000
+LEADERLESS_US = 5_000_000
 SHRINK_MIN = 4
 HOLD_US = 30_000_000
-ENDPOINTS_LIMIT = 10_000  # of a list; a longer one is not proposed
+ENDPOINTS_LIMIT = 10_000  # a longer list is not proposed
 NOT_HELD_US = -1
 
 
 class AgreedEndpoint(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One endpoint. Zones and kinds are by name: their numbers are each gateway's own.
+    """One endpoint. Zones and kinds are given by name, because each gateway numbers them differently.
 
-    In the log it is a JSON object by the names of its fields.
+    In the log it is a JSON object with the names of these fields.
     """
 
     name: str
@@ -50,28 +51,28 @@
 
 
 def encode(endpoints: Endpoints) -> str:
-    """The list as it stands in the log."""
+    """Encode a list for the log."""
     return msgspec.json.encode([endpoints[name] for name in sorted(endpoints)]).decode()
 
 
 def decode(text: str) -> Endpoints:
-    """A list from the log. Raises msgspec.MsgspecError."""
+    """Decode a list from the log. Raises msgspec.MsgspecError."""
     return {endpoint.name: endpoint for endpoint in _decoder.decode(text or "[]")}
 
 
 def count_serving(endpoints: Endpoints) -> int:
-    """How many are not draining."""
+    """Return the number of endpoints that are not draining."""
     return sum(not endpoint.draining for endpoint in endpoints.values())
 
 
 def shrinks_suddenly(before: Endpoints, after: Endpoints) -> bool:
-    """Whether so many are gone at once that the list is held back."""
+    """Return whether so many endpoints are missing at once that the list is held back."""
     served = {name for name, endpoint in before.items() if not endpoint.draining}
     return len(served) >= SHRINK_MIN and 2 * len(served & after.keys()) < len(served)
 
 
 def effective(acting: Endpoints, newest: Endpoints) -> Endpoints:
-    """What to send to while a newer version waits to come into force."""
+    """Return the list to use while a newer version waits to come into force."""
     return {
         name: endpoint if _still_serves(name, newest) else _as_draining(endpoint)
         for name, endpoint in acting.items()
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListProposal:
-    """The list to propose, and what to tell people; both may be empty."""
+    """The list to propose, and an alert for operators; both may be empty."""
 
     body: str = ""
     alert: str = ""
@@ -96,29 +97,29 @@
 
 @dataclass(slots=True)
 class SourceList:
-    """What this gateway's own source says, and what of it is to be proposed."""
+    """The list of this gateway's own source, and the decision when to propose it."""
 
     endpoints: Endpoints = field(default_factory=dict)
-    has_spoken: bool = False  # at least one complete list, or a change
-    held_since_us: int = NOT_HELD_US  # a short list is held back since then
+    has_list: bool = False  # a complete list or a change has been received
+    held_since_us: int = NOT_HELD_US  # since when a shrunk list is held back
     alerted: bool = False
 
     def replace(self, endpoints: Iterable[AgreedEndpoint]) -> None:
-        """The source has sent a complete list."""
+        """Store a complete list from the source."""
         self.endpoints = {endpoint.name: endpoint for endpoint in endpoints}
-        self.has_spoken = True
+        self.has_list = True
 
     def update(self, changed: Iterable[AgreedEndpoint], removed: Iterable[str]) -> None:
-        """The source has sent a change."""
+        """Apply a change from the source."""
         for endpoint in changed:
             self.endpoints[endpoint.name] = endpoint
         for name in removed:
             self.endpoints.pop(name, None)
-        self.has_spoken = True
+        self.has_list = True
 
     def propose(self, now_us: int, agreed: Endpoints) -> ListProposal:
-        """What to propose in place of the agreed list."""
-        is_new = self.has_spoken and self.endpoints != agreed
+        """Return what to propose in place of the agreed list."""
+        is_new = self.has_list and self.endpoints != agreed
         if not is_new or len(self.endpoints) > ENDPOINTS_LIMIT:
             self._release()
             return ListProposal()
--- a/badgergap/consensus/errors.py
+++ b/badgergap/consensus/errors.py
@@ -6,7 +6,7 @@
 
 
 class ConsensusError(BadgergapError):
-    """Something went wrong in a group; the message says what."""
+    """Base class of the errors of a group."""
 
 
 class UnreadableRecordError(ConsensusError):
@@ -14,11 +14,11 @@
 
 
 class InvalidFrameError(ConsensusError):
-    """Bytes on a link are not from a member of this group, or were changed on the way. The link ends."""
+    """Bytes on a link are not from a member of this group, or were altered in transit. The link is closed."""
 
 
 class MembershipChangeError(ConsensusError):
-    """A change of members cannot be begun."""
+    """A membership change cannot be started."""
 
 
 class ProposalError(ConsensusError):
@@ -26,7 +26,7 @@
 
 
 class NotAgreedError(ConsensusError):
-    """The group has not agreed to a proposal in time, or has refused it."""
+    """The group has not agreed to a proposal in time, or has rejected it."""
 
 
 class NotInForceError(ConsensusError):
--- a/badgergap/consensus/framing.py
+++ b/badgergap/consensus/framing.py
@@ -1,15 +1,15 @@
-"""The bytes of a link between members: authenticated frames. Pure: bytes in, bytes out.
+"""The wire format of a link between members: authenticated frames. Pure: bytes in, bytes out.
 
-A link has one direction: its dialer sends, its listener receives. It begins so:
+A link has one direction: its dialer sends, its listener receives. The exchange:
 
-    listener   "BGG1", 16 bytes of its own choosing (the challenge)
-    dialer     length, a `LinkOpening`, a code over the challenge and the opening
-    dialer     frames: length, code, content; the code is over their number and content
-    listener   the same, and only to tell a stranger why it is not admitted
+    listener   "BGG1" and 16 random bytes (the challenge)
+    dialer     length, a `LinkOpening`, authentication code over the challenge and the opening
+    dialer     frames: length, code, content; the code covers the frame's number and content
+    listener   frames of the same form, only to report why the dialer is not admitted to the group
 
-All codes are HMAC-SHA256 by the group's key; that of frames is by a session key made of the challenge and
-the opening's own nonce, so nothing that was sent on another link, or before on this one, is accepted.
-Contents are not encrypted.
+All codes are HMAC-SHA256. The opening's code uses the group's key. The codes of frames use a session key,
+which is derived from the group's key, the challenge and the opening's nonce, so frames that are replayed from
+another link, or from earlier on this one, are rejected. Contents are not encrypted.
 """
 
 from __future__ import annotations
@@ -58,22 +58,22 @@
 VERSION = 1
 KEY_MIN_BYTES = 16
 LENGTH = struct.Struct("<I")
-FORWARD, REPLY = b"there", b"back"  # the two directions, as session keys are derived
+FORWARD, REPLY = b"there", b"back"  # labels of the two directions, for the derivation of session keys
 
 
 class LinkOpening(msgspec.Struct, frozen=True, array_like=True):
-    """Who dials, and whom it means to reach."""
+    """The dialer's identity, and the member that it means to reach."""
 
     version: int
     nonce: bytes
-    group: str  # "" of one that belongs to none yet
+    group: str  # empty while the dialer belongs to no group
     id: str
     name: str
-    to: str  # the name that the listener is taken for
+    to: str  # the name of the member that the dialer expects to reach
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message. `to`: the identity it is for; empty: whoever listens there."""
+    """A message. `to` is the receiver's identity; empty for any member that listens at the address."""
 
     to: str
     message: (
@@ -115,25 +115,25 @@
 
 
 def encode_opening(key: bytes, challenge: bytes, opening: LinkOpening) -> bytes:
-    """The first bytes that the dialer sends."""
+    """Encode the opening, the first bytes that the dialer sends."""
     content = _encoder.encode(opening)
     return LENGTH.pack(len(content)) + content + _code(key, b"open", challenge, content)
 
 
 def derive_session_key(key: bytes, challenge: bytes, nonce: bytes, direction: bytes) -> bytes:
-    """The key of one link's frames, FORWARD or REPLY."""
+    """Derive the key for the frames of one link in one direction, FORWARD or REPLY."""
     return _code(key, b"session", direction, challenge, nonce)
 
 
 class FrameWriter:
-    """Encodes the frames of one end, in their order."""
+    """Encodes the frames of one direction, in order."""
 
     def __init__(self, session_key: bytes) -> None:
         self.session_key = session_key
         self.next_number = 0
 
     def encode(self, to: str, message: Message) -> bytes:
-        """The next frame."""
+        """Encode a message as the next frame."""
         content = _encoder.encode(Envelope(to, message))
         code = _frame_code(self.session_key, self.next_number, content)
         self.next_number += 1
@@ -141,7 +141,7 @@
 
 
 class FrameReader:
-    """Decodes the frames of the other end."""
+    """Decodes the frames of one direction, in order."""
 
     def __init__(self, session_key: bytes) -> None:
         self.session_key = session_key
@@ -149,12 +149,12 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Envelope]:
-        """Every envelope that is complete. Raises InvalidFrameError."""
+        """Add received bytes and yield each complete envelope. Raises InvalidFrameError."""
         self.buffer += data
         while len(self.buffer) >= LENGTH.size:
             (length,) = LENGTH.unpack_from(self.buffer)
             if not FRAME_CODE_BYTES < length <= FRAME_LIMIT:
-                raise InvalidFrameError(f"a frame of {length} bytes")
+                raise InvalidFrameError(f"invalid frame length: {length} bytes")
             end = LENGTH.size + length
             if len(self.buffer) < end:
                 return
@@ -166,26 +166,26 @@
         code, content = frame[:FRAME_CODE_BYTES], frame[FRAME_CODE_BYTES:]
         expected = _frame_code(self.session_key, self.next_number, content)
         if not hmac.compare_digest(code, expected):
-            raise InvalidFrameError("a frame that was changed, or came out of turn")
+            raise InvalidFrameError("a frame was altered or is out of sequence")
         self.next_number += 1
         try:
             return _envelope_decoder.decode(content)
         except msgspec.MsgspecError as error:
-            raise InvalidFrameError(f"a message that this program does not know: {error}") from None
+            raise InvalidFrameError(f"unknown message type or invalid content: {error}") from None
 
 
 class ListenerSession:
-    """The listener's end of a link: the opening, then frames."""
+    """The listener's end of a link: decodes the opening, then frames."""
 
     def __init__(self, key: bytes, challenge: bytes) -> None:
         self.key = key
         self.challenge = challenge
         self.buffer = bytearray()
-        self.opening: LinkOpening | None = None  # once it has come
+        self.opening: LinkOpening | None = None  # set once it has been received
         self.reader: FrameReader | None = None
 
     def feed(self, data: bytes) -> Iterator[Envelope]:
-        """Every envelope that is complete. Raises InvalidFrameError."""
+        """Add received bytes and yield each complete envelope. Raises InvalidFrameError."""
         if self.reader is None:
             self.buffer += data
             opening_end = self._find_opening_end()
@@ -197,29 +197,29 @@
         yield from self.reader.feed(data)
 
     def _find_opening_end(self) -> int | None:
-        """Where the opening ends; None as long as its length is not there."""
+        """Return where the opening ends, or None before its length has been received."""
         if len(self.buffer) < LENGTH.size:
             return None
         (length,) = LENGTH.unpack_from(self.buffer)
         if length > OPENING_LIMIT:
-            raise InvalidFrameError("it does not begin like a member of a group")
+            raise InvalidFrameError("the opening is too long to come from a member of a group")
         return LENGTH.size + int(length) + OPENING_CODE_BYTES
 
     def _open(self, data: bytes) -> FrameReader:
         content, code = data[:-OPENING_CODE_BYTES], data[-OPENING_CODE_BYTES:]
         if not hmac.compare_digest(code, _code(self.key, b"open", self.challenge, content)):
-            raise InvalidFrameError("it has another key")
+            raise InvalidFrameError("the dialer has another key")
         try:
             opening = _opening_decoder.decode(content)
         except msgspec.MsgspecError as error:
-            raise InvalidFrameError(f"its opening cannot be read: {error}") from None
+            raise InvalidFrameError(f"cannot decode the opening: {error}") from None
         if opening.version != VERSION:
-            message = f"it speaks version {opening.version} of this protocol, and this is {VERSION}"
+            message = f"the dialer uses version {opening.version} of this protocol, this member {VERSION}"
             raise InvalidFrameError(message)
         self.opening = opening
         return FrameReader(derive_session_key(self.key, self.challenge, opening.nonce, FORWARD))
 
     def reply_writer(self) -> FrameWriter:
-        """For what the listener says itself, once the opening has come: to one that cannot be dialed."""
+        """Return the writer for replies to a dialer that cannot be dialed. Needs the opening."""
         assert self.opening is not None
         return FrameWriter(derive_session_key(self.key, self.challenge, self.opening.nonce, REPLY))
--- a/badgergap/consensus/incoming_link.py
+++ b/badgergap/consensus/incoming_link.py
@@ -1,4 +1,4 @@
-"""A connection that another member has dialed: what it sends arrives here."""
+"""A connection that another member has dialed, on which this member receives its messages."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from badgergap.consensus.transport import Transport
 
-AUTHENTICATION_S = 2.0  # for a connection to show the key
+AUTHENTICATION_S = 2.0  # time for a new connection to authenticate
 
 
 class IncomingLink(asyncio.Protocol):
-    """One connection at this member's address."""
+    """One accepted connection at this member's address."""
 
     def __init__(self, links: Transport) -> None:
         self.links = links
@@ -28,40 +28,46 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet with the challenge."""
+        """Send the greeting with the challenge."""
         self.transport = cast(asyncio.Transport, transport)
         self.links.add_unauthenticated(self)
         self.timer = self.links.loop.call_later(AUTHENTICATION_S, self.abort)
         self.transport.write(GREETING + self.session.challenge)
 
     def data_received(self, data: bytes) -> None:
-        """The opening, then messages."""
-        is_welcome = self.session.opening is not None
+        """Handle the opening, then messages."""
+        is_admitted = self.session.opening is not None
         try:
             for envelope in self.session.feed(data):
-                if not is_welcome:
-                    self._welcome()
-                    is_welcome = True
+                if not is_admitted:
+                    self._admit()
+                    is_admitted = True
                 self._receive(envelope)
-            if not is_welcome and self.session.opening is not None:
-                self._welcome()
+            if not is_admitted and self.session.opening is not None:
+                self._admit()
         except InvalidFrameError as error:
             self.links.note_rejected(str(error))
             self.abort()
 
-    def _welcome(self) -> None:
-        """Raises InvalidFrameError for another group's member, or one that means another member."""
+    def _admit(self) -> None:
+        """Admit the sender after its opening.
+
+        Raises InvalidFrameError if it belongs to another group, meant to reach another member, or has this
+        member's name.
+        """
         opening, links = self.session.opening, self.links
         assert opening is not None
         group, id = links.identity()
         if opening.to != links.name:
-            message = f"{opening.name} takes this member for {opening.to}: an address is wrong"
+            message = (
+                f"{opening.name} dialed {opening.to} but reached this member: its address for it is wrong"
+            )
             raise InvalidFrameError(message)
         if opening.group and group and opening.group != group:
-            message = f"{opening.name} is of the group {opening.group}, and this one of {group}"
+            message = f"{opening.name} belongs to the group {opening.group}, and this member to {group}"
             raise InvalidFrameError(message)
         if opening.name == links.name and opening.id != id:
-            raise InvalidFrameError(f"another member is called {opening.name}, as this one is")
+            raise InvalidFrameError(f"another member is named {opening.name}, like this one")
         self._cancel_timer()
         links.add_incoming(opening.id, self)
 
@@ -73,7 +79,7 @@
             self.links.on_message(opening.id, opening.name, envelope.message)
 
     def reply(self, id: str, message: Message) -> None:
-        """Send on the connection that the other member has made."""
+        """Send a message back on this connection, which the other member opened."""
         if self.transport is None:
             return
         if self.reply_writer is None:
@@ -81,12 +87,12 @@
         self.transport.write(self.reply_writer.encode(id, message))
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended."""
+        """Stop the timer and deregister the connection."""
         self._cancel_timer()
         opening = self.session.opening
         self.links.remove_incoming(opening.id if opening is not None else None, self)
--- a/badgergap/consensus/options.py
+++ b/badgergap/consensus/options.py
@@ -1,4 +1,4 @@
-"""What the operator file says of a group, as its service needs it."""
+"""The operator file's group settings, as the service needs them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """This member, where it listens and keeps its log, and where the others are."""
+    """This member's settings, its listening address, log folder and key, and the others' addresses."""
 
     settings: MemberSettings
     listen: Address
     key: bytes
     folder: Path
-    addresses: Mapping[str, Address]  # of the others, by name
-    one_list: bool = False  # the leader follows the source of endpoints for all
+    addresses: Mapping[str, Address]  # of the other members, by name
+    shared_endpoint_list: bool = False  # only the leader follows service discovery, for all members
 
     @property
-    def own_part(self) -> tuple[Address, bytes, Path, str]:
-        """What makes this member who it is."""
+    def restart_only_part(self) -> tuple[Address, bytes, Path, str]:
+        """The options that cannot change without a restart."""
         return self.listen, self.key, self.folder, self.settings.name
--- a/badgergap/consensus/outgoing_link.py
+++ b/badgergap/consensus/outgoing_link.py
@@ -1,4 +1,4 @@
-"""A connection that this member dials, to send to another one: made anew whenever it ends."""
+"""A connection that this member dials to send to another one. It is dialed again whenever it is lost."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 if TYPE_CHECKING:
     from badgergap.consensus.transport import Transport
 
-UNSENT_BYTES = 4 * 1024 * 1024
-WAITING_LIMIT = 64
-STUCK_S = 3.0
+UNSENT_LIMIT_BYTES = 4 * 1024 * 1024
+QUEUE_LIMIT = 64
+STALL_TIMEOUT_S = 3.0
 CONNECT_S = 2.0
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0
 
 
 class OutgoingLink(asyncio.Protocol):
-    """What this member sends to another one."""
+    """The link on which this member sends to another one."""
 
     def __init__(self, links: Transport, name: str, address: Address) -> None:
         self.links = links
@@ -44,22 +44,22 @@
         self.writer: FrameWriter | None = None
         self.reader: FrameReader | None = None
         self.greeting = bytearray()
-        self.waiting: deque[tuple[str, Message]] = deque(maxlen=WAITING_LIMIT)
+        self.queued: deque[tuple[str, Message]] = deque(maxlen=QUEUE_LIMIT)
         self.backoff_s = BACKOFF_MIN_S
         self.dial_not_before = 0.0  # loop time
         self.connected_at = 0.0  # loop time
-        self.stuck_since: float | None = None  # loop time since which the other end has taken nothing
+        self.stalled_since: float | None = None  # loop time since which the peer has read nothing
         self.dialing: asyncio.Task[None] | None = None
         self.closed = False
 
-    def send(self, id: str, message: Message, unsent_limit: int = UNSENT_BYTES) -> None:
-        """Send now, or once the link is made; the message may be lost."""
+    def send(self, id: str, message: Message, unsent_limit: int = UNSENT_LIMIT_BYTES) -> None:
+        """Send now, or queue the message until the link is open. Best effort: it may be lost."""
         transport, writer = self.transport, self.writer
         if transport is None or writer is None or transport.is_closing():
-            self.waiting.append((id, message))
+            self.queued.append((id, message))
             self._connect()
             return
-        if self._is_stuck():
+        if self._is_stalled():
             transport.abort()
             return
         if transport.get_write_buffer_size() > unsent_limit:
@@ -69,13 +69,13 @@
         self.links.sent_messages += 1
         transport.write(frame)
 
-    def _is_stuck(self) -> bool:
-        if self.stuck_since is None:
+    def _is_stalled(self) -> bool:
+        if self.stalled_since is None:
             return False
-        return self.links.loop.time() - self.stuck_since > STUCK_S
+        return self.links.loop.time() - self.stalled_since > STALL_TIMEOUT_S
 
     def _connect(self) -> None:
-        """Dial if that is due; end a connection whose other end does not greet."""
+        """Dial if the backoff has passed, and abort a connection whose peer sends no greeting in time."""
         now = self.links.loop.time()
         if self.transport is not None:
             if now - self.connected_at > CONNECT_S:
@@ -97,17 +97,17 @@
         self.backoff_s = min(2 * self.backoff_s, BACKOFF_MAX_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the greeting."""
+        """Reset the state of the connection, and wait for the greeting."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         self.connected_at = self.links.loop.time()
         self.greeting.clear()
-        self.stuck_since = None
+        self.stalled_since = None
         if self.closed:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """The greeting, then messages of a listener that cannot dial back."""
+        """Handle the greeting, then messages from a listener that cannot dial this member."""
         if self.reader is not None:
             self._receive(self.reader, data)
             return
@@ -120,8 +120,8 @@
             return
         challenge = bytes(self.greeting[len(GREETING) : len(GREETING) + NONCE_BYTES])
         self._open(self.transport, challenge)
-        waiting, self.waiting = self.waiting, deque(maxlen=WAITING_LIMIT)
-        for to, message in waiting:
+        queued, self.queued = self.queued, deque(maxlen=QUEUE_LIMIT)
+        for to, message in queued:
             self.send(to, message)
 
     def _receive(self, reader: FrameReader, data: bytes) -> None:
@@ -144,30 +144,30 @@
         transport.write(encode_opening(links.key, challenge, opening))
 
     def pause_writing(self) -> None:
-        """The other end takes nothing at the moment."""
-        self.stuck_since = self.links.loop.time()
+        """Note since when the peer reads nothing."""
+        self.stalled_since = self.links.loop.time()
 
     def resume_writing(self) -> None:
-        """The other end takes data again."""
-        self.stuck_since = None
+        """Note that the peer reads again."""
+        self.stalled_since = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Dial again after a pause that grows, unless the connection had held."""
+        """Schedule the next dial with exponential backoff, which a connection that lasted resets."""
         self.transport = None
         self.writer = None
         self.reader = None
-        self.stuck_since = None
+        self.stalled_since = None
         if self.links.loop.time() - self.connected_at > CONNECT_S:
             self.backoff_s = BACKOFF_MIN_S
         self._delay_next_dial()
 
     def reconnect(self) -> None:
-        """End the connection; the next one opens with the identity that this member has then."""
+        """Abort the connection; the next one opens with the identity that this member has then."""
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """End the connection and dial no more."""
+        """Close the link for good."""
         self.closed = True
         if self.dialing is not None:
             self.dialing.cancel()
--- a/badgergap/consensus/pending_requests.py
+++ b/badgergap/consensus/pending_requests.py
@@ -7,26 +7,26 @@
 
 from badgergap.consensus.versions import Outcome
 
-REPEAT_S = 0.4  # until a request that nothing was heard of is sent again
-PROPOSAL_TIMEOUT_S = 10.0  # for a proposal to come to an end
+REPEAT_S = 0.4  # interval at which a request without an outcome is sent again
+PROPOSAL_TIMEOUT_S = 10.0  # for the outcome of a proposal
 
 
 class PendingRequests:
-    """The requests of this process that wait for their outcome, by their ids."""
+    """The requests of this process that wait for their outcome, by request id."""
 
     def __init__(self) -> None:
         self._outcomes: dict[str, asyncio.Future[Outcome]] = {}
 
     def resolve(self, outcome: Outcome) -> None:
-        """An outcome is known; ignored where nobody waits for it."""
+        """Deliver an outcome to the request that waits for it; ignored if there is none."""
         future = self._outcomes.get(outcome.id)
         if future is not None and not future.done():
             future.set_result(outcome)
 
     async def repeat_until_known(self, id: str, send: Callable[[], None], within_s: float) -> Outcome | None:
-        """Send again and again; returns the outcome, or None if it is not known in time.
+        """Call `send` repeatedly until the outcome arrives. Returns it, or None if it does not come in time.
 
-        A request that comes twice is done once, by its id.
+        A request that is received twice is carried out once, because it is identified by its id.
         """
         loop = asyncio.get_running_loop()
         future = self._outcomes.setdefault(id, loop.create_future())
--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -1,8 +1,9 @@
-"""A gateway's place in its group: the pure `Member` with a disk, links, a clock and the gateway behind it.
+"""Runs the pure `Member` state machine of one gateway: connects it to the disk, the network, the clock and
+the gateway.
 
-Nothing is decided here. What the member wants written goes to the log's thread, and what relies on it goes
-out once that is durable; a version to act on is loaded as a reload is, and the member is told when it is in
-force.
+All decisions are made by the member. This module writes what the member persists on the thread of the log,
+sends a message only once the writes that it depends on are durable, loads agreed versions in the same manner
+as a reload of the settings, and notifies the member when a version is in force.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     Message,
 )
 from badgergap.consensus.options import Options
-from badgergap.consensus.outgoing_link import UNSENT_BYTES
+from badgergap.consensus.outgoing_link import UNSENT_LIMIT_BYTES
 from badgergap.consensus.pending_requests import PROPOSAL_TIMEOUT_S, PendingRequests
 from badgergap.consensus.persistent_state import Persist, PersistentState
 from badgergap.consensus.settings_text import decode_tables, encode_tables
@@ -50,33 +51,33 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-DISK_RETRY_S = 5.0  # until a folder whose disk has failed is opened again
-STATUS_TIMEOUT_S = 1.0  # for the leader to say what it knows
+DISK_RETRY_S = 5.0  # delay before the folder is opened again after a disk failure
+STATUS_TIMEOUT_S = 1.0  # for the leader to answer a status request
 STATUS_POLL_S = 0.003
 IN_FORCE_POLL_MIN_S, IN_FORCE_POLL_MAX_S = 0.005, 0.1
 RECENT_ALERTS = 50
 MAY_NOT_ACT = -1
-COMPONENT_UNSENT_BYTES = UNSENT_BYTES // 2  # consensus goes first
+COMPONENT_UNSENT_LIMIT_BYTES = UNSENT_LIMIT_BYTES // 2  # the other half is reserved for consensus messages
 
 
 class Component(Protocol):
-    """Another component that stands on the group: it uses the group's links and keeps a state in its log."""
+    """A component that is built on the group: it uses the group's links and keeps its state in the log."""
 
     def on_message(self, name: str, data: bytes) -> None:
-        """From the same component at the member of that name."""
+        """Handle a message from the same component at the member `name`."""
 
     def on_group_changed(self) -> None:
-        """Something in the group's log, or the member itself, may have changed."""
+        """Called when the group's log, or the member itself, may have changed."""
 
     def removal_objection(self, name: str) -> str:
-        """Why a member that is alive should not be removed from the group now; or nothing."""
+        """Return why a live member should not be removed from the group now, or an empty string."""
 
 
 class GroupService:
-    """Drives the member: timer, links, disk, and the gateway that acts on what the group agrees on."""
+    """Drives the member: timer, links and disk, and the gateway that applies what the group agrees on."""
 
     def __init__(self, read: Callable[[], Options], loader: SettingsLoader) -> None:
-        """`read` gives what the operator file says now; raises ConfigError."""
+        """Create the service. `read` returns the current options of the operator file; raises ConfigError."""
         self.read = read
         self.loader = loader
         self.options = read()
@@ -101,32 +102,32 @@
         self.components: dict[str, Component] = {}
         self.main: Proxy | None = None
         self.proxies: Callable[[], Mapping[str, Proxy]] = self._main_proxy
-        self.newest = VersionContent()  # in force or not
-        self.alerts: deque[tuple[float, str]] = deque(maxlen=RECENT_ALERTS)  # with their Unix times
-        self.on_alert: Callable[[str], None] = lambda text: None  # to people, beside the log
+        self.newest = VersionContent()  # the newest known version, whether in force or not
+        self.alerts: deque[tuple[float, str]] = deque(maxlen=RECENT_ALERTS)  # (Unix time, text)
+        self.on_alert: Callable[[str], None] = lambda text: None  # for operators, beside the log
         self.closed = False
         self._id = ""
-        self._may_act_until_us = 0  # the right to act holds until then, unless something happens
-        self._led_us = clock_us()  # when a leader was known last
+        self._may_act_until_us = 0  # cached end of the right to act; cleared at each event of the member
+        self._last_leader_us = clock_us()  # when a leader was last known
         self._first_proposal_id = ""
 
-    # A component of the gateway's process
+    # The interface of a component of the gateway's process
 
     def join(self, proxy: Proxy) -> None:
-        """Act by the group's right to act, and follow what is drained by hand."""
+        """Tie the proxy's right to act to the group's lease, and apply the group's manual drains to it."""
         self.main = proxy
-        proxy.set_epoch_source(self.acting)
+        proxy.set_epoch_source(self.acting_epoch)
         self.drains.join(proxy)
         dynamic = [source.name for source in proxy.directory.sources.values() if source.dynamic]
-        if self.options.one_list and dynamic:
+        if self.options.shared_endpoint_list and dynamic:
             self.endpoint_list = EndpointListFollower(proxy, dynamic[0], self, clock_us, self._alert)
 
     def steers(self, again: Reload) -> None:
-        """`again` has the gateway take over other settings."""
+        """Set the function that makes the gateway apply other settings."""
         self.versions.reload = again
 
     async def start(self) -> None:
-        """Open the log, listen, and begin. Raises OSError."""
+        """Open the log, listen and start the member. Raises OSError."""
         settings = self.options.settings
         self.transport = Transport(
             asyncio.get_running_loop(), self.options.key, settings.name, self._identity, self._on_message
@@ -134,21 +135,23 @@
         self.transport.addresses = dict(self.options.addresses)
         persistent = await asyncio.to_thread(self._open)
         host, port = await self.transport.start(self.options.listen)
-        log.info("member %s of a group, as %s, at %s:%d", settings.name, self._id, host, port)
-        self._begin(persistent)
+        log.info("group member %s, with identity %s, listens at %s:%d", settings.name, self._id, host, port)
+        self._start_member(persistent)
         self.tasks.spawn(self._tick())
         if self.endpoint_list is not None:
             self.tasks.spawn(self.endpoint_list.run())
 
     def reload(self, config: Config) -> None:
-        """Addresses are followed; what this member itself is needs a restart."""
+        """Apply changed addresses and members. Changes of this member's own part need a restart."""
         try:
             options = self.read()
         except ConfigError as error:
-            log.warning("[group] stays as it was: %s", error)
+            log.warning("the [group] settings are unchanged: %s", error)
             return
-        if options.own_part != self.options.own_part:
-            log.warning("the operator file changes this member itself: that needs a restart")
+        if options.restart_only_part != self.options.restart_only_part:
+            log.warning(
+                "the operator file changes this member's address, key, folder or name: that needs a restart"
+            )
             return
         self.options = options
         if self.transport is not None and self.member is not None:
@@ -156,7 +159,7 @@
             self.member.settings = options.settings
 
     async def close(self) -> None:
-        """End all tasks and links, and write what was handed over."""
+        """Cancel all tasks, close all links, and write what is queued for the log."""
         self.closed = True
         self.tasks.cancel_all()
         if self.transport is not None:
@@ -170,7 +173,7 @@
     # Disk
 
     def _open(self) -> PersistentState:
-        """Off the loop. Raises OSError."""
+        """Open and decode the log. Blocks, so it runs off the loop. Raises OSError."""
         try:
             opened = self.session.open()
             persistent = persistence.decode(opened.records)
@@ -183,12 +186,12 @@
             )
         if opened.torn_bytes:
             log.info(
-                "%d bytes at the log's end were never durable, and nothing relied on them",
+                "dropped %d bytes at the end of the log that were never durable",
                 opened.torn_bytes,
             )
         return persistent
 
-    def _begin(self, persistent: PersistentState) -> None:
+    def _start_member(self, persistent: PersistentState) -> None:
         assert self.session.log is not None
         self.session.start_writer(asyncio.get_running_loop())
         self.member = Member(
@@ -197,24 +200,24 @@
             persistent,
             clock_us(),
             random.Random(secrets.randbits(64)),
-            self.session.log.next_batch,  # each opening writes at least one batch
+            self.session.log.next_batch,  # unique to this start: each opening writes at least one batch
         )
         self.settle()
 
-    async def _begin_anew(self, delay_s: float, set_aside: bool) -> None:
-        """Open the folder again, as at a start."""
+    async def _reopen_log(self, delay_s: float, set_aside: bool) -> None:
+        """Open the folder again, as at a start, and create a new member."""
         persistent = await self.session.reopen(
             self._open,
             delay_s=delay_s,
             retry_s=DISK_RETRY_S,
             set_aside=set_aside,
             on_error=lambda error: log.warning(
-                "the group's folder cannot be used: %s", error.strerror or error
+                "cannot use the folder of the group: %s", error.strerror or error
             ),
         )
         if self.transport is not None:
             self.transport.reconnect_all()
-        self._begin(persistent)
+        self._start_member(persistent)
 
     def _on_durable(self, token: int) -> None:
         if self.member is not None:
@@ -225,7 +228,7 @@
         if self.member is not None:
             self.member.on_disk_failed(why)
             self.settle()
-            self.tasks.spawn(self._begin_anew(DISK_RETRY_S, set_aside=False))
+            self.tasks.spawn(self._reopen_log(DISK_RETRY_S, set_aside=False))
 
     # The member
 
@@ -243,13 +246,13 @@
                 try:
                     self.member.tick(clock_us())
                     self.settle()
-                except Exception:  # the next tick may go well, and without ticks there is no lease
-                    log.exception("the group's tick failed")
+                except Exception:  # keep ticking: the next tick may succeed, and without ticks the lease ends
+                    log.exception("the tick of the group member failed")
             await asyncio.sleep(TICK_S)
 
     def settle(self) -> None:
-        """Carry out what the member wants done. Called after whatever happens to it."""
-        self._may_act_until_us = 0  # the right to act may have changed: it is asked of the member anew
+        """Carry out the actions that the member requests. Called after every event of the member."""
+        self._may_act_until_us = 0  # the right to act may have changed: check it with the member again
         member = self.member
         if member is None or self.session.writer is None:
             return
@@ -293,13 +296,13 @@
         self._alert(f"this member begins anew, as another one: {why}")
         self.member = None
         self.session.discard_pending()
-        self.tasks.spawn(self._begin_anew(0.0, set_aside=True))
+        self.tasks.spawn(self._reopen_log(0.0, set_aside=True))
 
     def _send(self, send: member_actions.Send) -> None:
         if self.transport is None:
             return
         if isinstance(send.message, JoinRejected):
-            self.transport.reply(send.id, send.message)  # it may have another's name, or no address here
+            self.transport.reply(send.id, send.message)  # its name may be a duplicate or have no address
         else:
             self.transport.send(send.name, send.id, send.message)
 
@@ -321,38 +324,38 @@
     # For other components
 
     def send_to_component(self, name: str, component: str, data: bytes) -> None:
-        """To the same component at the member of that name, if a link can be had; it may be lost."""
+        """Send to the same component at the member `name`. Best effort: the message may be lost."""
         if self.transport is not None and not self.closed:
-            self.transport.send(name, "", ComponentMessage(component, data), COMPONENT_UNSENT_BYTES)
+            self.transport.send(name, "", ComponentMessage(component, data), COMPONENT_UNSENT_LIMIT_BYTES)
 
     def component_state(self, component: str) -> tuple[int, bytes]:
-        """The state that a component's instances agreed on last, with its number; 0: none yet."""
+        """Return the number and content of a component's last agreed state; number 0 if there is none."""
         if self.member is None:
             return 0, b""
         return self.member.state.components.get(component, (0, b""))
 
     def store_component_state(self, component: str, number: int, data: bytes) -> None:
-        """Have the group agree on a component's next state. Only at the leader; it may be lost."""
+        """Propose a component's next state to the group. Only at the leader; the proposal may be lost."""
         if self.member is not None:
             self.member.store_component_state(clock_us(), component, number, data)
             self.settle()
 
-    # For the endpoint list
+    # Used by the endpoint list
 
     def leads(self) -> bool:
-        """Whether this member leads the group."""
+        """Return whether this member is the leader of the group."""
         return self.member is not None and self.member.raft.is_established_leader
 
-    def orphaned_us(self) -> int:
-        """For how long no leader is known."""
+    def leaderless_us(self) -> int:
+        """Return for how long no leader has been known."""
         if self.member is not None and self.member.raft.leader:
-            self._led_us = clock_us()
-        return clock_us() - self._led_us
+            self._last_leader_us = clock_us()
+        return clock_us() - self._last_leader_us
 
-    # Acting
+    # The right to act
 
-    def acting(self) -> int:
-        """The epoch of the rules in force, or MAY_NOT_ACT. Asked at each request."""
+    def acting_epoch(self) -> int:
+        """Return the epoch of the settings in force, or MAY_NOT_ACT. Called at each request."""
         now_us = clock_us()
         if now_us < self._may_act_until_us:
             return self.versions.epoch
@@ -363,7 +366,7 @@
         return self.versions.epoch
 
     def _follow_versions(self) -> None:
-        """The version in force, or the newest that is known, has changed."""
+        """Apply a change of the version in force, or of the newest known one."""
         acting = self.versions.acting_on
         if self.endpoint_list is not None:
             self.endpoint_list.on_versions(acting, self.newest)
@@ -375,7 +378,7 @@
     # Requests
 
     def _propose_first_version(self) -> None:
-        """This member leads a group without a version: its own file's settings become the first."""
+        """Propose the settings of this member's own file as the first version of a group that has none."""
         body = encode_tables(self.loader.own_tables())
         self._first_proposal_id = self._first_proposal_id or uuid.uuid4().hex
         author = self.options.settings.name
@@ -386,11 +389,14 @@
             self.member.propose(clock_us(), proposal)
 
     async def propose(self, proposal: ProposeVersion, within_s: float = PROPOSAL_TIMEOUT_S) -> Outcome | None:
-        """What became of it; None if that is not known in time: it may still come into force."""
+        """Propose a version and return its outcome, or None if it is not known in time.
+
+        In the latter case the version may still come into force.
+        """
         return await self._request(proposal.id, lambda member: member.propose(clock_us(), proposal), within_s)
 
     async def change_members(self, request: ChangeMembers, within_s: float) -> Outcome | None:
-        """Whether a membership change was begun; None if no leader has said so in time."""
+        """Request a membership change. Returns its outcome, or None if no leader answered in time."""
         return await self._request(
             request.id, lambda member: member.request_change(clock_us(), request), within_s
         )
@@ -404,9 +410,9 @@
         return await self.requests.repeat_until_known(id, send_now, within_s)
 
     async def set_manual_drain(self, name: str, by: str, out: bool, within_s: float) -> None:
-        """Drain an endpoint or reinstate it, in force at all who act.
+        """Drain an endpoint or reinstate it, and wait until that is in force at all members that act.
 
-        Raises NotAgreedError and NotInForceError; it goes on trying to have an endpoint drained.
+        Raises NotAgreedError and NotInForceError. After an error a drain is still retried in the background.
         """
         deadline = time.monotonic() + within_s
         if out:
@@ -417,7 +423,10 @@
         await self.wait_in_force(newest, max(0.0, deadline - time.monotonic()))
 
     async def wait_in_force(self, number: int, within_s: float) -> None:
-        """Wait until a version is in force at all who act. Raises NotInForceError, saying where it is not."""
+        """Wait until a version is in force at all members that act.
+
+        Raises NotInForceError, which names the members where it is not.
+        """
         deadline = time.monotonic() + within_s
         pause_s = IN_FORCE_POLL_MIN_S
         while True:
@@ -434,7 +443,7 @@
             pause_s = min(2 * pause_s, IN_FORCE_POLL_MAX_S)
 
     async def statuses(self, within_s: float = STATUS_TIMEOUT_S) -> tuple[MemberStatus, ...]:
-        """All members as the leader knows them; empty without one."""
+        """Return the status of all members as seen by the leader; empty without a leader."""
         member = self.member
         if member is None:
             return ()
@@ -448,27 +457,27 @@
             await asyncio.sleep(STATUS_POLL_S)
         return ()
 
-    # For people
+    # Reports for operators
 
     def line(self) -> str:
-        """One line on this member."""
+        """Return a one-line status of this member."""
         member = self.member
         if member is None:
             return "no member at the moment"
-        has_lease = self.acting() != MAY_NOT_ACT
+        has_lease = self.acting_epoch() != MAY_NOT_ACT
         lease = f"lease {member.lease_left_us(clock_us()) // 1000} ms" if has_lease else "NO LEASE"
-        led = f"led by {member.leader_name}" if member.leader_name else "no leader is heard"
-        return f"{member.settings.name} acts on version {self.versions.acting_on.number}, {lease}; {led}"
+        leader = f"led by {member.leader_name}" if member.leader_name else "no leader is heard"
+        return f"{member.settings.name} acts on version {self.versions.acting_on.number}, {lease}; {leader}"
 
     def problems(self) -> list[str]:
-        """What is wrong, in sentences."""
+        """Return the current problems, each as a sentence."""
         member = self.member
         if member is None:
             return ["This gateway is no member of its group at the moment."]
         problems = []
         if member.halted:
             problems.append(f"This member of the group can go no further: {member.halted}.")
-        elif self.acting() == MAY_NOT_ACT:
+        elif self.acting_epoch() == MAY_NOT_ACT:
             why = f" ({member.rejected})" if member.rejected and not member.is_member else ""
             problems.append(f"This gateway has no lease from its group and refuses all requests{why}.")
         if member.settings.serves_without_lease:
@@ -476,11 +485,11 @@
         return problems
 
     def log_usage(self) -> tuple[int, int]:
-        """The size of the log on disk in bytes, and how often it was synced."""
+        """Return the size of the log on disk in bytes, and how often it was synced."""
         record_log = self.session.log
         return (record_log.length, record_log.sync_count) if record_log is not None else (0, 0)
 
     def sent_usage(self) -> tuple[int, int]:
-        """How many messages were sent, and their bytes."""
+        """Return the number of messages sent to members, and their total size in bytes."""
         transport = self.transport
         return (transport.sent_messages, transport.sent_bytes) if transport is not None else (0, 0)
--- a/badgergap/consensus/settings.py
+++ b/badgergap/consensus/settings.py
@@ -1,4 +1,4 @@
-"""What the operator file says of a group, as the state machine needs it."""
+"""The part of the operator file's group settings that the state machine needs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownMember:
-    """Another member, as this one's file names it."""
+    """Another member, as configured in this member's operator file."""
 
     name: str
     zone: str = ""
@@ -17,11 +17,11 @@
 
 @dataclass(slots=True)
 class MemberSettings:
-    """This member and the others of its group."""
+    """The settings of this member and of the other members of its group."""
 
     name: str
     zone: str = ""
     votes: bool = True
     members: Mapping[str, KnownMember] = field(default_factory=dict)  # the others, by name
-    contradiction_us: int = 3_000_000  # the longest that two members act on what contradicts
-    serves_without_lease: bool = False  # act without a lease, too
+    contradiction_us: int = 3_000_000  # longest time that members may act on contradicting versions
+    serves_without_lease: bool = False  # whether to serve requests even without a lease
--- a/badgergap/consensus/settings_diff.py
+++ b/badgergap/consensus/settings_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two versions' settings, in words. Pure."""
+"""Readable differences between the settings of two versions. Pure."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def contradictions_between(older: str, newer: str) -> list[str]:
-    """Where two settings, as JSON, contradict. Raises msgspec.MsgspecError."""
+    """Return the contradictions between two settings in JSON. Raises msgspec.MsgspecError."""
     return compatibility.contradictions(decode_tables(older), decode_tables(newer))
 
 
 def changes(older: str, newer: str) -> list[str]:
-    """Every key that differs, contradiction or not. Raises msgspec.MsgspecError."""
+    """Return every key that differs, whether it contradicts or not. Raises msgspec.MsgspecError."""
     return sorted(_changes("", decode_tables(older), decode_tables(newer)))
 
 
--- a/badgergap/consensus/settings_text.py
+++ b/badgergap/consensus/settings_text.py
@@ -1,4 +1,4 @@
-"""The text forms of what a group agrees on: settings and endpoint lists as JSON. Pure."""
+"""The JSON forms of agreed settings and endpoint lists. Pure."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 
 
 def encode_tables(tables: Mapping[str, Any]) -> str:
-    """Agreed settings: the same text for the same settings."""
+    """Encode settings in a canonical form: equal settings give the same text."""
     return msgspec.json.encode(msgspec.to_builtins(tables), order="sorted").decode()
 
 
 def decode_tables(text: str) -> dict[str, Any]:
-    """Agreed settings as tables. Raises msgspec.MsgspecError."""
+    """Decode settings. Raises msgspec.MsgspecError."""
     return msgspec.json.decode(text or "{}", type=dict[str, Any])
 
 
 def decode_endpoint_list(text: str) -> dict[str, Any]:
-    """The endpoints of an agreed list, as tables. Raises msgspec.MsgspecError."""
+    """Decode an agreed endpoint list to the `box` tables of the operator file.
+
+    Raises msgspec.MsgspecError.
+    """
     return {"box": msgspec.json.decode(text or "[]", type=list[dict[str, Any]])}
--- a/badgergap/consensus/status.py
+++ b/badgergap/consensus/status.py
@@ -1,4 +1,4 @@
-"""What a member knows of all members, for people. Pure."""
+"""The status of all members as one member sees it, for operators. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def member_statuses(member: MemberCore, now_us: int) -> tuple[MemberStatus, ...]:
-    """At the leader: all members. At another: what it knows itself, which is little."""
+    """Return the status of each member. Complete at the leader only: others lack the reports of members."""
     return tuple(_status(member, now_us, peer) for peer in member.raft.log.configuration)
 
 
@@ -40,7 +40,7 @@
 
 
 def _times_ms(now_us: int, record: MemberRecord) -> tuple[int, int]:
-    """How long its lease may still last, and how long ago it was heard."""
+    """Return the time left of the member's lease, and the time since the last contact with it."""
     if record.last_contact_us <= 0:
         return 0, NO_CONTACT_MS
     return max(0, record.lease_end_us - now_us) // 1000, (now_us - record.last_contact_us) // 1000
--- a/badgergap/consensus/transport.py
+++ b/badgergap/consensus/transport.py
@@ -1,9 +1,9 @@
 """The sockets between members: one connection for each direction, dialed by the member that sends.
 
-Bounds: UNAUTHENTICATED_LIMIT connections at once that have not shown the key, AUTHENTICATION_S for each;
-one incoming connection a member, the newest; UNSENT_BYTES written to a member and not taken, beyond which
-messages are lost (consensus sends them again); WAITING_LIMIT messages for a link that is being made. A link
-that takes nothing for STUCK_S is made anew.
+Bounds: at most UNAUTHENTICATED_LIMIT connections that are not authenticated, each for at most
+AUTHENTICATION_S; one incoming connection per member, the newest; UNSENT_LIMIT_BYTES of unsent data per
+member, beyond which messages are dropped (consensus sends them again); QUEUE_LIMIT messages for a link that
+is being opened. A link whose peer reads nothing for STALL_TIMEOUT_S is closed and dialed again.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from badgergap.consensus.incoming_link import IncomingLink
 from badgergap.consensus.member_messages import Message
-from badgergap.consensus.outgoing_link import UNSENT_BYTES, OutgoingLink
+from badgergap.consensus.outgoing_link import UNSENT_LIMIT_BYTES, OutgoingLink
 from badgergap.proxy.lifecycle.config import Address
 
 log = logging.getLogger(__name__)
@@ -24,13 +24,13 @@
 UNAUTHENTICATED_LIMIT = 64
 MEMBERS_LIMIT = 512
 LISTEN_BACKLOG = 256
-REJECTED_LOG_INTERVAL_S = 60.0  # between two lines in the log on what is rejected
+REJECTED_LOG_INTERVAL_S = 60.0  # between two log lines about rejected connections
 
-MessageReceiver = Callable[[str, str, Message], None]  # sender's identity and name; a message for this member
+MessageReceiver = Callable[[str, str, Message], None]  # the sender's identity and name, and the message
 
 
 class Transport:
-    """All links of a member. `identity` gives its group and identity as they are now."""
+    """All links of a member. `identity` returns its current group and identity."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.addresses: dict[str, Address] = {}  # by name
         self.outgoing: dict[str, OutgoingLink] = {}  # by name
         self.unauthenticated: OrderedDict[IncomingLink, None] = OrderedDict()
-        self.incoming: OrderedDict[str, IncomingLink] = OrderedDict()  # by the identity of who sends
+        self.incoming: OrderedDict[str, IncomingLink] = OrderedDict()  # by the identity of the sender
         self.server: asyncio.Server | None = None
         self.rejected_count = 0
         self.rejected_logged_at = -REJECTED_LOG_INTERVAL_S  # loop time
@@ -57,14 +57,14 @@
         self.closed = False
 
     async def start(self, listen: Address) -> Address:
-        """Listen, and return the address. Raises OSError."""
+        """Start to listen and return the bound address. Raises OSError."""
         self.server = await self.loop.create_server(
             lambda: IncomingLink(self), *listen, backlog=LISTEN_BACKLOG
         )
         return cast(Address, self.server.sockets[0].getsockname()[:2])
 
-    def send(self, name: str, id: str, message: Message, unsent_limit: int = UNSENT_BYTES) -> None:
-        """Send to a member; the message is lost where more than `unsent_limit` bytes wait to be sent."""
+    def send(self, name: str, id: str, message: Message, unsent_limit: int = UNSENT_LIMIT_BYTES) -> None:
+        """Send to a member. The message is dropped if more than `unsent_limit` bytes are unsent."""
         address = self.addresses.get(name)
         if address is None or self.closed:
             return
@@ -76,13 +76,13 @@
         link.send(id, message, unsent_limit)
 
     def reply(self, id: str, message: Message) -> None:
-        """Send to one that cannot be dialed, on the link that it has made itself."""
+        """Send to a member that cannot be dialed, on the link that it opened itself."""
         link = self.incoming.get(id)
         if link is not None:
             link.reply(id, message)
 
     def add_unauthenticated(self, link: IncomingLink) -> None:
-        """A connection came; the oldest that has shown no key yields to it where there are too many."""
+        """Register a new connection. Beyond the limit the oldest unauthenticated one is aborted."""
         self.unauthenticated[link] = None
         if len(self.unauthenticated) > UNAUTHENTICATED_LIMIT:
             oldest, _ = self.unauthenticated.popitem(last=False)
@@ -90,7 +90,7 @@
             self.note_rejected(f"more than {UNAUTHENTICATED_LIMIT} connections that show no key")
 
     def add_incoming(self, id: str, link: IncomingLink) -> None:
-        """A connection has shown the key; an earlier one of the same identity ends."""
+        """Register an authenticated connection; an earlier one of the same identity is aborted."""
         self.unauthenticated.pop(link, None)
         replaced = self.incoming.pop(id, None)
         self.incoming[id] = link
@@ -100,26 +100,26 @@
             replaced.abort()
 
     def remove_incoming(self, id: str | None, link: IncomingLink) -> None:
-        """A connection has ended. `id`: of its sender, if it has shown the key."""
+        """Remove a closed connection. `id` is the sender's identity if it was authenticated."""
         self.unauthenticated.pop(link, None)
         if id is not None and self.incoming.get(id) is link:
             del self.incoming[id]
 
     def note_rejected(self, why: str) -> None:
-        """Log what was rejected, one line for many."""
+        """Count a rejected connection, and log at most one line per interval."""
         self.rejected_count += 1
         now = self.loop.time()
         if now - self.rejected_logged_at >= REJECTED_LOG_INTERVAL_S:
             self.rejected_logged_at = now
-            log.warning("turned away at the group's address (%d so far): %s", self.rejected_count, why)
+            log.warning("rejected at the group's address (%d so far): %s", self.rejected_count, why)
 
     def reconnect_all(self) -> None:
-        """Make all links anew, as the identity that this member has now."""
+        """Close all outgoing links, so that they reopen with this member's current identity."""
         for link in self.outgoing.values():
             link.reconnect()
 
     def close(self) -> None:
-        """End all links."""
+        """Close the listening socket and all links."""
         self.closed = True
         if self.server is not None:
             self.server.close()
--- a/badgergap/consensus/version_loader.py
+++ b/badgergap/consensus/version_loader.py
@@ -1,4 +1,4 @@
-"""Has the gateway act on the versions that come into force, one at a time."""
+"""Applies the versions that come into force to the gateway, one at a time."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 
 class SettingsLoader(Protocol):
-    """The gateway's settings. Raises ConfigError for those that cannot be used."""
+    """Validates and applies settings in the gateway. Raises ConfigError for settings that cannot be used."""
 
     def examine(self, agreed: Mapping[str, Any]) -> None:
-        """Whether it could act on these. Called off the loop."""
+        """Check that the gateway could use these settings. Called off the loop."""
 
     def adopt(self, agreed: Mapping[str, Any], old: Config) -> Config:
-        """Called off the loop, one at a time."""
+        """Return the configuration with these settings. Called off the loop, one call at a time."""
 
     def own_tables(self) -> Mapping[str, Any]:
-        """What this gateway's own file says of the same."""
+        """Return the same tables as this gateway's own file has them."""
 
 
 class VersionLoader:
-    """Loads versions as a reload of the settings does, and reports to the member when one is in force.
+    """Loads versions in the same manner as a reload, and notifies the member when one is in force.
 
-    `member` gives the member as it is now, `on_loaded` is called once a version is acted on, and `settle`
-    after something has happened to the member.
+    `member` returns the current member, `on_loaded` is called once a version is acted on, and `settle` after
+    each call that may have changed the member.
     """
 
     def __init__(
@@ -54,23 +54,22 @@
         self.settle = settle
         self.reload: Reload | None = None
         self.acting_on = VersionContent()
-        self.body = ""  # the settings that are acted on: of a version, or what `overlay` puts in their place
-        self.epoch = 0  # the newest version whose loading contradicted what was acted on
-        self.overlay: Callable[[str], str] = (
-            lambda settings: settings
-        )  # by a component, for this member alone
+        self.body = ""  # the settings in use: those of a version, or their replacement from `overlay`
+        self.epoch = 0  # the newest version that contradicted the settings in use when it was loaded
+        # Set by a component to replace the settings at this member only.
+        self.overlay: Callable[[str], str] = lambda settings: settings
         self.overlay_failed: Callable[[str], None] = lambda why: None
         self.loading: asyncio.Task[None] | None = None
         self._next: VersionContent | None = None
 
     def load(self, content: VersionContent) -> None:
-        """Act on this version as soon as the one that is being loaded is done."""
+        """Load this version, after the one that is being loaded now."""
         self._next = content
         if self.loading is None:
             self.loading = self.tasks.spawn(self._load_all())
 
     def refresh_overlay(self) -> None:
-        """What a component puts in place of the settings may be another now."""
+        """Load the settings again if `overlay` now returns other ones."""
         content = self.acting_on
         if content.number and self.loading is None and self.overlay(content.settings) != self.body:
             self.load(self._next or content)
@@ -100,12 +99,12 @@
             self.settle()
 
     async def _adopt(self, member: Member, content: VersionContent, body: str) -> bool:
-        """Have the gateway act on these settings; False where that failed and was dealt with."""
+        """Apply these settings to the gateway. Returns False if that failed; the failure is then handled."""
         assert self.reload is not None
         try:
             tables = decode_tables(body)
             await self.reload(lambda old: self.settings_loader.adopt(tables, old))
-        except Exception as error:  # whatever it is, this member cannot act on what the group agreed on
+        except Exception as error:  # after any error this member cannot act on the agreed version
             if not isinstance(error, ConfigError):
                 log.exception("version %d could not be loaded", content.number)
             await self._adoption_failed(member, content, body, str(error))
@@ -115,7 +114,7 @@
 
     async def _adoption_failed(self, member: Member, content: VersionContent, body: str, why: str) -> None:
         if body != content.settings:
-            self.overlay_failed(why)  # from now on it puts nothing in their place
+            self.overlay_failed(why)  # from now on the overlay returns the settings unchanged
             await self._load(content)
         elif member is self.member():
             member.on_load_failed(content.number, why)
@@ -124,10 +123,10 @@
     def _adopted(self, content: VersionContent, body: str, tables: Mapping[str, Any]) -> None:
         is_overlay = body != content.settings
         if is_overlay or self.body not in ("", self.acting_on.settings):
-            # Of a change that goes by stages: both may stand side by side, what was taken goes on.
-            log.info("settings of a change: %s", "taken up" if is_overlay else "left again")
+            # Part of a staged rollout: both settings may be in use at once, so accepted requests go on.
+            log.info("settings of a staged rollout: %s", "applied" if is_overlay else "removed")
         else:
             log.info("version %d is in force: settings %s", content.number, content.digest())
             if compatibility.contradictions(decode_tables(self.acting_on.settings), tables):
-                self.epoch = content.number  # what was taken before goes to no endpoint any more
+                self.epoch = content.number  # requests accepted before are sent to no endpoint any more
         self.body = body
--- a/tests/consensus/test_framing.py
+++ b/tests/consensus/test_framing.py
@@ -77,7 +77,7 @@
     for wrong in (first + first, second + first):
         listener = ListenerSession(KEY, CHALLENGE)
         list(listener.feed(encode_opening(KEY, CHALLENGE, OPENING)))
-        with pytest.raises(InvalidFrameError, match="out of turn"):
+        with pytest.raises(InvalidFrameError, match="out of sequence"):
             list(listener.feed(wrong))
 
 
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -271,10 +271,10 @@
                     writer.write(chance.randbytes(chance.randrange(200)))
                 elif number % 3 == 1:
                     writer.write(b"\x10\x00\x00\x00" + bytes(60))
-            await it.until(lambda: "turned away" in only.log(), "a line in the log")
+            await it.until(lambda: "rejected at the group's address" in only.log(), "a line in the log")
             for writer in writers:
                 writer.close()
-            assert only.log().count("turned away") == 1
+            assert only.log().count("rejected at the group's address") == 1
             after = await it.status(only)
             assert (after["term"], after["newest"], after["ok"]) == (before["term"], before["newest"], True)
 
@@ -304,7 +304,7 @@
             (c.folder / "key").write_text("another key, as long as need be")
             it.run(c)
             await it.until(
-                lambda: "it has another key" in it["g0"].log() + it["g1"].log(), "a line on the key"
+                lambda: "the dialer has another key" in it["g0"].log() + it["g1"].log(), "a line on the key"
             )
             assert (await it.status(it["g0"]))["lease_ms"] > 0
 
