--- a/benchmarks/group_faults.py
+++ b/benchmarks/group_faults.py
@@ -20,7 +20,7 @@
 
 from badgergap.standins.rig import Timeline, rig
 from benchmarks.common import quantile
-from tests.consensus.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
+from tests.consensus.load import BOUND_S, TRANSIT_S, Load, join, publish
 
 FAULTS = ("kill", "kill", "stop", "stop", "cut", "cut", "deaf", "delay", "reset", "wipe", "copy")
 
@@ -86,7 +86,7 @@
                 ),
                 flush=True,
             )
-            broken = lost or unexcused or joined.twice or joined.longest_s > BOUND_S + ON_THE_WAY_S
+            broken = lost or unexcused or joined.twice or joined.longest_s > BOUND_S + TRANSIT_S
             for asked in unexcused[:10]:
                 print("owed:", asked)
             return 1 if broken else 0
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -1,4 +1,4 @@
-"""Bare consensus cores with every message, save and crash in the test's hands: no time passes by itself."""
+"""Raft cores under manual control: tests decide on each message, disk write, crash and clock step."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Cluster:
-    """`kind`: the core; tests put one in its place that lacks a guard."""
+    """A group of cores. `kind` is their class; tests pass a variant that lacks one safety check."""
 
     def __init__(self, count: int, kind: type[Raft] = Raft) -> None:
         self.kind = kind
@@ -41,7 +41,7 @@
         self.settle(id)
 
     def settle(self, id: str) -> None:
-        """Sort what a core wants done, and check what it claims."""
+        """Collect the actions of a core, and check that its applied entries and leadership are consistent."""
         node = self.nodes[id]
         for action in node.actions:
             match action:
@@ -77,13 +77,13 @@
         self.unsaved[id], self.held[id] = [], []
         self.start(id)
 
-    def deliver(self, place: int) -> None:
-        sender, send = self.wire.pop(place)
+    def deliver(self, position: int) -> None:
+        sender, send = self.wire.pop(position)
         self.nodes[send.peer_id].receive(self.now, sender, send.message)
         self.settle(send.peer_id)
 
     def time_out(self, id: str) -> None:
-        """Its patience ends, and that of the others with their leader."""
+        """Let the election timeout of this node pass, and the leader timeout of all."""
         self.now += 1_100_000
         self.nodes[id].election_due_us = self.now
         self.nodes[id].tick(self.now)
@@ -99,7 +99,7 @@
         self.settle(id)
 
     def run(self, among: str, until: Callable[[], bool] = lambda: False, most: int = 300) -> None:
-        """Messages and disks of these alone, until all is quiet; what goes elsewhere is lost."""
+        """Deliver messages and writes among these nodes until none are left; drop all other messages."""
         for _ in range(most):
             if until():
                 return
--- a/tests/consensus/load.py
+++ b/tests/consensus/load.py
@@ -1,4 +1,4 @@
-"""Clients of a rig with a ledger, and what the ledgers of boxes and clients say together."""
+"""Clients that send load to a rig, and the joint analysis of their records and those of the endpoints."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from badgergap.standins.net import read_message
 from badgergap.standins.rig import Gateway, Rig
 
-GIVE_UP_S = 6.0  # classes are given up after 5 s
+CLIENT_TIMEOUT_S = 6.0  # the client timeout of the request classes is 5 s
 BOUND_S = 3.0
-ON_THE_WAY_S = 0.15  # from a gateway's decision to the box's ledger, on a busy machine
+TRANSIT_S = 0.15  # from a gateway's decision to the endpoint's record, on a busy machine
 
 
 @dataclass(slots=True)
-class Asked:
+class SentRequest:
     number: int
     gateway: str
     at: float
@@ -30,33 +30,33 @@
 
 @dataclass
 class Load:
-    """`rate` requests a second in all, each on a connection of its own, to gateways by chance."""
+    """Sends `rate` requests per second in total, each on its own connection, to random gateways."""
 
     rig: Rig
     rate: float
     seed: int
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[SentRequest] = field(default_factory=list)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def play(self, until: asyncio.Event) -> None:
-        chance = random.Random(self.seed)
+        rng = random.Random(self.seed)
         began, number = time.monotonic(), 0
         while not until.is_set():
             number += 1
-            gateway = chance.choice(list(self.rig))
-            one = Asked(number, gateway.name, time.monotonic(), chance.choice(("GET", "GET", "POST")))
+            gateway = rng.choice(list(self.rig))
+            one = SentRequest(number, gateway.name, time.monotonic(), rng.choice(("GET", "GET", "POST")))
             self.asked.append(one)
             task = asyncio.get_running_loop().create_task(self.one(one, gateway))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             await asyncio.sleep(max(0.0, began + number / self.rate - time.monotonic()))
         if self.tasks:
-            await asyncio.wait(self.tasks, timeout=GIVE_UP_S + 2.0)
+            await asyncio.wait(self.tasks, timeout=CLIENT_TIMEOUT_S + 2.0)
 
-    async def one(self, asked: Asked, gateway: Gateway) -> None:
+    async def one(self, asked: SentRequest, gateway: Gateway) -> None:
         writer = None
         try:
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", gateway.http)
                 body = b"Content-Length: 2\r\n\r\nhi" if asked.method == "POST" else b"\r\n"
                 target = f"/echo?from={gateway.name}&number={asked.number}".encode()
@@ -81,11 +81,11 @@
 
 @dataclass
 class Joined:
-    """The boxes' ledgers, by version: `put_before = "/vN"` makes each request say which one sent it."""
+    """The records of all endpoints by version: `put_before = "/vN"` marks each request with its version."""
 
     spans: dict[int, tuple[float, float]]  # first and last request under each version
     twice: list[int]  # requests with an effect that ran more than once
-    longest_s: float  # that two versions were acted on side by side
+    longest_s: float  # longest time that two versions were in use at once
     pair: tuple[int, int]
 
 
@@ -108,7 +108,7 @@
 
 
 def versioned(it: Rig, number: int) -> dict[str, object]:
-    """Settings under which every request says that number to its box."""
+    """Return settings that mark every request with that number."""
     route = 'name = "everything"\nclass = "pages"\n'
     text = it.settings().replace(route, f'{route}put_before = "/v{number}"\n')
     assert f"/v{number}" in text
@@ -116,7 +116,7 @@
 
 
 async def publish(it: Rig, gateway: Gateway, number: int, within_s: float = 10.0) -> int:
-    """The version; 0 if it is not known to be one."""
+    """Publish settings. Returns the version, or 0 if the outcome is a failure or unknown."""
     try:
         result = await asyncio.to_thread(
             gateway.ask,
--- a/tests/consensus/test_compatibility.py
+++ b/tests/consensus/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Which versions may be acted on side by side, setting by setting."""
+"""Which versions may be in use at the same time, setting by setting."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def changed(path: str, value: object) -> dict[str, Any]:
-    """BASE with one key set; None takes it away. `box.b1.address`: tables in lists go by name."""
+    """Return BASE with one key set, or removed for None. Tables in lists are named: `box/b1/address`."""
     import copy
 
     tables = copy.deepcopy(BASE)
-    *way, key = path.split("/")
+    *parents, key = path.split("/")
     at: Any = tables
-    for step in way:
+    for step in parents:
         at = next(t for t in at if t["name"] == step) if isinstance(at, list) else at.setdefault(step, {})
     if isinstance(at, list):
         at[:] = [t for t in at if t["name"] != key] + ([value] if value is not None else [])
@@ -89,7 +89,7 @@
     assert contradictions(BASE, changed(path, value))
 
 
-def test_what_rises_contradicts_the_other_way_round() -> None:
+def test_a_raised_limit_contradicts_in_the_reverse_direction() -> None:
     for path, value in SIDE_BY_SIDE:
         if path.split("/")[-1] in ("open_requests", "attempts", "upload_limit") and value != 3:
             assert contradictions(changed(path, value), BASE), path
@@ -97,8 +97,8 @@
 
 
 def test_the_order_of_routes_counts_and_that_of_boxes_does_not() -> None:
-    turned = {**BASE, "route": BASE["route"][::-1]}
-    assert contradictions(BASE, turned) == ["routes stand in another order"]
+    reordered = {**BASE, "route": BASE["route"][::-1]}
+    assert contradictions(BASE, reordered) == ["routes stand in another order"]
     assert contradictions(BASE, {**BASE, "box": BASE["box"][::-1]}) == []
 
 
--- a/tests/consensus/test_framing.py
+++ b/tests/consensus/test_framing.py
@@ -1,4 +1,4 @@
-"""What goes over links and to the disk: whole or refused, and never guessed."""
+"""Encoded frames, persisted records and snapshots are decoded completely or rejected."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 ]
 
 
-def said() -> bytes:
+def encoded_stream() -> bytes:
     writer = FrameWriter(derive_session_key(KEY, CHALLENGE, OPENING.nonce, b"there"))
     return encode_opening(KEY, CHALLENGE, OPENING) + b"".join(writer.encode("id-b", m) for m in MESSAGES)
 
@@ -43,14 +43,14 @@
 def test_frames_come_whole_in_pieces_of_any_size() -> None:
     for size in (1, 7, 100, 10_000):
         listener, found = ListenerSession(KEY, CHALLENGE), list[Envelope]()
-        for start in range(0, len(said()), size):
-            found += listener.feed(said()[start : start + size])
+        for start in range(0, len(encoded_stream()), size):
+            found += listener.feed(encoded_stream()[start : start + size])
         assert listener.opening == OPENING
         assert [envelope.message for envelope in found] == MESSAGES
 
 
-def test_any_byte_changed_is_refused_or_waited_for() -> None:
-    data = said()
+def test_any_changed_byte_is_rejected_or_leaves_the_frame_incomplete() -> None:
+    data = encoded_stream()
     for place in range(len(data)):
         changed = bytearray(data)
         changed[place] ^= 0x41
@@ -68,10 +68,10 @@
 )
 def test_an_opening_for_another_link_is_refused(key: bytes, challenge: bytes) -> None:
     with pytest.raises(InvalidFrameError, match="another key"):
-        list(ListenerSession(key, challenge).feed(said()))
+        list(ListenerSession(key, challenge).feed(encoded_stream()))
 
 
-def test_a_frame_said_again_or_out_of_turn_is_refused() -> None:
+def test_a_repeated_or_reordered_frame_is_rejected() -> None:
     writer = FrameWriter(derive_session_key(KEY, CHALLENGE, OPENING.nonce, b"there"))
     first, second = (writer.encode("id-b", message) for message in MESSAGES)
     for wrong in (first + first, second + first):
@@ -81,16 +81,16 @@
             list(listener.feed(wrong))
 
 
-def test_garbage_never_does_more_than_end_a_link() -> None:
-    chance = random.Random(1)
+def test_random_bytes_only_end_the_link() -> None:
+    rng = random.Random(1)
     for _ in range(500):
         listener = ListenerSession(KEY, CHALLENGE)
         with contextlib.suppress(InvalidFrameError):
-            assert not list(listener.feed(chance.randbytes(chance.randrange(200))))
+            assert not list(listener.feed(rng.randbytes(rng.randrange(200))))
         assert len(listener.buffer) <= framing.OPENING_LIMIT + 64
 
 
-def test_saves_come_back_as_they_were_and_later_formats_are_not_guessed() -> None:
+def test_records_round_trip_and_later_formats_are_rejected() -> None:
     saves = [
         Persist(1, 1, "", None, (), Snapshot(1, 1, (Peer("x", "a"),), b"state")),
         Persist(2, 2, "x", None, (LogEntry(2, 2, "noop"), LogEntry(3, 2, "data", b"d"))),
@@ -107,7 +107,7 @@
             persistence.decode([*records, bad])
 
 
-def test_a_snapshot_brings_the_same_state_and_a_later_one_is_refused() -> None:
+def test_a_snapshot_restores_the_state_and_a_later_format_is_rejected() -> None:
     it = GroupState("g")
     for number in range(5):
         it.apply(
@@ -122,7 +122,7 @@
     assert other.components == {"copies": (1, b"first")}
     assert other.snapshot() == it.snapshot() and other.acting.number == it.acting.number == 1
     again = encode_command(ProposeVersion("p4", "out", "box4", "me", "", -1, False))
-    outcome = other.apply(again)  # said twice, done once
+    outcome = other.apply(again)  # a repeated proposal is applied once
     assert outcome is not None and outcome.version == 5 and other.newest.number == 5
     kept = msgspec.msgpack.decode(it.snapshot())
     kept[replicated_state.StoredState.__struct_fields__.index("format")] = replicated_state.FORMAT + 1
@@ -130,13 +130,13 @@
         other.restore(msgspec.msgpack.encode(kept))
 
 
-def test_a_member_of_an_older_program_stops_at_what_it_does_not_know() -> None:
-    """An entry of a later program: the members say so and act no more; none skips it."""
+def test_members_of_an_older_program_halt_at_an_unknown_entry() -> None:
+    """An entry from a later program version halts every member that reads it; none skips it."""
     world = World(1, 3)
     world.run(5 * S)
     leader = next(n for n in world.nodes.values() if n.member is not None and n.member.raft.is_leader)
     assert leader.member is not None
-    shouts: list[str] = []
+    halt_reasons: list[str] = []
     for node in world.nodes.values():
         assert node.member is not None and node.member.may_act(world.local(node))
         actions = node.member.actions
@@ -146,6 +146,6 @@
     world.run(world.now + 2 * S)
     for node in world.nodes.values():
         assert node.member is not None
-        shouts.append(node.member.halted)
+        halt_reasons.append(node.member.halted)
         assert not node.member.may_act(world.local(node))
-    assert all("later program version" in why for why in shouts)
+    assert all("later program version" in why for why in halt_reasons)
--- a/tests/consensus/test_gate.py
+++ b/tests/consensus/test_gate.py
@@ -1,4 +1,4 @@
-"""A gateway whose right to act ends at some moment: what it has taken goes to no box from then on."""
+"""Once a gateway's right to act ends, requests that it has accepted are sent to no endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Acting:
-    """The right to act, asked `calls` times so far; from call `ends` on it is something else."""
+    """An epoch source that returns 0, and `then` from call `ends` on. `calls` counts the calls."""
 
     def __init__(self, ends: int, then: int) -> None:
         self.calls, self.ends, self.then = 0, ends, then
@@ -22,8 +22,8 @@
 
 
 @pytest.mark.parametrize("then", [-1, 7], ids=["no lease", "other rules"])
-def test_whenever_it_ends_the_request_is_refused_or_had_gone_before(tmp_path: Path, then: int) -> None:
-    """At its taking, at its sending, and once the new connection to its box is there."""
+def test_a_request_is_rejected_or_was_sent_before_the_right_to_act_ended(tmp_path: Path, then: int) -> None:
+    """The right ends when the request is accepted, when it is sent, or when the new connection is open."""
     outcomes: list[tuple[int, int]] = []
 
     async def play() -> None:
@@ -44,13 +44,14 @@
 
     asyncio.run(play())
     print(outcomes)
-    # Asked as it is taken and sent, as its connection is begun, and, the last before the first byte, once
-    # that is there. (Rules that change between the second and the third are those of both.)
+    # Checked when the request is accepted, when it is sent, when its connection is started, and, last before
+    # the first byte, when that is open. (An epoch that changes between the second and the third check is not
+    # noticed: both checks of the connection use the new one.)
     assert sum(status == 503 for status, _ in outcomes) == (4 if then < 0 else 2)
     assert outcomes[-1] == (200, 1)
 
 
-def test_ready_says_no_without_a_lease_and_pools_ask_too(tmp_path: Path) -> None:
+def test_a_gateway_without_a_lease_is_not_ready(tmp_path: Path) -> None:
     async def play() -> None:
         async with site(tmp_path, pools="other") as it:
             assert it.proxy.ready
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -1,4 +1,4 @@
-"""Real gateways of one group: agreed settings, faults between them, ledgers of clients and boxes."""
+"""Gateway processes of one group under injected faults, checked by records of clients and endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from badgergap.standins.registry import LiveRegistry
 from badgergap.standins.rig import Gateway, Timeline, rig
-from tests.consensus.load import BOUND_S, ON_THE_WAY_S, Load, join, publish
+from tests.consensus.load import BOUND_S, TRANSIT_S, Load, join, publish
 
 
 def run(*words: str) -> subprocess.CompletedProcess[str]:
@@ -39,8 +39,8 @@
     subprocess.run([sys.executable, "-c", program], check=True, cwd=shipped.parents[1], timeout=60)
 
 
-def test_what_an_operator_does_holds_at_all_members(tmp_path: Path) -> None:
-    """Drain, publish, diff, rollback and conflicts at different members; a file that says otherwise loses."""
+def test_operator_commands_take_effect_at_all_members(tmp_path: Path) -> None:
+    """Drain, publish, diff, rollback and conflicts at different members; agreed settings beat local files."""
 
     async def play() -> None:
         async with rig(tmp_path) as it:
@@ -60,16 +60,16 @@
             number = int(said.stdout.split()[1].rstrip(":,"))
             diff = await asyncio.to_thread(run, "settings", "diff", "1", str(number), "--file", str(c.file))
             assert "contradicts: limits: open_requests goes from 2000 to 100" in diff.stdout
-            # From two places at once: made from a version that is not the newest any more.
+            # A concurrent change that is based on an outdated version conflicts.
             late = await asyncio.to_thread(
                 run, "settings", "publish", str(a.file), "--file", str(a.file), "--parent", "1"
             )
             assert late.returncode == 1 and "conflict" in late.stderr and "open_requests" in late.stderr
-            # A version that a member cannot load is refused before it is one.
+            # Settings that a member cannot load are rejected before they become a version.
             changed.write_text(it.text(b, it.settings(requests=50).replace("at_once = 64", "at_once = 32")))
             bad = await asyncio.to_thread(run, "settings", "publish", str(changed), "--file", str(c.file))
             assert bad.returncode == 1 and "needs a restart" in bad.stderr, bad
-            # A file that contradicts what is agreed: the group's counts, and the log says so.
+            # A local file that differs from the agreed settings is overridden, with a log line.
             assert a.process is not None
             a.process.send_signal(1)
             await it.until(lambda: "not as the group has agreed" in a.log(), "a line on the file")
@@ -84,14 +84,14 @@
     asyncio.run(play())
 
 
-def test_a_member_wiped_put_back_or_cut_off_is_told_and_mended(tmp_path: Path) -> None:
+def test_a_wiped_restored_or_isolated_member_is_reported_and_recovers(tmp_path: Path) -> None:
     async def play() -> None:
         async with rig(tmp_path) as it:
             await it.settled()
             a, b, c = it
             it.copy(c)
             assert await publish(it, a, 7)
-            # An old copy put back is another member, and votes no more until it is made to.
+            # A member restored from an old copy gets a new identity and no vote until it is replaced.
             it.put_back(c)
             it.run(c)
             await it.settled(version=2)
@@ -105,7 +105,7 @@
             await it.settled(version=2)
             replaced = await asyncio.to_thread(run, "group", "replace", a.name, "--file", str(c.file))
             assert replaced.returncode == 0, replaced.stderr
-            # Whoever hears nobody stops within its lease; the others go on, and it comes back by itself.
+            # An isolated member stops within its lease; the others go on, and it recovers by itself.
             it.cut(b, True)
             await it.until(lambda: "HAS NO LEASE" in b.log(), "b stops", 10.0)
             began = time.monotonic()
@@ -118,7 +118,7 @@
             assert head.startswith(b"HTTP/1.1 503") and b"retry-after" in head.lower()
             it.cut(b, False)
             await it.settled(version=3)
-            # Taken out it is refused, and says so; let in again it learns, and votes once it is told to.
+            # A removed member is rejected and logs that; added again it is a learner until it gets a vote.
             out = await asyncio.to_thread(run, "group", "remove", b.name, "--file", str(a.file))
             assert out.returncode == 0, out.stderr
             await it.until(lambda: "was taken out of the group" in b.log(), "it hears that it is out")
@@ -144,14 +144,14 @@
             acknowledged: dict[int, int] = {}
 
             async def publishes() -> None:
-                chance, number = random.Random(seed), 0
+                rng, number = random.Random(seed), 0
                 while not over.is_set():
                     number += 1
-                    gateway = chance.choice([g for g in it if g.running] or [next(iter(it))])
+                    gateway = rng.choice([g for g in it if g.running] or [next(iter(it))])
                     version = await publish(it, gateway, number, 0.0)
                     if version:
                         acknowledged[number] = version
-                    await asyncio.sleep(chance.uniform(0.2, 1.5))
+                    await asyncio.sleep(rng.uniform(0.2, 1.5))
 
             work = asyncio.gather(load.play(over), publishes())
             await timeline.play(8.0)
@@ -169,20 +169,20 @@
             print(f"{dict(counts)}, {len(acknowledged)} acknowledged of {len(history)} versions")
             print(f"longest side by side {joined.longest_s:.2f} s, versions {joined.pair}")
             assert len(joined.spans) >= 2 and len(acknowledged) >= 2
-            assert joined.longest_s <= BOUND_S + ON_THE_WAY_S
+            assert joined.longest_s <= BOUND_S + TRANSIT_S
             assert not joined.twice, "effects that ran twice"
-            served = counts[200] + counts[404]  # the application knows no /vN: its own 404 is an answer
+            served = counts[200] + counts[404]  # the application has no /vN paths: its 404 counts as served
             assert served > 0.2 * len(load.asked)
-            # One final answer in the client's time, but from a process that was killed or stopped just then.
-            owed = [a for a in load.asked if a.status in (-1, 0)]
-            unexcused = [a for a in owed if not timeline.excuses(a.gateway, a.at, a.at + a.took_s)]
+            # Each request gets one final answer in time, unless its gateway was killed or stopped then.
+            unanswered = [a for a in load.asked if a.status in (-1, 0)]
+            unexcused = [a for a in unanswered if not timeline.excuses(a.gateway, a.at, a.at + a.took_s)]
             assert not unexcused, unexcused[:5]
 
     asyncio.run(play())
 
 
-def test_a_full_disk_stops_one_member_until_there_is_room(tmp_path: Path) -> None:
-    """Nothing that was not written is promised; the others go on; it comes back as who it was."""
+def test_a_full_disk_stops_one_member_until_space_is_free(tmp_path: Path) -> None:
+    """A member with a full disk stops acting, the others go on, and it recovers with its identity."""
 
     async def play() -> None:
         async with rig(tmp_path) as it:
@@ -207,8 +207,8 @@
     asyncio.run(play())
 
 
-def test_one_follows_the_list_for_all(tmp_path: Path) -> None:
-    """One watch, drains that hold everywhere in time, a leader that dies, half of the hosts gone at once."""
+def test_the_leader_follows_the_endpoint_list_for_all(tmp_path: Path) -> None:
+    """One watch per group, drains in time at all members, a killed leader, a list that shrinks by half."""
 
     async def play() -> None:
         registry = LiveRegistry()
@@ -223,10 +223,12 @@
                 load, over = Load(it, 100.0, 1), asyncio.Event()
                 work = asyncio.ensure_future(load.play(over))
                 await it.until(lambda: all(app.runs for app in it.apps), "all boxes are used")
-                told = time.monotonic()
+                drained_at = time.monotonic()
                 registry.set("box-0", it.apps[0].address, "leaving")
                 await asyncio.sleep(1.5)
-                late = [run.at - told for run in it.apps[0].runs if run.at - told > 0.5 + ON_THE_WAY_S]
+                late = [
+                    run.at - drained_at for run in it.apps[0].runs if run.at - drained_at > 0.5 + TRANSIT_S
+                ]
                 assert not late, late
                 leader = await it.leader()
                 it.kill(leader)
@@ -239,7 +241,7 @@
                 for app in it.apps[:3]:
                     registry.entries.pop(app.name)
                 registry.index += 1
-                registry.cut()  # and the next list that is asked for names one box
+                registry.cut()  # and the next list that is read names one endpoint
                 await it.until(lambda: any("HELD" in g.log() for g in it), "it is held and shouted")
                 gone, now = it.apps[:3], time.monotonic()
                 await it.until(lambda: all(a.runs[-1].at > now for a in gone), "they are still used")
@@ -251,15 +253,15 @@
     asyncio.run(play())
 
 
-def test_a_stranger_changes_nothing_but_a_line_in_the_log(tmp_path: Path) -> None:
-    """Wrong keys, garbage, half frames and many connections at the group's address."""
+def test_unauthenticated_connections_only_cause_one_log_line(tmp_path: Path) -> None:
+    """Wrong keys, random bytes, partial frames and many connections at the group's address."""
 
     async def play() -> None:
         async with rig(tmp_path, members=1) as it:
             await it.settled()
             (only,) = it
             before = await it.status(only)
-            chance = random.Random(5)
+            rng = random.Random(5)
             writers = []
             for number in range(400):
                 try:
@@ -268,7 +270,7 @@
                     continue
                 writers.append(writer)
                 if number % 3 == 0:
-                    writer.write(chance.randbytes(chance.randrange(200)))
+                    writer.write(rng.randbytes(rng.randrange(200)))
                 elif number % 3 == 1:
                     writer.write(b"\x10\x00\x00\x00" + bytes(60))
             await it.until(lambda: "rejected at the group's address" in only.log(), "a line in the log")
@@ -281,7 +283,7 @@
     asyncio.run(play())
 
 
-def test_two_with_one_name_and_one_with_another_key_are_kept_out(tmp_path: Path) -> None:
+def test_a_duplicate_name_and_a_wrong_key_are_rejected(tmp_path: Path) -> None:
     async def play() -> None:
         async with rig(tmp_path) as it:
             await it.settled()
--- a/tests/storage/test_log_session.py
+++ b/tests/storage/test_log_session.py
@@ -1,4 +1,4 @@
-"""A log in use: messages wait for the writes that they rely on, and nothing of an earlier log counts."""
+"""LogSession: messages wait for the writes they depend on, and callbacks of an earlier log are ignored."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Driver:
-    """What a driver sees of its log."""
+    """Records the callbacks of a session."""
 
     def __init__(self, folder: Path) -> None:
         self.sent: list[str] = []
@@ -52,7 +52,7 @@
 
 
 def test_a_message_waits_for_its_write_and_those_behind_it_keep_their_order(tmp_path: Path) -> None:
-    """A vote that goes out before it is on disk is forgotten in a crash, and given again to another one."""
+    """A vote sent before it is on disk could be lost in a crash, and a second vote given in the same term."""
 
     async def play() -> None:
         driver = Driver(tmp_path)
@@ -75,10 +75,9 @@
     asyncio.run(play())
 
 
-def test_what_was_held_back_is_gone_once_the_log_was_reopened(tmp_path: Path) -> None:
-    """The disk fails under a write; the folder is opened again, and the member counts its writes from 1. A
-    message
-    that relied on the lost write must not go out with the first write of the new count."""
+def test_pending_messages_are_discarded_when_the_log_is_reopened(tmp_path: Path) -> None:
+    """After a disk failure the folder is reopened and tokens start at 1 again. A message that depended on the
+    lost write must not be sent with the first write of the new count."""
 
     async def play() -> None:
         driver = Driver(tmp_path)
@@ -107,8 +106,8 @@
     asyncio.run(play())
 
 
-def test_a_log_that_is_set_aside_begins_empty_as_another(tmp_path: Path) -> None:
-    """A member whose disk lacks what it acknowledged must not go on under its identity."""
+def test_a_log_that_is_set_aside_is_empty_with_a_new_identity(tmp_path: Path) -> None:
+    """A member whose disk lacks acknowledged records must not keep its identity."""
 
     async def play() -> None:
         driver = Driver(tmp_path)
@@ -130,7 +129,7 @@
 
 
 def test_a_failure_is_reported_once_and_nothing_is_sent_for_it(tmp_path: Path) -> None:
-    """The disk refuses a write: what relies on it must never go out."""
+    """A message that depends on a failed write must never be sent."""
 
     async def play() -> None:
         driver = Driver(tmp_path)
@@ -147,7 +146,7 @@
     asyncio.run(play())
 
 
-# Guards against a member that never comes back: its folder could not be set aside for a moment.
+# Guards against a member that never recovers after its folder could temporarily not be set aside.
 def test_a_log_that_cannot_be_set_aside_for_a_moment_is_set_aside_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -176,7 +175,7 @@
     asyncio.run(play())
 
 
-# Guards against two reopenings of one log: its writer is too far behind, and then its disk fails.
+# Guards against reopening one log twice: its writer falls too far behind, and then its disk fails.
 def test_a_log_that_fails_twice_is_reported_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(background_writer, "PENDING_LIMIT_BYTES", 10)
     begun, go_on = threading.Event(), threading.Event()
--- a/tests/storage/test_record_log.py
+++ b/tests/storage/test_record_log.py
@@ -1,4 +1,4 @@
-"""A log through crashes at every point, damage at every byte, copies put back and disks that refuse."""
+"""RecordLog under crashes at every point, damage at every byte, restored copies and disk errors."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     return log, found.records, found.lost_reason
 
 
-def test_what_is_appended_is_read_and_the_identity_stays(tmp_path: Path) -> None:
+def test_appended_records_are_read_and_the_identity_is_kept(tmp_path: Path) -> None:
     log = filled(tmp_path)
     again, records, lost = reopened(tmp_path)
     assert (records, lost, again.identity) == (RECORDS, "", log.identity)
@@ -71,31 +71,33 @@
         assert not without.damage and without.torn_bytes == length - without.complete_length
         assert without.records == RECORDS[: len(without.records)]
         assert known.damage and not known.torn_bytes
-    assert len(ends) == 1 + len(GROUPS)  # behind the head, the opening's batch, and each but the last
+    assert len(ends) == 1 + len(
+        GROUPS
+    )  # after the header, the batch from opening, and each batch but the last
 
 
-def test_every_byte_flipped_once_is_noticed(tmp_path: Path) -> None:
+def test_every_flipped_byte_is_detected(tmp_path: Path) -> None:
     filled(tmp_path)
     data = bytearray((tmp_path / "log").read_bytes())
     head, last = record_format.decode_header(bytes(data)), data.rfind(record_format.BATCH_MAGIC)
-    for place in range(len(data)):
-        data[place] ^= 0x10
-        if place < record_format.HEADER.size:
+    for position in range(len(data)):
+        data[position] ^= 0x10
+        if position < record_format.HEADER.size:
             with pytest.raises(InvalidHeaderError):
                 record_format.decode_header(bytes(data))
         else:
             scan = record_format.scan(bytes(data), head, 0)
-            # In the last batch it may be a write that a power loss tore; before it, never.
-            assert bool(scan.damage) == (place < last), place
+            # Damage in the last batch may be a torn write after a power loss; before it, it never is.
+            assert bool(scan.damage) == (position < last), position
             assert scan.records == RECORDS[: len(scan.records)] != RECORDS
             assert record_format.scan(bytes(data), head, len(data)).damage
-        data[place] ^= 0x10
+        data[position] ^= 0x10
 
 
-def test_a_look_at_the_disk_finds_damage_that_a_restart_would_meet(tmp_path: Path) -> None:
-    """A disk flips a bit in what is durable while the process runs. Nothing would read it before the
-    next restart, which would find the log damaged and lose all of it. `verify` reads the disk in time, and
-    its owner writes the log anew from memory."""
+def test_verify_finds_damage_on_disk_before_a_restart(tmp_path: Path) -> None:
+    """A bit of durable data flips on disk while the process runs. Without `verify` only the next restart
+    would read it, find the log damaged and lose all of it. `verify` finds it in time, and the owner rewrites
+    the log from memory."""
     log = RecordLog(tmp_path)
     log.open()
     for group in GROUPS:
@@ -103,13 +105,13 @@
     log.verify()
     path = tmp_path / "log"
     whole = path.read_bytes()
-    for place in range(0, len(whole), 7):
+    for position in range(0, len(whole), 7):
         spoilt = bytearray(whole)
-        spoilt[place] ^= 0x10
+        spoilt[position] ^= 0x10
         path.write_bytes(spoilt)  # in place: the same file
         with pytest.raises(DamagedLogError):
             log.verify()
-    log.rewrite(RECORDS)  # from what its owner holds
+    log.rewrite(RECORDS)  # from the owner's memory
     log.verify()
     log.append([b"more"])
     log.verify()
@@ -118,9 +120,9 @@
 
 
 @pytest.mark.parametrize("how", ["flip", "cut", "head", "copy", "gone"])
-def test_a_folder_that_lacks_what_it_promised_is_another(tmp_path: Path, how: str) -> None:
+def test_a_log_that_lost_durable_records_gets_a_new_identity(tmp_path: Path, how: str) -> None:
     """Durable records are gone: a byte flipped, the file cut, the folder restored from a copy, the log
-    deleted. A member that went on under its identity would break what it promised, so it gets a new one."""
+    deleted. A member that kept its identity could break its earlier promises, so it gets a new one."""
     folder = tmp_path / "log"
     log = filled(folder)
     path = folder / "log"
@@ -139,10 +141,10 @@
     again, records, lost = reopened(folder)
     assert records == [] and again.identity != log.identity
     assert bool(lost) == (folder / "log.lost-1").exists() == (how != "gone")
-    assert reopened(folder)[0].identity == again.identity  # and it stays that one
+    assert reopened(folder)[0].identity == again.identity  # the new identity is kept
 
 
-def test_a_later_format_is_left_as_it_is(tmp_path: Path) -> None:
+def test_a_file_of_a_later_format_is_not_modified(tmp_path: Path) -> None:
     filled(tmp_path)
     with (tmp_path / "log").open("r+b") as file:
         file.seek(5)
@@ -154,7 +156,7 @@
 
 
 class Recorder(LocalFiles):
-    """Remembers each call that changes the disk."""
+    """Records each call that changes the disk."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, str, bytes]] = []
@@ -162,7 +164,7 @@
 
     def create(self, path: Path) -> int:
         file = super().create(path)
-        self.names[file] = f"{path.name} {len(self.calls)}"  # a file keeps its own name here
+        self.names[file] = f"{path.name} {len(self.calls)}"  # stays the same after a rename
         self.calls.append(("create", self.names[file], b""))
         return file
 
@@ -189,7 +191,7 @@
 
 
 def crashed(calls: list[tuple[str, str, bytes]], part: float, renamed: bool) -> tuple[bytes, bytes]:
-    """The log and the mark that a disk may hold: of what was not synced a part; the last rename or not."""
+    """Return the log and mark as a crash may leave them: with part of the unsynced data, renamed or not."""
     files: dict[str, tuple[bytes, int]] = {}
     log, waiting, mark = "", "", b""
     for call, name, data in calls:
@@ -212,11 +214,11 @@
 
 
 def test_power_lost_at_any_call_loses_nothing_that_was_durable(tmp_path: Path) -> None:
-    """Every prefix of what a log did, with what was not synced lost, torn and kept, renamed or not."""
+    """Crash after every call, with unsynced data lost, torn or kept, and the last rename done or not."""
     files = Recorder()
     log = RecordLog(tmp_path, files)
     log.open()
-    promised = [(len(files.calls), list[bytes]())]  # from that many calls on these are durable
+    promised = [(len(files.calls), list[bytes]())]  # (number of calls, records that are durable after them)
     for group in GROUPS:
         log.append(group)
         promised.append((len(files.calls), promised[-1][1] + group))
@@ -232,7 +234,7 @@
                 head = record_format.decode_header(data)
                 scan = record_format.scan(data, head, record_format.decode_mark(mark, head))
                 known = max(n for n, (at, _) in enumerate(promised) if at <= count)
-                # What was promised last, or already what was being written then.
+                # The last durable records, or those that were being written.
                 allowed = [records for _, records in promised[known : known + 2]]
                 assert not scan.damage and scan.records in allowed, (count, part, renamed)
 
@@ -255,10 +257,10 @@
 
 
 @pytest.mark.parametrize("how", ["full", "broken"])
-def test_after_a_refusal_nothing_counts_as_written(tmp_path: Path, how: str) -> None:
-    """A full disk, or an fsync that fails, and then a disk that seems well again. The kernel may have dropped
-    the pages that it could not write, so a later fsync that succeeds says nothing about them: every further
-    write is refused until the log was opened again."""
+def test_after_a_disk_error_further_writes_are_rejected(tmp_path: Path, how: str) -> None:
+    """A full disk or a failed fsync, after which the disk works again. The kernel may have dropped the pages
+    that it could not write, so a later successful fsync does not cover them: every further write is rejected
+    until the log is opened again."""
     files = Refusing()
     log = RecordLog(tmp_path, files)
     log.open()
@@ -272,13 +274,13 @@
     with pytest.raises(OSError, match="failed before"):
         log.rewrite([b"lost"])
     log.close()
-    # A full disk left half a batch. After a failed fsync all of it may lie in the file: it is believed only
-    # once it was written anew and synced, which opening does.
+    # A full disk left half a batch. After a failed fsync the whole batch may be in the file: it counts as
+    # durable only once it is rewritten and synced, which opening does.
     records = reopened(tmp_path)[1]
     assert records[:1] == [b"kept"] and len(records) <= 1 + (how == "broken")
 
 
-def test_the_writer_syncs_what_waits_together_and_stops_at_a_refusal(tmp_path: Path) -> None:
+def test_the_writer_syncs_queued_tasks_together_and_stops_at_an_error(tmp_path: Path) -> None:
     class Slow(Refusing):
         go = threading.Event()
 
@@ -325,11 +327,11 @@
     assert reopened(tmp_path)[1] == [b"%d" % token for token in range(1, 301)]
 
 
-def test_killed_while_it_writes_it_opens_with_all_that_was_told(tmp_path: Path) -> None:
-    """A child appends and says after each how far it is; killed at any moment, no less than that is there."""
+def test_a_killed_process_loses_no_reported_record(tmp_path: Path) -> None:
+    """A child process reports each append; when it is killed, at least the reported records are readable."""
     seed = random.randrange(1 << 30)
     print("seed", seed)
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     said = 0
     for _ in range(6):
         reader, writer = os.pipe()
@@ -343,7 +345,7 @@
                 os.write(writer, b"%d\n" % number)
         os.close(writer)
         with os.fdopen(reader, "rb") as told:
-            for _ in range(chance.randrange(1, 40)):
+            for _ in range(rng.randrange(1, 40)):
                 said = int(told.readline())
             os.kill(child, 9)
             said = max([said, *map(int, told.read().split())])
