--- a/badgergap/ordinary/turn.py
+++ b/badgergap/ordinary/turn.py
@@ -3,7 +3,7 @@
 The rules, stated once. A transport makes a `Turn`, has it taken, and starts it; then:
 
 1. Exactly one of these ends it: `Client.answer` (a whole answer, of this gateway or held of a box), the end
-   of a `Download` that has begun (`end` or `broke`), or `abandon` (nobody waits for it any more).
+   of a `Download` that has begun (`end` or `abort`), or `abandon` (nobody waits for it any more).
 2. It arrives at its pool once its body is whole, as much of it as is held, or its client waits to send it.
 3. There is one body: beside a first copy that is still out and not whole, no second goes.
 """
@@ -18,12 +18,12 @@
 
 from badgergap.ordinary.heads import Peer, RequestHead, request_for_box
 from badgergap.proxy.body_streams import DownloadSource, Upload
-from badgergap.proxy.gateway_responses import plain
+from badgergap.proxy.gateway_responses import plain_text
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import AttemptListener, Launch, Request, RequestSpec
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.proxy.upstream.exchange import Exchange
-from badgergap.proxy.upstream.stream_attempt import Client, ExchangeSpec, StreamAttempt, is_early
+from badgergap.proxy.upstream.stream_attempt import Client, ExchangeSpec, StreamAttempt, is_upload_in_use
 
 log = logging.getLogger(__name__)
 
@@ -163,7 +163,7 @@
             request = way.proxy.arrive(asked, client.answer)
         except Exception:
             log.exception("failed on a request")
-            client.answer(plain(500, "internal error"))
+            client.answer(plain_text(500, "internal error"))
             return
         if request is not None and client.open:
             self.request = request
@@ -182,7 +182,7 @@
             is_failure=way.failing,
             expects_continue=self.expects,
         )
-        if is_early(self.exchange, self.upload):
+        if is_upload_in_use(self.exchange, self.upload):
             second = Exchange(b"", books.on_ended)
             ways.loop.call_soon(second.never_sent)
             return second
--- a/badgergap/proxy/tcp_transport.py
+++ b/badgergap/proxy/tcp_transport.py
@@ -152,7 +152,7 @@
         and watches it no more. Not looked for where `data_age_s` has just seen the connection open, nor for a
         protocol that is at rest and looks itself before its next use.
         """
-        if self._is_seen_open or not self._is_reading or getattr(self._protocol, "is_at_rest", False):
+        if self._is_seen_open or not self._is_reading or getattr(self._protocol, "has_no_exchange", False):
             return
         code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
@@ -338,7 +338,7 @@
             self._socket.close()
 
 
-def send_at_once(sock: socket.socket) -> None:
+def disable_nagle(sock: socket.socket) -> None:
     """Have small writes sent at once; connections that a listening socket accepts have that from it."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -352,7 +352,7 @@
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            send_at_once(sock)
+            disable_nagle(sock)
             await connect_socket(loop, sock, where)
         except OSError as error:
             sock.close()
--- a/badgergap/proxy/upstream/configured.py
+++ b/badgergap/proxy/upstream/configured.py
@@ -10,7 +10,7 @@
 from badgergap.proxy.upstream.connection_pool import REST_S, Upstream
 
 
-def upstream_of(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
+def create_upstream(config: Config, loop: asyncio.AbstractEventLoop) -> Upstream:
     """Return the connections of one pool, with its limits and times."""
     settings = config.proxy_settings
     return Upstream(
@@ -21,5 +21,5 @@
         idle_us=settings.idle_connection_us,
         drain_grace_us=settings.drain_grace_us,
         budget=Budget(total_of(config.memory_mb)),
-        rest_s=0.0 if config.grows else REST_S,
+        reuse_delay_s=0.0 if config.grows else REST_S,
     )
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -45,7 +45,7 @@
         if self.open and not self.keyed_request.over:
             self.keyed_request.client.interim(status, headers)
 
-    def go_on(self) -> None:
+    def send_continue(self) -> None:
         """The body is here."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
@@ -63,7 +63,7 @@
         if self.open:
             self.keyed_request.end_of(trailers)
 
-    def broke(self) -> None:
+    def abort(self) -> None:
         """Pass on that a streamed answer broke off before its end."""
         if self.open:
             self.keyed_request.broke()
@@ -112,7 +112,7 @@
         assert idempotent is not None
         left_s = self.until - self.keyed_request.loop.time()
         is_current = self.upstream.is_epoch_current(self.epoch)
-        if self.done or self.unwanted or not may or left_s <= 0 or not is_current:
+        if self.done or self.start_prevented or not may or left_s <= 0 or not is_current:
             if may:
                 idempotent.attempt_over(False)
             if not self.done:
@@ -121,11 +121,11 @@
         self.sent = True
         self.inner = self.begin(left_s, AttemptObserver(self))
 
-    def unwant(self) -> None:
+    def prevent_start(self) -> None:
         """Its answer is not wanted any more."""
-        super().unwant()
+        super().prevent_start()
         if self.inner is not None:
-            self.inner.unwant()
+            self.inner.prevent_start()
 
     def over(self, outcome: Outcome) -> None:
         """Report whether the endpoint may have run the request."""
