--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -124,7 +124,7 @@
         """Apply what a new configuration can change at runtime; keeps endpoints, connections and balancer."""
         self.directory.reload(config)
         for name in needs_restart(self.config, config):
-            log.warning("the new configuration changes %s, which needs a restart", name)
+            log.warning("the new configuration changes %s: that needs a restart", name)
         if config.grows:
             self.add_classes(config)
         self.latest_config = config
