--- a/badgergap/consensus/service.py
+++ b/badgergap/consensus/service.py
@@ -121,9 +121,9 @@
         if self.options.one_list and dynamic:
             self.endpoint_list = EndpointListFollower(proxy, dynamic[0], self, clock_us, self._alert)
 
-    def steers(self, again: Reload) -> None:
-        """`again` has the gateway take over other settings."""
-        self.versions.reload = again
+    def set_reload(self, reload: Reload) -> None:
+        """Store the function that applies a new configuration to the gateway."""
+        self.versions.reload = reload
 
     async def start(self) -> None:
         """Open the log, listen, and begin. Raises OSError."""
--- a/badgergap/proxy/lifecycle/component.py
+++ b/badgergap/proxy/lifecycle/component.py
@@ -46,7 +46,7 @@
 class ConfigurationSource(Protocol):
     """A component that brings configurations of its own, beside those of SIGHUP."""
 
-    def steers(self, again: Reload) -> None:
+    def set_reload(self, reload: Reload) -> None:
         """Take the function that applies one; called before the start."""
 
 
@@ -54,7 +54,7 @@
 class AsyncReload(Protocol):
     """A component that needs a while to apply a new configuration."""
 
-    async def followed(self) -> None:
+    async def wait_reloaded(self) -> None:
         """Return once it is applied."""
 
 
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -64,7 +64,7 @@
         reloader = Reloader(self.proxy, self.downstream, self.components)
         for component in self.components:
             if isinstance(component, ConfigurationSource):
-                component.steers(reloader.reload)
+                component.set_reload(reloader.reload)
         if self.config.listen is not None:
             inherited = self.succession.listener if self.succession is not None else None
             self.proxy.client_address = await self.downstream.start(inherited)
@@ -195,7 +195,7 @@
                 component.reload(config)
             for component in self.components:
                 if isinstance(component, AsyncReload):
-                    await component.followed()
+                    await component.wait_reloaded()
 
 
 async def reload_on_signal(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadConfig) -> None:
--- a/badgergap/web/room.py
+++ b/badgergap/web/room.py
@@ -125,7 +125,7 @@
         plan, pools = self.read()
         self.reloading = asyncio.get_running_loop().create_task(self._reload(plan, pools, config))
 
-    async def followed(self) -> None:
+    async def wait_reloaded(self) -> None:
         if self.reloading is not None:
             await asyncio.wait({self.reloading})
 
