--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -29,12 +29,12 @@
     except ConfigError as error:
         print(f"badgergap: {error}", file=sys.stderr)
         return 2
-    succeed = None
+    make_hot_restart = None
     if config.console is not None:
         from badgergap.hot_restart.coordinator import coordinator_from_environment
 
-        succeed = partial(coordinator_from_environment, os.environ)
-    return run(config, partial(reload_config, os.environ), hung_up=early, succeed=succeed)
+        make_hot_restart = partial(coordinator_from_environment, os.environ)
+    return run(config, partial(reload_config, os.environ), hung_up=early, make_hot_restart=make_hot_restart)
 
 
 if __name__ == "__main__":
--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -15,7 +15,7 @@
 from badgergap.admin import AdminRoom, Figures
 from badgergap.cli.etcd import etcd_room
 from badgergap.cli.setup import Setup
-from badgergap.proxy.lifecycle.component import Component, Succeed
+from badgergap.proxy.lifecycle.component import Component, HotRestartFactory
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.lifecycle.process import log_to_stderr, run
 from badgergap.proxy.proxy import Proxy
@@ -71,10 +71,12 @@
         rooms.append(fleet_tls(setup))
     if until_stdin_ends:
         rooms.append(Lifeline())
-    return run(config, setup.read_again, rooms, observer, succeed=succession(setup, environ))
+    return run(
+        config, setup.read_again, rooms, observer, make_hot_restart=hot_restart_factory(setup, environ)
+    )
 
 
-def succession(setup: Setup, environ: Mapping[str, str]) -> Succeed | None:
+def hot_restart_factory(setup: Setup, environ: Mapping[str, str]) -> HotRestartFactory | None:
     """What a second process of this gateway takes over by; it is not loaded before it is on."""
     handover = setup.site.site.handover
     if handover is None and (setup.config.console is None or setup.config.listen is None):
@@ -87,11 +89,11 @@
     assert setup.store is not None  # the file was checked
     folder, stands_by_s = setup.store.folder, handover / 1e6
 
-    def succeed(config: Config) -> HotRestartCoordinator:
+    def make_hot_restart(config: Config) -> HotRestartCoordinator:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         return HotRestartCoordinator(Rendezvous(folder), config, None, stands_by_s)
 
-    return succeed
+    return make_hot_restart
 
 
 def join_group(setup: Setup, admin: AdminRoom) -> GroupService:
--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -242,7 +242,7 @@
             await self.learned_state.wait_for_endpoints()
             self.learned_state.restore()
 
-    def take(self) -> None:
+    def take_clients(self) -> None:
         """Clients are taken here from now on; the predecessor is told, and successors may ask."""
         self.restore_learned_state()
         self.close_unused_listeners()
@@ -470,7 +470,7 @@
         """Clients are sent away here from now on, or taken again."""
         self._notify(messages.LameDuckChanged(lame))
 
-    def end(self) -> None:
+    def on_shutdown(self) -> None:
         """This process was told to end. With a standby time its predecessor ends too."""
         self.ending = True
         if self.standby_s is not None:
--- a/badgergap/proxy/lifecycle/component.py
+++ b/badgergap/proxy/lifecycle/component.py
@@ -66,7 +66,7 @@
         """Shut down gracefully; return once all its requests are answered."""
 
 
-class Inherited(Protocol):
+class InheritedState(Protocol):
     """The state that a gateway starts with, from the process before it."""
 
     @property
@@ -78,12 +78,12 @@
         """The offset of its clock against the monotonic one, in nanoseconds."""
 
 
-class Succession(Protocol):
+class HotRestart(Protocol):
     """Takes over from another process of this gateway, and hands over to the next."""
 
     listener: socket.socket | None  # for clients, handed over
 
-    async def inherit(self) -> Inherited | None:
+    async def inherit(self) -> InheritedState | None:
         """Return the state of the process that serves, or None where there is none."""
 
     def join(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component]) -> None:
@@ -92,15 +92,15 @@
     def restore_learned_state(self) -> None:
         """Hand what was learned to the proxies, once the endpoints are listed."""
 
-    def take(self) -> None:
+    def take_clients(self) -> None:
         """Have clients served here from now on."""
 
-    def end(self) -> None:
+    def on_shutdown(self) -> None:
         """Note that this process shuts down."""
 
     async def close(self) -> None:
         """End, once all requests are answered."""
 
 
-# Makes the succession of a gateway that can have one; called on the loop.
-Succeed = Callable[[Config], Succession | None]
+# Creates the hot restart of a gateway that supports one; called on the event loop.
+HotRestartFactory = Callable[[Config], HotRestart | None]
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -19,10 +19,10 @@
     Component,
     ConfigurationSource,
     Drainable,
+    HotRestart,
+    HotRestartFactory,
     PoolOwner,
     ReadConfig,
-    Succeed,
-    Succession,
 )
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.limits import eviction
@@ -43,36 +43,36 @@
         proxy: Proxy,
         downstream: Downstream,
         components: Sequence[Component],
-        succession: Succession | None,
+        hot_restart: HotRestart | None,
     ) -> None:
         self.config = config
         self.proxy = proxy
         self.downstream = downstream
         self.components = components
-        self.succession = succession
+        self.hot_restart = hot_restart
 
     async def start(self) -> Reloader:
         """Start everything that serves. Raises OSError."""
-        if self.succession is not None:
-            self.succession.join(self.proxy, self.downstream, self.components)
+        if self.hot_restart is not None:
+            self.hot_restart.join(self.proxy, self.downstream, self.components)
         for component in self.components:
             component.join(self.proxy)
         self.proxy.diagnostics.loop_monitor.start()
         await self.proxy.start()
-        if self.succession is not None:
-            self.succession.restore_learned_state()
+        if self.hot_restart is not None:
+            self.hot_restart.restore_learned_state()
         reloader = Reloader(self.proxy, self.downstream, self.components)
         for component in self.components:
             if isinstance(component, ConfigurationSource):
                 component.set_reload(reloader.reload)
         if self.config.listen is not None:
-            inherited = self.succession.listener if self.succession is not None else None
+            inherited = self.hot_restart.listener if self.hot_restart is not None else None
             self.proxy.client_address = await self.downstream.start(inherited)
             log.info("%s listens on %s:%d", self.config.name, *self.proxy.client_address)
         for component in self.components:
             await component.start()
-        if self.succession is not None:
-            self.succession.take()
+        if self.hot_restart is not None:
+            self.hot_restart.take_clients()
         return reloader
 
     async def drain(self) -> None:
@@ -80,8 +80,8 @@
 
         A component that fails does not keep the others from answering theirs: its error is logged.
         """
-        if self.succession is not None:
-            self.succession.end()
+        if self.hot_restart is not None:
+            self.hot_restart.on_shutdown()
         drains = [component.drain() for component in self.components if isinstance(component, Drainable)]
         if self.config.listen is not None:
             drains.append(self.downstream.drain())
@@ -93,8 +93,8 @@
         """End all parts, the one that started last first."""
         for component in reversed(self.components):
             await component.close()
-        if self.succession is not None:
-            await self.succession.close()
+        if self.hot_restart is not None:
+            await self.hot_restart.close()
         self.proxy.diagnostics.events.write_summary()
         self.proxy.close()
 
@@ -105,7 +105,7 @@
     components: Sequence[Component] = (),
     observer: Observer | None = None,
     early: Sequence[int] = (),
-    succeed: Succeed | None = None,
+    make_hot_restart: HotRestartFactory | None = None,
 ) -> None:
     """Run until SIGTERM or SIGINT, and then until all accepted requests are answered.
 
@@ -115,15 +115,15 @@
     stopped, hung_up = watch_signals(loop)
     if early:
         hung_up.set()
-    succession = succeed(config) if succeed is not None else None
-    inherited = await succession.inherit() if succession is not None else None
+    hot_restart = make_hot_restart(config) if make_hot_restart is not None else None
+    inherited = await hot_restart.inherit() if hot_restart is not None else None
     proxy = Proxy(
         config if inherited is None else replace(config, known=inherited.endpoint_list), loop, observer
     )
     if inherited is not None:
         proxy.clock.offset_ns = inherited.clock_offset_ns
     downstream = Downstream(config, proxy, loop)
-    gateway = GatewayProcess(config, proxy, downstream, components, succession)
+    gateway = GatewayProcess(config, proxy, downstream, components, hot_restart)
     reloader = await gateway.start()
     commands = await start_command_listener(config, proxy, downstream, components)
     reloads = loop.create_task(reload_on_signal(reloader, hung_up, read_again))
@@ -217,14 +217,14 @@
     components: Sequence[Component] = (),
     observer: Observer | None = None,
     hung_up: Sequence[int] = (),
-    succeed: Succeed | None = None,
+    make_hot_restart: HotRestartFactory | None = None,
 ) -> int:
     """Serve until a signal to stop; return the exit code. `hung_up`: SIGHUPs that came during the start."""
     gc.freeze()  # the objects of the imports are never garbage
     gc.enable()  # `__main__` has it off while it imports
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, read_again, components, observer, hung_up, succeed))
+            runner.run(serve(config, read_again, components, observer, hung_up, make_hot_restart))
     except OSError as error:
         why = error if error.errno is not None else error.strerror  # this package's own have no number
         print(f"badgergap: cannot start: {why}", file=sys.stderr)
