--- a/badgergap/proxy/diagnostics/request_log.py
+++ b/badgergap/proxy/diagnostics/request_log.py
@@ -57,12 +57,12 @@
         self._events.count(EventKind.CLIENT_LEFT, "with_request_open")
         trace.note(self._now_us(), "client left")
 
-    def out_of_time(self, trace: RequestTrace) -> None:
+    def deadline_passed(self, trace: RequestTrace) -> None:
         """Nobody has answered it by its deadline."""
         trace.is_unusual = True
         log.warning("request %s had no answer at its deadline", trace.client_id)
 
-    def over(self, trace: RequestTrace) -> None:
+    def finished(self, trace: RequestTrace) -> None:
         """Nothing more becomes of it: log its story if it is unusual, within the bound on such lines."""
         if trace.is_unusual and self._events.may_write(EventKind.REQUEST_ANSWERED):
             log.info("request %s: %s", trace.client_id, trace.render())
--- a/badgergap/proxy/downstream/acceptor.py
+++ b/badgergap/proxy/downstream/acceptor.py
@@ -14,9 +14,9 @@
 from badgergap.proxy.diagnostics import EventKind, EventLog
 from badgergap.proxy.tcp_transport import TcpTransport, disable_nagle
 
-ACCEPTED_MOST = 64  # in one turn of the loop
-SHORTAGES_MOST = 8  # in one turn: a shortage may be over in a moment, and others wait behind this connection
-ACCEPT_AGAIN_S = 0.02  # after a lack of descriptors or memory, which readiness would report again at once
+MAX_ACCEPTS = 64  # in one turn of the loop
+MAX_SHORTAGES = 8  # in one turn: a shortage may be over in a moment, and others wait behind this connection
+ACCEPT_RETRY_S = 0.02  # after a lack of descriptors or memory, which readiness would report again at once
 # The lack of something that others may give back; any other error is that of one connection (accept(2)).
 SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
@@ -60,7 +60,7 @@
     def accept(self) -> bool:
         """Accept what the system has queued, up to a bound; return whether there may be more."""
         shortages = 0
-        for _ in range(ACCEPTED_MOST):
+        for _ in range(MAX_ACCEPTS):
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
@@ -68,7 +68,7 @@
             except OSError as error:
                 self._count(error)
                 shortages += error.errno in SHORTAGES
-                if shortages >= SHORTAGES_MOST:
+                if shortages >= MAX_SHORTAGES:
                     self._pause()
                     break
             else:
@@ -91,9 +91,9 @@
         self._is_short = True
         if self._is_listening and self._retry is None:
             self._loop.remove_reader(self._listener.fileno())
-            self._retry = self._loop.call_later(ACCEPT_AGAIN_S, self._start_again)
+            self._retry = self._loop.call_later(ACCEPT_RETRY_S, self._resume)
 
-    def _start_again(self) -> None:
+    def _resume(self) -> None:
         self._retry = None
         if self._is_listening:
             self._loop.add_reader(self._listener.fileno(), self.accept)
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from badgergap.proxy.diagnostics.close_reason import CloseReason
-from badgergap.proxy.downstream.acceptor import ACCEPT_AGAIN_S, Acceptor
+from badgergap.proxy.downstream.acceptor import ACCEPT_RETRY_S, Acceptor
 from badgergap.proxy.downstream.client_connection import ClientConnection
 from badgergap.proxy.downstream.connection_registry import ConnectionRegistry
 from badgergap.proxy.downstream.request_validation import RequestValidator
@@ -180,7 +180,7 @@
         for _ in range(LAST_ACCEPT_TURNS):
             if not acceptor.accept():
                 break
-            await asyncio.sleep(ACCEPT_AGAIN_S)
+            await asyncio.sleep(ACCEPT_RETRY_S)
         self.socket.close()
         self.socket = None
 
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -32,7 +32,7 @@
 REQUEST_S = 2.25
 # Of a body: bytes a second that a client has to send, and how long it may send none. Half the rate of the
 # slowest clients is enough.
-SLOWEST_UPLOAD = 32_000
+MIN_UPLOAD_RATE = 32_000
 UPLOAD_STALL_S = 2.0
 UPLOAD_START_S = 1.0  # for its first bytes, after a head that took long
 
@@ -211,7 +211,7 @@
         elif self.state is RECEIVING and incoming.rejection is None:
             now = self.loop.time()
             self.due_at = max(
-                self.due_at, min(self.due_at + len(body) / SLOWEST_UPLOAD, now + UPLOAD_STALL_S)
+                self.due_at, min(self.due_at + len(body) / MIN_UPLOAD_RATE, now + UPLOAD_STALL_S)
             )
             incoming.upload.put(body)
             self.account_memory()
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -352,7 +352,7 @@
                 if exchange is not None and exchange.has_pending_timeout:
                     self.upstream.on_timeout(exchange)
         if request.reply is not None:
-            self.request_log.out_of_time(request.trace)
+            self.request_log.deadline_passed(request.trace)
             self.settle(request, plain_text(504, "out of time"))
             self.feed(ClientDisconnected(request.id))
             self.forget_if_over(request)
@@ -417,7 +417,7 @@
         if request.reply is not None or request.attempts_in_flight:
             return
         if self.requests.pop(request.id, None) is not None:
-            self.request_log.over(request.trace)
+            self.request_log.finished(request.trace)
 
     # Attempts
 
--- a/tests/proxy/downstream/test_acceptor.py
+++ b/tests/proxy/downstream/test_acceptor.py
@@ -10,7 +10,7 @@
 import pytest
 
 from badgergap.proxy.diagnostics import EventLog
-from badgergap.proxy.downstream.acceptor import SHORTAGES_MOST, Acceptor
+from badgergap.proxy.downstream.acceptor import MAX_SHORTAGES, Acceptor
 
 
 class Listener:
@@ -32,11 +32,11 @@
 @pytest.mark.parametrize(
     ("turns", "closed"),
     [
-        ([[False] * SHORTAGES_MOST], 0),
-        ([[True, *[False] * SHORTAGES_MOST]] * 2, 0),
-        ([[False] * SHORTAGES_MOST] * 2, 1),
-        ([[False] * SHORTAGES_MOST, [True], [False] * SHORTAGES_MOST], 0),
-        ([[False] * SHORTAGES_MOST] * 4, 3),
+        ([[False] * MAX_SHORTAGES], 0),
+        ([[True, *[False] * MAX_SHORTAGES]] * 2, 0),
+        ([[False] * MAX_SHORTAGES] * 2, 1),
+        ([[False] * MAX_SHORTAGES, [True], [False] * MAX_SHORTAGES], 0),
+        ([[False] * MAX_SHORTAGES] * 4, 3),
     ],
 )
 def test_a_connection_is_closed_only_for_a_shortage_that_lasts(
--- a/tests/proxy/test_bodies.py
+++ b/tests/proxy/test_bodies.py
@@ -515,7 +515,7 @@
             break
         due_at = max(
             due_at,
-            min(due_at + 6400 / request_reader.SLOWEST_UPLOAD, loop.now + request_reader.UPLOAD_STALL_S),
+            min(due_at + 6400 / request_reader.MIN_UPLOAD_RATE, loop.now + request_reader.UPLOAD_STALL_S),
         )
     assert (after_s > due_at) is late
 
