--- a/badgergap/proxy/downstream/acceptor.py
+++ b/badgergap/proxy/downstream/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections on a listening socket, whatever `accept` fails with.
+"""Accepts connections on a listening socket and handles every error of `accept`.
 
-The loop's own listener is not used: where descriptors are short it accepts and closes connections, whose
-requests then have no answer. Here they wait in the system's queue until there is a descriptor again.
+The event loop's own listener is not used: when file descriptors run out it accepts and closes connections,
+whose requests then get no response. Here they stay in the kernel's accept queue until a descriptor is free.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from badgergap.proxy.diagnostics import EventKind, EventLog
 from badgergap.proxy.tcp_transport import TcpTransport, disable_nagle
 
-MAX_ACCEPTS = 64  # in one turn of the loop
-MAX_SHORTAGES = 8  # in one turn: a shortage may be over in a moment, and others wait behind this connection
-ACCEPT_RETRY_S = 0.02  # after a lack of descriptors or memory, which readiness would report again at once
-# The lack of something that others may give back; any other error is that of one connection (accept(2)).
+MAX_ACCEPTS = 64  # in one iteration of the event loop
+MAX_SHORTAGES = 8  # per iteration: a shortage may be brief, and other connections are queued behind this one
+ACCEPT_RETRY_S = 0.02  # after a shortage: the socket stays readable, so its reader would be called at once
+# Shortages of a resource that may be freed; any other error concerns a single connection (accept(2)).
 SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Acceptor:
-    """Accepts from one listening socket, which stays its owner's."""
+    """Accepts connections from one listening socket, which it does not own or close."""
 
     def __init__(
         self,
@@ -32,7 +32,10 @@
         events: EventLog,
         on_shortage: Callable[[], object],
     ) -> None:
-        """`on_shortage`: called when there is no descriptor for a connection, to free one."""
+        """Accept from `listener` after `start`.
+
+        `on_shortage` is called to free a file descriptor when none is left for a new connection.
+        """
         self._loop = loop
         self._listener = listener
         self._make_protocol = make_protocol
@@ -40,16 +43,16 @@
         self._on_shortage = on_shortage
         self._retry: asyncio.TimerHandle | None = None
         self._is_listening = False
-        self._is_short = False  # a pause has come, and nothing was accepted since
+        self._is_short = False  # accepting was paused, and no connection was accepted since
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start to accept connections."""
         disable_nagle(self._listener)
         self._is_listening = True
         self._loop.add_reader(self._listener.fileno(), self.accept)
 
     def stop(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting connections."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
@@ -58,7 +61,7 @@
             self._loop.remove_reader(self._listener.fileno())
 
     def accept(self) -> bool:
-        """Accept what the system has queued, up to a bound; return whether there may be more."""
+        """Accept up to MAX_ACCEPTS queued connections; return whether more may be queued."""
         shortages = 0
         for _ in range(MAX_ACCEPTS):
             try:
@@ -81,10 +84,10 @@
         self._events.warn(EventKind.CALL_FAILED, f"accept_{name}", "accept failed: %s", error.strerror)
 
     def _pause(self) -> None:
-        """Try again soon; have a descriptor freed if nothing was accepted since the pause before.
+        """Pause accepting for ACCEPT_RETRY_S; free a descriptor if nothing was accepted since the last pause.
 
-        Guards against a passing shortage that costs a client its connection: of those that could be closed,
-        many were accepted just now, and their requests are on the way.
+        A brief shortage must not cost a client its connection: many of the connections that could be closed
+        were accepted just now, and their requests are in transit.
         """
         if self._is_short:
             self._on_shortage()
--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -1,21 +1,21 @@
-"""A connection from a client: each request in its turn, one response to each, /health/ready.
+"""A connection from a client: dispatches its requests in order, responds to each, and serves /health/ready.
 
-`http_connection.py` holds its state and flow control, `request_reader.py` how it reads requests.
+`http_connection.py` holds the state and flow control, `request_reader.py` reads the requests.
 
-What ends a request, and who answers:
+How a request ends, and what sends the response:
 
-| what ends it | who answers | the connection |
+| cause | response | the connection |
 | --- | --- | --- |
-| the endpoint's response | `FinalResponseWriter` or `send_response` | goes on, unless it was the last |
-| the endpoint's response breaks off once it was begun | nobody: `abort_response` | reset |
-| the balancer rejects it, or its time is over | the proxy, by `send_response` | goes on |
-| it is malformed, or too long | `reject_and_close`, in its turn | closed behind the response |
-| its body goes wrong, and its response was begun | nobody: `reject_and_close` | reset |
-| too many are read ahead | `reject_pipeline`: one response to all | closed behind the response |
-| the client brings no more of it | `check_time`, by `reject_and_close` (408) | closed behind the response |
-| the client takes nothing of its response | nobody: `check_time` | reset |
-| the client has left | nobody: `abandon_all` | closed |
-| the gateway is a lame duck | `check_lame_duck`, or `dispatch` | closed behind the response |
+| the endpoint's response | `FinalResponseWriter` or `send_response` | stays open, unless it was the last |
+| the endpoint's response breaks off after it has begun | none: `abort_response` | reset |
+| the balancer rejects it, or its deadline passes | the proxy, by `send_response` | stays open |
+| it is malformed, or too long | `reject_and_close`, in order | closed after the response |
+| its body is invalid, and its response has begun | none: `reject_and_close` | reset |
+| too many requests are pipelined | `reject_pipeline`: one response to all | closed after the response |
+| the client stops sending it | `check_time`, by `reject_and_close` (408) | closed after the response |
+| the client does not read its response | none: `check_time` | reset |
+| the client has disconnected | none: `abandon_all` | closed |
+| the gateway is a lame duck | `check_lame_duck`, or `dispatch` | closed after the response |
 """
 
 from __future__ import annotations
@@ -49,55 +49,55 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 5.0  # a connection between requests is closed
-UNREAD_S = 10.0  # a client that takes nothing of its response for so long is reset
-ENDPOINT_QUIET_S = 10.0  # an endpoint that has begun its response and sends nothing for so long has failed
+IDLE_S = 5.0  # a connection that is idle for longer is closed
+UNREAD_S = 10.0  # the connection is reset if the client reads nothing of its response for so long
+ENDPOINT_QUIET_S = 10.0  # an endpoint that sends nothing for so long within its response has failed
 LAME_DUCK_LINGER_S = 0.3
-READ_LATE_S = 0.02  # for which a request stood unread, from which on its client may well have gone
+READ_LATE_S = 0.02  # a request that stayed unread for longer: its client may have disconnected meanwhile
 
 
 class ListenerContext(ReaderContext, Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The interface of the listener that accepted a connection, as the connection uses it."""
 
     proxy: Proxy
     validator: RequestValidator
     lame_duck: LameDuck
-    unsent_limit: int  # bytes written to a client and not taken, beyond which its endpoint is not read
+    unsent_limit: int  # bytes buffered for a client, beyond which its endpoint is not read
 
     @property
     def ends_connections(self) -> bool:
-        """Whether each response is its connection's last."""
+        """Whether each connection is closed after its next response."""
 
     def add(self, connection: ClientConnection) -> None:
-        """Count a connection that a client has opened."""
+        """Register a connection that a client has opened."""
 
     def discard(self, connection: ClientConnection) -> None:
-        """Stop counting a connection that has ended."""
+        """Remove a connection that has ended."""
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """It has no request in hand."""
+        """Handle a connection that has become idle."""
 
 
 class ClientConnection(RequestReader):
-    """One connection from a client of the platform: requests in, one response to each, in their order."""
+    """One connection from a client of the platform; requests get their responses in order."""
 
     server: ListenerContext
 
     def __init__(self, server: ListenerContext, adopted: bool = False) -> None:
-        """`adopted`: another process of this gateway has served it before."""
+        """`adopted`: another process of this gateway has handed the connection over."""
         super().__init__(server, requests_read=2 * adopted)
-        self.request: Request | None = None  # the current one, once the proxy has taken it
+        self.request: Request | None = None  # the current one, once the proxy has admitted it
 
     # Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected: register the connection and bound what may be unsent to it."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
+        """Register the new connection and bound its write buffer."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self.transport.set_write_buffer_limits(high=self.server.unsent_limit)
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: drop its requests and what is held for them."""
+        """Drop the requests of the lost connection and release their memory."""
         self.server.discard(self)
         self.write_paused = False
         self.count_close()
@@ -106,7 +106,7 @@
         self.account_memory()
 
     def count_close(self) -> None:
-        """Count why the connection ended; warn of a request that this side left without a response."""
+        """Count why the connection ended; warn if the gateway closed it with a request unanswered."""
         events = self.server.proxy.diagnostics.events
         events.count(EventKind.CONNECTION_CLOSED, self.close_reason)
         if self.has_open_requests and self.close_reason is not CloseReason.CLIENT:
@@ -120,7 +120,7 @@
             )
 
     def abandon_current(self) -> None:
-        """Drop the current request: its attempts are cancelled, and it gets no response."""
+        """Cancel the attempts of the current request, which gets no response."""
         current, request = self.current, self.request
         self.current = self.request = None
         if current is None:
@@ -132,31 +132,31 @@
         elif request is not None:
             self.server.proxy.client_left(request)
 
-    def reject_and_close(self, refusal: BadRequestError) -> None:
-        """Answer the newest request with `refusal` in its turn, then close.
+    def reject_and_close(self, error: BadRequestError) -> None:
+        """Respond to the newest request with `error`, in order, then close the connection.
 
-        For errors after which nobody knows where the next request begins.
+        Used for errors after which the start of the next request is unknown.
         """
         if self.is_closing:
             return
         self.state = AFTER_FRAMING_LOST[self.state]
         incoming = self.incoming
         if incoming is self.current and not incoming.upload.complete:
-            # Its head was valid and its body is not: the attempts that have begun are cancelled.
+            # Its head was valid but its body is not: the attempts that have begun are cancelled.
             if incoming.source is not None:
                 self.note_close(CloseReason.INVALID_REQUEST)
                 self.reset()
                 return
             self.abandon_current()
             self.current = incoming
-            incoming.keep_alive, incoming.rejection = False, refusal
-            self.send_response(incoming, refusal.answer)
+            incoming.keep_alive, incoming.rejection = False, error
+            self.send_response(incoming, error.answer)
         elif incoming.is_queued and not incoming.upload.complete:
-            incoming.keep_alive, incoming.rejection = False, refusal  # it waits for its turn
+            incoming.keep_alive, incoming.rejection = False, error  # sent once it is the current request
         else:
-            self.pipeline.append(IncomingRequest(keep_alive=False, rejection=refusal))
+            self.pipeline.append(IncomingRequest(keep_alive=False, rejection=error))
 
-    # Requests, one at a time
+    # Requests, processed one at a time
 
     def on_body_complete(self, incoming: IncomingRequest) -> None:
         """Notify the proxy that the body of the current request is complete."""
@@ -164,44 +164,47 @@
             self.server.proxy.on_body_complete(self.request, int(incoming.waited_s() * 1e6))
 
     def send_continue(self) -> None:
-        """Send 100 Continue in its turn: before that, the response to another would come behind it."""
+        """Send 100 Continue if the newest request expects it and no earlier request awaits its response.
+
+        Sent earlier, it would precede the response to another request.
+        """
         incoming = self.incoming
         if incoming.expects_continue and self.is_receiving and self.current is None and not self.pipeline:
             incoming.expects_continue = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def reject_pipeline(self) -> None:
-        """Answer all requests that were read ahead once, now, and execute none of them.
+        """Reject all pipelined requests with a single response, and execute none of them.
 
-        Guards against one connection whose requests would be answered one after another for many seconds.
+        Processed one after another, the requests of a single connection could take many seconds.
         """
         self.pipeline.clear()
         if self.current is not None and self.current.source is not None:
             self.stop_reading()
             self.note_close(CloseReason.INVALID_REQUEST)
-            self.reset()  # within a response there is no place for another
+            self.reset()  # another response cannot be sent within the one that has begun
             return
         self.abandon_current()
         self.reject_and_close(BadRequestError(400, "too many requests ahead of their turn"))
 
     def start_next(self) -> None:
-        """Start the next request unless one is being answered."""
+        """Start the next request unless one is in progress."""
         while self.current is None and self.pipeline:
             incoming = self.current = self.pipeline.popleft()
             try:
                 self.dispatch(incoming)
-            except BadRequestError as refusal:
-                # A client whose request is invalid may not have meant what follows as one.
-                incoming.rejection = refusal
+            except BadRequestError as error:
+                # After an invalid request, the bytes that follow may not be meant as a request.
+                incoming.rejection = error
                 incoming.keep_alive = False
                 self.pipeline.clear()
-                self.send_response(incoming, refusal.answer)
+                self.send_response(incoming, error.answer)
             except Exception:
                 log.exception("failed on a request")
                 self.send_response(incoming, plain_text(500, "internal error"))
 
     def dispatch(self, incoming: IncomingRequest) -> None:
-        """Answer a request here, or hand it to the proxy. Raises BadRequestError."""
+        """Respond to a request here, or pass it to the proxy. Raises BadRequestError."""
         if incoming.rejection is not None:
             raise incoming.rejection
         server, now = self.server, self.loop.time()
@@ -215,7 +218,7 @@
             raise BadRequestError(503, "too many connections", (b"retry-after", RETRY_AFTER))
         waited_s = incoming.waited_s()
         if waited_s > READ_LATE_S and self.client_has_left():
-            return  # nobody waits: after a hold-up these would keep those who still do waiting
+            return  # after a stall, such requests would delay those whose clients still wait
         if not server.lame_duck.accepts_requests(now):
             self.send_response(incoming, service_unavailable("this gateway sends its clients away"))
             return
@@ -238,7 +241,8 @@
     ) -> Exchange:
         """Start one attempt at an endpoint, or return one that is never sent.
 
-        `timeout_s`: what the endpoint is told it has. `listener`: is told how the attempt ends.
+        `timeout_s` is the timeout that the request states to the endpoint. `listener` is notified of the
+        outcome.
         """
         upload = incoming.upload
         if is_upload_in_use(incoming.exchange, upload):
@@ -252,21 +256,24 @@
     # Responses
 
     def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
-        """Write a complete response."""
+        """Write a complete response to the current request."""
         if incoming is not self.current or not isinstance(incoming, IncomingRequest):
-            return  # its client has left, or it has its response
+            return  # its client has disconnected, or the response was sent already
         incoming.is_last = self.is_last(incoming)
         self.write(complete_response(answer, incoming.is_last, incoming.method == b"HEAD", incoming.version))
         self.response_finished(incoming)
 
     def is_last(self, incoming: IncomingRequest) -> bool:
-        """Whether the connection ends with this response. Never with a request read and not answered."""
+        """Return whether the connection ends with this response.
+
+        An overload or a drain of the gateway does not end it while pipelined requests await a response.
+        """
         if not incoming.keep_alive or not incoming.upload.complete:
             return True
         return (self.over_limit or self.server.ends_connections) and not self.pipeline
 
     def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
-        """The head of a response that is streamed."""
+        """Return the bytes of the head of a streamed response."""
         assert isinstance(incoming, IncomingRequest)
         incoming.is_last = self.is_last(incoming)
         lines = response_head(head.status, head.headers, incoming.is_last, incoming.version)
@@ -277,7 +284,7 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def response_finished(self, incoming: RespondedRequest) -> None:
-        """Go on once the response is written: close, start the next request, or become idle."""
+        """Continue after a response: close the connection, start the next request, or become idle."""
         assert isinstance(incoming, IncomingRequest)
         self.release(incoming)
         self.current = self.request = incoming.source = None
@@ -300,7 +307,7 @@
             self.check_flow()
 
     def abort_response(self, incoming: RespondedRequest) -> None:
-        """Reset under a response that has broken off: the client must not take it for complete."""
+        """Reset the connection under a response that broke off, so that it does not look complete."""
         assert isinstance(incoming, IncomingRequest)
         self.release(incoming)
         self.current = self.request = None
@@ -308,7 +315,7 @@
         self.reset()
 
     def release(self, incoming: IncomingRequest) -> None:
-        """Release the id and the memory of a request that is over."""
+        """Release the id and the memory of a request that has ended."""
         self.server.validator.release_id(incoming.request_id)
         if incoming.upload.size:
             incoming.upload.discard()
@@ -316,13 +323,16 @@
             self.account_memory()
 
     def on_client_left(self) -> None:
-        """Handle the client's end, which was found in its socket."""
+        """Handle the client's close, which was found in its socket before it was read."""
         if self.has_open_requests:
             self.server.proxy.diagnostics.events.count(EventKind.CLIENT_LEFT, "found_unread")
         super().on_client_left()
 
     def may_migrate(self) -> bool:
-        """Whether another process can take it: no part of a request, and no unsent response, is held here."""
+        """Return whether another process can take the connection over.
+
+        It can if no part of a request and no unsent part of a response is held here.
+        """
         transport = self.transport
         if (
             transport is None
@@ -335,17 +345,20 @@
         return not transport.get_write_buffer_size()
 
     def on_migrated(self) -> None:
-        """Close this process's descriptor: another process has its own, so the client does not notice."""
+        """Close this process's descriptor; the connection stays open through that of the other process."""
         self.note_close(CloseReason.MIGRATED)
         self.evict()
 
     def evict(self) -> None:
-        """Close now: its descriptor is needed for another connection."""
+        """Close at once, to free the descriptor or memory for another connection."""
         self.note_close(CloseReason.EVICTED)
         self.abort()
 
     def eviction_priority(self, now: float, for_memory: bool = False) -> eviction.EvictionPriority:
-        """How soon it is evicted. Guards against floods: a client that has shown least goes first."""
+        """Return how soon the connection is evicted.
+
+        Under a flood of connections, those of clients that have sent least are evicted first.
+        """
         return eviction.eviction_priority(
             now,
             closing=self.is_closing,
@@ -359,7 +372,7 @@
         )
 
     def check_lame_duck(self, now: float) -> None:
-        """Close, or reject what has come in part, as the lame duck's rules say."""
+        """Apply the rules of a lame duck: close the connection, or reject an incomplete request."""
         if self.is_closing:
             return
         match self.server.lame_duck.action(
@@ -385,7 +398,7 @@
         self.update_write_progress(now)
         if self.unsent_bytes and now - self.progress_at > UNREAD_S:
             self.note_close(CloseReason.RESPONSE_UNREAD)
-            self.reset()  # what it does not take cannot be kept in memory for ever
+            self.reset()  # an unread response must not occupy memory without limit
         elif self.is_closing:
             return
         elif self.is_receiving and not self.incoming.head_complete:
--- a/badgergap/proxy/downstream/connection_registry.py
+++ b/badgergap/proxy/downstream/connection_registry.py
@@ -1,4 +1,4 @@
-"""The connections that clients may have: how many, which are idle, and which is evicted for another."""
+"""Tracks the connections from clients: their limits, the idle ones, and which one is evicted first."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from badgergap.proxy.limits.memory import MAX_BUFFER, MIN_BUFFER
 from badgergap.proxy.proxy import Proxy
 
-IDLE_SHARE = 1 / 3  # of the connections that clients may have, those that may be between requests
-EVICTION_CANDIDATES = 8  # tried for one eviction, as something unread may stand in a socket
-# Of the reserve: connections over the limit whose requests get 503; so many again get it unasked.
+IDLE_SHARE = 1 / 3  # of the connection capacity, the share that may be idle
+EVICTION_CANDIDATES = 8  # checked for one eviction: a socket with unread data is not closed
+# Of the reserve: connections over the limit whose requests get 503. Beyond them, as many again get a 503 at
+# once, before they send a request.
 REJECTED_SHARE = 1 / 4
 REJECTED_LINGER_S = 0.3
 
 
 class ConnectionRegistry:
-    """All connections from clients, within the limits on descriptors and memory."""
+    """All connections from clients, kept within the limits on file descriptors and memory."""
 
     def __init__(self, config: Config, proxy: Proxy, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
@@ -33,20 +34,20 @@
         self.budget = proxy.upstream.budget
         self.connection_capacity = eviction.limit(config.sockets, 0)
         self.rejected_capacity = int(eviction.reserve(config.sockets) * REJECTED_SHARE)
-        # Bytes written to a client and not taken, beyond which its endpoint is not read.
+        # Bytes buffered for a client beyond which its endpoint is not read.
         self.unsent_limit = min(
             MAX_BUFFER, max(MIN_BUFFER, self.budget.total // (4 * self.connection_capacity))
         )
         self.connections: set[ClientConnection] = set()
-        self.connections_elsewhere = 0  # of the limit, those that another process of this gateway holds
-        # Between requests; the one used last comes last.
+        self.connections_elsewhere = 0  # held by another process of this gateway, within the same limit
+        # Connections between requests, least recently used first.
         self.idle_connections: dict[HttpConnection[IncomingRequest], None] = {}
         self.idle_capacity = int(eviction.per_side(config.sockets) * IDLE_SHARE)
         proxy.upstream.on_open = self.enforce_limits
 
     @property
     def limit(self) -> int:
-        """How many connections clients may have here."""
+        """The number of connections that clients may have to this process."""
         others = len(self.proxy.upstream.connections) + self.proxy.upstream.connections_elsewhere
         return max(
             self.connection_capacity // 4,
@@ -54,19 +55,20 @@
         )
 
     def add(self, connection: ClientConnection) -> None:
-        """Take a new connection.
+        """Add a new connection.
 
-        Guards against running out of descriptors: another is evicted for it, else its requests get 503.
+        At the limit another connection is evicted for it, so that descriptors do not run out; if none can be
+        evicted, the requests of the new one get 503.
         """
         if len(self.connections) >= self.limit and not self.evict_one():
             connection.over_limit = True
         self.connections.add(connection)
-        beyond = len(self.connections) - self.limit
-        if beyond > self.rejected_capacity:
+        excess = len(self.connections) - self.limit
+        if excess > self.rejected_capacity:
             connection.note_close(CloseReason.OVER_LIMIT)
             connection.write(complete_response(service_unavailable("too many connections"), True, False))
-            if beyond > 2 * self.rejected_capacity:
-                connection.close()  # with its input unread: the reset may overtake the response
+            if excess > 2 * self.rejected_capacity:
+                connection.close()  # its input is unread, so this resets it, which may discard the response
             else:
                 connection.stop_reading()
                 connection.linger(REJECTED_LINGER_S)
@@ -74,13 +76,13 @@
     def evict_one(
         self, up_to: eviction.EvictionPriority = eviction.EvictionPriority.RECEIVING, for_memory: bool = False
     ) -> bool:
-        """Close the connection with the lowest priority, if one has no higher than `up_to`."""
+        """Close the connection with the lowest eviction priority, at most `up_to`; return whether one was."""
         now = self.loop.time()
-        shown = (
+        candidates = (
             (c.eviction_priority(now, for_memory), c.progress_at, n, c)
             for n, c in enumerate(self.connections)
         )
-        for priority, _, _, connection in heapq.nsmallest(EVICTION_CANDIDATES, shown):
+        for priority, _, _, connection in heapq.nsmallest(EVICTION_CANDIDATES, candidates):
             if priority > up_to:
                 break
             if connection.may_close:
@@ -90,7 +92,7 @@
         return False
 
     def enforce_limits(self) -> None:
-        """Evict connections once endpoints need their descriptors, or bodies and heads exceed the memory."""
+        """Evict connections when endpoints need their descriptors, or bodies and heads exceed the budget."""
         excess = len(self.connections) - self.limit
         while excess > 0 and self.evict_one(eviction.EvictionPriority.NEW):
             excess -= 1
@@ -98,15 +100,16 @@
             self.evict_one(eviction.EvictionPriority.STALLED, for_memory=True)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended or is about to."""
+        """Remove a connection that has ended or is about to end."""
         self.connections.discard(connection)
         self.idle_connections.pop(connection, None)
 
     def keep_idle(self, connection: ClientConnection) -> None:
-        """Keep an idle connection; if too many are, close the one that has been idle for longest.
+        """Keep an idle connection; above the idle capacity, close the one that has been idle longest.
 
-        Guards against clients that ask once and stay: others, which a load balancer in front holds to a
-        number, would wait for a connection while this side is below its limit and evicts none.
+        Clients that send one request and stay connected must not block others: a load balancer in front may
+        bound the number of connections, so that new clients would wait for one while this gateway is below
+        its own limit and evicts none.
         """
         self.idle_connections[connection] = None
         if len(self.idle_connections) > self.idle_capacity:
--- a/badgergap/proxy/downstream/forwarding.py
+++ b/badgergap/proxy/downstream/forwarding.py
@@ -1,4 +1,4 @@
-"""What the connection to an endpoint needs to forward one request of the platform's clients."""
+"""Describes an exchange with an endpoint that forwards one request of the platform's clients."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class EndpointHead:
-    """A head of the platform's, whose lines are prepared but for the deadline."""
+    """A request head in the platform's protocol: prepared lines, and a timeout computed when it is sent."""
 
     __slots__ = ("deadline_at", "prepared_lines")
 
     def __init__(self, prepared_lines: bytes, deadline_at: float) -> None:
-        """`deadline_at`: time.monotonic() until which the endpoint's answer is waited for."""
+        """`deadline_at`: the time.monotonic() until which the gateway waits for the endpoint's response."""
         self.prepared_lines = prepared_lines
         self.deadline_at = deadline_at
 
     def lines(self) -> bytes:
-        """Return the lines as they are sent now: the time for a connection is off the deadline."""
+        """Return the lines to send now; time spent on connecting has reduced the timeout in them."""
         left_ms = max(1, int((self.deadline_at - time.monotonic()) * 1000))
         return b"%bRequest-Timeout-Ms: %d\r\n" % (self.prepared_lines, left_ms)
 
 
 class FinalResponseWriter(ResponseWriter):
-    """Forwards the final response alone: the platform's protocol has no interim ones."""
+    """Forwards only the final response: the platform's protocol has no interim responses."""
 
     __slots__ = ()
 
     def interim(self, status: int, headers: Headers) -> None:
-        """Interim responses end at the gateway."""
+        """Drop an interim response."""
 
 
 def exchange_spec(writer: ResponseConnection, incoming: IncomingRequest, timeout_s: float) -> ExchangeSpec:
-    """Describe one attempt; its response goes to `writer`, within `timeout_s` seconds from now."""
+    """Return the exchange of one attempt, whose response goes to `writer` within `timeout_s` seconds."""
     upload = incoming.upload
     length = upload.size if upload.complete else incoming.length
     lines = incoming.forwarded_head
@@ -60,5 +60,5 @@
 
 
 def is_failure(status: int) -> bool:
-    """Whether a status is a failure: the platform's endpoints serve with 200 and nothing else."""
+    """Return whether a status is a failure: the platform's endpoints report success only with 200."""
     return status != 200
--- a/badgergap/proxy/downstream/http_connection.py
+++ b/badgergap/proxy/downstream/http_connection.py
@@ -1,6 +1,6 @@
-"""What all HTTP/1.1 connections from clients share: their state, flow control, and how they end.
+"""The base of all HTTP/1.1 connections from clients: state, flow control, and closing.
 
-A subclass brings the rest of the parser's callbacks, what happens to a request, and its time limits.
+A subclass adds the remaining parser callbacks, the processing of requests, and the time limits.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from badgergap.proxy.diagnostics.close_reason import CloseReason
 from badgergap.proxy.downstream.response_writer import RespondedRequest
 
-LINGER_S = 1.0  # what a client still sends behind the last response is dropped for so long
+LINGER_S = 1.0  # after the last response, for how long input of the client is read and dropped
 
 
 class ConnectionState(IntEnum):
-    """Whether a connection reads requests, and whether one has come in part.
+    """Whether a connection reads requests, and whether one is partly received.
 
-    From DISCARDING on nothing that still comes is read as a request; `TRANSITIONS` holds all changes.
+    In DISCARDING and CLOSED no further input is taken as a request. `TRANSITIONS` holds all changes.
     """
 
     IDLE = 0  # between requests
     RECEIVING = 1  # between a request's first byte and its last
-    DISCARDING = 2  # the connection ends, and a request has come in part
-    CLOSED = 3  # the connection ends, between requests
+    DISCARDING = 2  # the connection is ending, and a request is partly received
+    CLOSED = 3  # the connection is ending, between requests
 
 
 class ConnectionEvent(IntEnum):
-    """What changes a connection's state."""
+    """An event that changes a connection's state."""
 
     REQUEST_BEGINS = 0
     REQUEST_ENDS = 1
-    LAST_READ = 2  # nothing more is read: the last request, the client's end, or a close from here
-    FRAMING_LOST = 3  # where the next request begins is unknown
+    LAST_READ = 2  # nothing more is read: after the last request, or a close by either side
+    FRAMING_LOST = 3  # the start of the next request is unknown
 
 
-# Module constants: the parser's callbacks compare with them several times a request.
+# Module constants, as the parser's callbacks compare with them several times per request.
 IDLE, RECEIVING, DISCARDING, CLOSED = ConnectionState
 
-# For each event, the state after it by the state before it. The parser goes on to the end of a read, so that
-# requests also begin and end once the connection is closed.
+# For each event, the state after it by the state before it. The parser processes all data of a read, so
+# requests may also begin and end after the connection has closed.
 TRANSITIONS: dict[ConnectionEvent, dict[ConnectionState, ConnectionState]] = {
     ConnectionEvent.REQUEST_BEGINS: {
         IDLE: RECEIVING,
@@ -81,7 +81,7 @@
 
 
 class ParsedRequest(RespondedRequest, Protocol):
-    """A request, as far as it is read."""
+    """The attributes of a request that are filled while it is read."""
 
     target: bytes
     upload: Upload
@@ -91,41 +91,41 @@
 
 
 class HttpConnection(asyncio.BaseProtocol, Generic[RequestT]):
-    """One HTTP/1.1 connection from a client; requests are answered in the order in which they came."""
+    """One HTTP/1.1 connection from a client; responses are sent in the order of the requests."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, incoming: RequestT) -> None:
-        """`incoming`: stands for the request that is read next until its first byte has come."""
+        """`incoming`: a placeholder until the first byte of a request arrives."""
         self.loop = loop
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.state: ConnectionState = IDLE
-        self.incoming = incoming  # the newest
-        self.pipeline: deque[RequestT] = deque()  # read, and not yet in their turn
-        self.current: RequestT | None = None  # the one that is answered
-        self.over_limit = False  # one connection too many: every request is answered 503
+        self.incoming = incoming  # the newest request
+        self.pipeline: deque[RequestT] = deque()  # read and waiting for the responses before them
+        self.current: RequestT | None = None  # the request whose response is awaited or being sent
+        self.over_limit = False  # beyond the limit on connections: every request gets 503
         self.read_paused = False
-        self.write_paused = False  # the client takes no more for now
-        self.upload_paused = False  # nobody takes more of the body that is being read
-        self.unsent_bytes = 0  # that the client had not taken at the last check
-        self.phase_began_at = loop.time()  # its accept, last response, or the first byte of what is read
-        self.progress_at = self.phase_began_at  # when the client last sent or took something
-        self.close_reason = CloseReason.CLIENT  # the first that this side had for ending it
+        self.write_paused = False  # the write buffer is full
+        self.upload_paused = False  # the consumer of the body that is being read has paused
+        self.unsent_bytes = 0  # in the write buffer at the last check
+        self.phase_began_at = loop.time()  # its accept, last response, or first byte of the newest request
+        self.progress_at = self.phase_began_at  # when the client last sent or received data
+        self.close_reason = CloseReason.CLIENT  # this side's first reason for closing, if any
 
     # State
 
     @property
     def is_closing(self) -> bool:
-        """Whether nothing more is read from the client."""
+        """Whether no further requests are read from the client."""
         return self.state >= DISCARDING
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a request has come in part."""
+        """Whether a request is partly received."""
         return self.state is RECEIVING or self.state is DISCARDING
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a request that has been read waits for its response."""
+        """Whether a request that was read awaits its response."""
         return self.current is not None or bool(self.pipeline)
 
     @property
@@ -140,22 +140,22 @@
     # Parser
 
     def begin(self) -> None:
-        """Handle the first byte of a request, also one that the parser skips."""
+        """Handle the first byte of a request, even one that the parser skips."""
         raise NotImplementedError
 
     def on_message_begin(self) -> None:
-        """The parser has met a request: begin it, unless its first byte has begun it already."""
-        if self.state is IDLE or self.state is CLOSED:  # a further one in the same data
+        """Begin a request that the parser has found, unless its first byte has begun it already."""
+        if self.state is IDLE or self.state is CLOSED:  # a further request in the same data
             self.begin()
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the request's target, which may come in several."""
+        """Add a part of the request target, which the parser may report in several parts."""
         self.incoming.target += url
 
     # Flow control
 
     def must_pause_reading(self) -> bool:
-        """Whether nothing more can be taken from the client for now."""
+        """Return whether reading from the client has to pause."""
         raise NotImplementedError
 
     def check_flow(self) -> None:
@@ -167,12 +167,12 @@
         (self.transport.pause_reading if pause else self.transport.resume_reading)()
 
     def pause_writing(self) -> None:
-        """The client takes no more for now: pause what its response comes from."""
+        """Pause the source of the response: the write buffer is full."""
         self.write_paused = True
         self._on_write_flow()
 
     def resume_writing(self) -> None:
-        """The client takes data again: resume what its response comes from."""
+        """Resume the source of the response: the write buffer has drained."""
         self.write_paused = False
         self._on_write_flow()
 
@@ -186,11 +186,11 @@
 
     @property
     def response_source(self) -> DownloadSource | None:
-        """Where the response that is being passed on comes from."""
+        """The source of the response that is being forwarded, or None."""
         return self.current.source if self.current is not None else None
 
     def account_memory(self) -> None:
-        """Report the bytes that are held here, where there is a budget for them."""
+        """Report the bytes held by this connection; a subclass with a memory budget overrides this."""
 
     def write(self, data: bytes) -> None:
         """Write to the client; does nothing once the connection is closing."""
@@ -198,28 +198,28 @@
             self.transport.write(data)
 
     def update_write_progress(self, now: float) -> None:
-        """Note at `now` (loop time, seconds) whether the client has taken more of what was written."""
+        """Update `progress_at` at `now` (loop time, seconds) if the write buffer has shrunk."""
         unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
         if unsent < self.unsent_bytes:
             self.progress_at = now
         self.unsent_bytes = unsent
 
-    # The client's end
+    # Close by the client
 
     def eof_received(self) -> bool:
-        """The client has closed: the transport does so too.
+        """Drop all requests when the client closes; the transport closes too.
 
-        Guards against a response on its way to it: until that is sent the transport does not call
-        `connection_lost`, and the requests behind it were forwarded to endpoints all the same.
+        Done here and not in `connection_lost`: the transport calls that only after the buffered response is
+        sent, and until then the pipelined requests would be forwarded to endpoints.
         """
         self.abandon_all()
         return False
 
     def client_has_left(self) -> bool:
-        """Whether the client has closed, as its socket tells before it is read. Its requests end soon then.
+        """Return whether the client has closed, checking its socket; if so, schedule the end of its requests.
 
-        Guards against a request that is forwarded while the close behind it stands unread: the loop was held
-        up, or does not read this client for now.
+        Prevents forwarding a request while the close after it is still unread, because the event loop has
+        stalled or reading is paused.
         """
         if not unread_input.peer_has_closed(self.transport):
             return False
@@ -227,12 +227,12 @@
         return True
 
     def on_client_left(self) -> None:
-        """Handle the client's end, which has not been read."""
+        """Handle the client's close before it has been read."""
         self.abandon_all()
         self.abort()
 
     def abandon_all(self) -> None:
-        """Drop all that the client has requested, and read nothing more."""
+        """Drop all requests of the client and read nothing more."""
         self.stop_reading()
         self.pipeline.clear()
         self.abandon_current()
@@ -242,36 +242,36 @@
         raise NotImplementedError
 
     def serves(self, incoming: RespondedRequest) -> bool:
-        """Whether this is the current request, whose response is not complete."""
+        """Return whether this is the current request, whose response is incomplete."""
         return self.current is incoming
 
-    # The end from here
+    # Close by the gateway
 
     @property
     def may_close(self) -> bool:
-        """Whether a close crosses nothing that the client has sent, as far as it has come.
+        """Whether no unread data of the client is in the socket, so that a close causes no reset.
 
-        Also where all of that is dropped: the reset would take the last response with it.
+        This matters even if the data would be dropped: the reset could discard the last response.
         """
         transport = self.transport
         return transport is None or transport.is_closing() or unread_input.is_quiet(transport)
 
     @property
     def closes_cleanly(self) -> bool:
-        """Whether a close resets nothing. The end of TLS reads on by itself until the client has ended."""
+        """Whether a close causes no reset. A TLS transport keeps reading until the client has closed."""
         transport = self.transport
         return transport is None or not transport.can_write_eof() or unread_input.is_quiet(transport)
 
     def note_close(self, reason: CloseReason) -> None:
-        """Keep the first reason that this side has for ending the connection."""
+        """Record why this side closes the connection, unless a reason was recorded before."""
         if self.close_reason is CloseReason.CLIENT:
             self.close_reason = reason
 
     def linger(self, for_s: float | None = None) -> None:
-        """Close for sending, and drop for `for_s` seconds (LINGER_S) what the client is still sending.
+        """Close the write side, and drop the client's input for `for_s` seconds (default LINGER_S).
 
-        Guards against the reset that closing on unread bytes sends: it can overtake the response, and takes
-        with it what the system still holds of one.
+        Closing a socket with unread input sends a reset, which can overtake the response and discards the
+        part of it that is still in the kernel's buffer.
         """
         transport = self.transport
         if transport is not None and not transport.is_closing():
@@ -282,19 +282,19 @@
             self.check_flow()
 
     def close(self) -> None:
-        """Close once what was written is sent; `check_time` cuts a client that takes nothing of it."""
+        """Close once the write buffer is sent; `check_time` resets a client that does not read it."""
         self.stop_reading()
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once, dropping what is unsent."""
+        """Close at once and discard the write buffer."""
         self.stop_reading()
         if self.transport is not None:
             self.transport.abort()
 
     def reset(self) -> None:
-        """End with a reset: where a body ends with its connection, a close would make it look complete."""
+        """Close with a reset: a plain close would mark the end of a body that ends with its connection."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/badgergap/proxy/downstream/incoming_request.py
+++ b/badgergap/proxy/downstream/incoming_request.py
@@ -1,4 +1,4 @@
-"""One request of a client on HTTP/1.1 while it is read, and its response while it is written."""
+"""The state of one HTTP/1.1 request from a client, from its first byte to the end of its response."""
 
 from __future__ import annotations
 
@@ -11,38 +11,41 @@
 
 VERSIONS = ("1.0", "1.1")
 
-# The body of all requests that have none: complete from the start, and with nothing to hold.
+# Shared by all requests without a body: it is complete and buffers nothing.
 NO_BODY = Upload(lambda on: None, complete=True)
 
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest(RequestHead):
-    """A request while it is read, and its response while it is written."""
+    """A request while it is read, and the framing of its response while that is written."""
 
-    received_at: float = 0.0  # time.monotonic() when its last byte came
+    received_at: float = 0.0  # time.monotonic() when its last byte arrived
     upload: Upload = NO_BODY
-    size: int = 0  # bytes of its header fields, then of its body
-    raw_bytes: int = 0  # read for it, with its framing
+    size: int = 0  # bytes of its header fields; once the head is complete, of its body
+    raw_bytes: int = 0  # bytes read for it, including the framing
     length: int | None = 0  # of the body; None: chunked
     version: str = "1.1"
     head_complete: bool = False
-    is_queued: bool = False  # it waits for its turn, or it has had it
+    is_queued: bool = False  # it was added to the pipeline, and may have left it
     expects_continue: bool = False  # its client waits for 100 Continue
     keep_alive: bool = True
-    rejection: BadRequestError | None = None  # its response, whatever the rest of it
-    request_id: bytes = b""  # once it is reserved
-    forwarded_head: bytes = b""  # its head as it is forwarded, but for the deadline and the length
+    rejection: BadRequestError | None = None  # its response, whatever the rest of the request is
+    request_id: bytes = b""  # empty until it is reserved
+    forwarded_head: bytes = b""  # the head to forward, without the timeout and the body's length
     exchange: StreamAttempt | None = None  # the newest attempt
-    source: DownloadSource | None = None  # of the response that is streamed
+    source: DownloadSource | None = None  # of the response that is being streamed
     chunked: bool = False  # how the response is framed
     is_last: bool = False  # the connection ends with its response
 
     def waited_s(self) -> float:
-        """Seconds since its last byte came; 0 while more is to come."""
+        """Return the seconds since its last byte arrived; 0 while it is incomplete."""
         return time.monotonic() - self.received_at if self.upload.complete else 0.0
 
     def check_head(self, version: str) -> None:
-        """Check the head before any of the body has come. Raises BadRequestError."""
+        """Validate the head before the body is read, and set `version` and `length`.
+
+        Raises BadRequestError.
+        """
         if version not in VERSIONS:
             raise BadRequestError(505, "neither HTTP/1.0 nor HTTP/1.1")
         self.version = version
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listener for the platform's clients: which connections it accepts, evicts, hands over and closes."""
+"""The listener for the platform's clients: accepts, migrates and closes connections."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 BACKLOG = 1024
 CLEANUP_INTERVAL_S = 0.25
-# New connections go on coming for 0.4 s after a planned restart has begun.
+# After a planned restart has begun, clients keep opening connections for 0.4 s.
 LAST_ACCEPT_S = 0.5
 LAST_REQUEST_S = 0.6
-LAST_ACCEPT_TURNS = 20  # for the queue of the listener to be taken, also while descriptors are short
-UNREAD_DRAIN_S = 3.0  # for a client to read the response that it was sent
+MAX_FINAL_ACCEPTS = 20  # rounds of accepting the queued connections; several are needed in a shortage
+UNREAD_DRAIN_S = 3.0  # for a client to read its last response
 FINISH_POLL_S = 0.01
-MIGRATION_S = 0.5  # for a response to be sent, so that its connection can be handed to the next process
+MIGRATION_S = 0.5  # for a response to be sent, so that its connection can migrate to the next process
 
 
 class Downstream(ConnectionRegistry):
@@ -37,9 +37,9 @@
         self.longest_deadline_s = max(each.client_timeout_us for each in config.settings.classes) / 1e6
         self.partial_request_s = eviction.partial_request_s(self.longest_deadline_s)
         self.draining = False
-        self.socket: socket.socket | None = None  # that listens; another process may listen on it too
+        self.socket: socket.socket | None = None  # the listening socket; another process may listen on it too
         self.acceptor: Acceptor | None = None
-        self.migrate: Callable[[ClientConnection], bool] | None = None  # to the process that takes over
+        self.migrate: Callable[[ClientConnection], bool] | None = None  # to the next process
         self.lame_duck = LameDuck()
         self.lame_duck_observers: list[Callable[[bool], None]] = []
         self.lame_duck_timer: asyncio.TimerHandle | None = None  # runs while the gateway is a lame duck
@@ -47,9 +47,9 @@
     # Listening
 
     async def start(self, listener: socket.socket | None = None) -> Address:
-        """Listen for clients; returns where, as port 0 leaves the choice to the system.
+        """Listen for clients and return the bound address, whose port the system chooses if 0 was configured.
 
-        `listener`: the socket of the process before this one, which goes on. Raises OSError.
+        `listener`: the listening socket of the previous process, used instead of a new one. Raises OSError.
         """
         if self.config.listen is None:
             raise ValueError("nothing to listen on")
@@ -60,7 +60,7 @@
         return bound
 
     def accept(self) -> None:
-        """Accept clients from now on."""
+        """Start to accept connections from clients."""
         assert self.socket is not None
         self.socket.listen(BACKLOG)
         self.acceptor = Acceptor(
@@ -75,9 +75,9 @@
     # Another process of this gateway
 
     def hand_over(self, migrate: Callable[[ClientConnection], bool]) -> None:
-        """Accept nothing any more, and hand idle connections to the process that takes over.
+        """Stop accepting, and hand idle connections to the process that takes over.
 
-        `migrate` sends it a connection's descriptor; returns whether that was possible.
+        `migrate` sends a connection's descriptor to that process, and returns whether that succeeded.
         """
         self.migrate = migrate
         self.stop_listening()
@@ -85,12 +85,12 @@
             self.try_to_migrate(connection)
 
     def resume_accepting(self) -> None:
-        """Accept clients again: the process that was to take over has ended."""
+        """Accept connections again, after the process that was to take over has ended."""
         self.migrate = None
         self.accept()
 
     def try_to_migrate(self, connection: ClientConnection) -> bool:
-        """Hand a connection over, if there is another process and the connection is idle."""
+        """Hand an idle connection to the process that takes over, if there is one; return whether it was."""
         if self.migrate is None or not connection.may_migrate() or not self.migrate(connection):
             return False
         self.discard(connection)
@@ -98,27 +98,30 @@
         return True
 
     def reconfigure(self, config: Config) -> None:
-        """Validate the requests to come by the classes of `config`."""
+        """Validate further requests against the request classes of `config`."""
         open_ids, self.validator = self.validator.open_ids, RequestValidator(config)
         self.validator.open_ids = open_ids
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Hand a connection without open requests over, if there is another process, or keep it idle."""
+        """Keep an idle connection, and hand it to the process that takes over, if there is one."""
         if self.migrate is not None:
-            self.loop.call_soon(self.try_to_migrate, connection)  # once its response is on the way
+            self.loop.call_soon(self.try_to_migrate, connection)  # once its response is written
         self.keep_idle(connection)
 
     # Lame duck
 
     @property
     def ends_connections(self) -> bool:
-        """Whether each response is its connection's last. Not where another process takes them over."""
+        """Whether each connection is closed after its next response.
+
+        During a shutdown it is not if another process takes the connections over.
+        """
         return (self.draining and self.migrate is None) or bool(self.lame_duck)
 
     def enter_lame_duck(self, since_s: float = 0.0) -> bool:
-        """Drain the gateway, which keeps running. Returns whether it did not drain yet.
+        """Drain the gateway, which keeps running. Return False if it was draining already.
 
-        `since_s`: seconds since the drain began, in the process before this one.
+        `since_s`: seconds since the drain began, if it began in the previous process.
         """
         new = self.lame_duck.begin(self.loop.time() - since_s)
         if self.lame_duck_timer is None:
@@ -128,14 +131,14 @@
         return new
 
     def leave_lame_duck(self) -> bool:
-        """End such a drain. Returns whether there was one."""
+        """End the drain. Return whether there was one."""
         was = self.lame_duck.end()
         for observe in self.lame_duck_observers if was else ():
             observe(False)
         return was
 
     def check_lame_duck(self) -> None:
-        """Apply the rules of a lame duck to all connections, again and again while it lasts."""
+        """Apply the rules of a lame duck to all connections, periodically until the drain ends."""
         self.lame_duck_timer = (
             self.loop.call_later(POLL_INTERVAL_S, self.check_lame_duck) if self.lame_duck else None
         )
@@ -143,10 +146,10 @@
         for connection in list(self.connections):
             connection.check_lame_duck(now)
 
-    # Time limits
+    # Timeouts
 
     def cleanup(self) -> None:
-        """Enforce limits and time limits on all connections, periodically."""
+        """Enforce the limits and timeouts of all connections, periodically."""
         now = self.loop.time()
         self.enforce_limits()
         for connection in list(self.connections):
@@ -157,7 +160,7 @@
     # Graceful shutdown
 
     async def drain(self) -> None:
-        """Shut down gracefully: accept what still comes, answer everything, then close."""
+        """Shut down gracefully: accept connections for a while, respond to all requests, then close."""
         self.draining = True
         self.proxy.end_within(eviction.kill_after_s(self.longest_deadline_s) - eviction.LAST_ANSWER_S)
         if self.migrate is None:
@@ -167,17 +170,17 @@
         await self.finish_requests()
 
     async def accept_queued(self) -> None:
-        """Listen no more, and accept what the system has queued for this process already.
+        """Stop listening, after accepting the connections that are queued for this process.
 
-        Guards against connections that stand in the queue of the listener, with their requests, while the
-        loop is busy: at its close they would be reset. It is closed here, not only the loop's copy: else new
-        ones would go on queueing for a process that takes none.
+        Connections may wait in the accept queue, with their requests, while the event loop is busy; closing
+        the listening socket would reset them. The socket itself is closed, not only its reader removed:
+        otherwise new connections would be queued for a process that does not accept them.
         """
         acceptor = self.acceptor
         self.stop_listening()
         if self.socket is None or acceptor is None or self.migrate is not None:
-            return  # another process listens on it too
-        for _ in range(LAST_ACCEPT_TURNS):
+            return  # another process listens on the socket too
+        for _ in range(MAX_FINAL_ACCEPTS):
             if not acceptor.accept():
                 break
             await asyncio.sleep(ACCEPT_RETRY_S)
@@ -185,12 +188,12 @@
         self.socket = None
 
     def stop_listening(self) -> None:
-        """Accept no connections here; the socket itself stays as it is."""
+        """Stop accepting connections; the listening socket stays open."""
         if self.acceptor is not None:
             self.acceptor.stop()
 
     async def finish_requests(self) -> None:
-        """Wait for the last responses, and close each connection once it has none open."""
+        """Wait for the last responses, and close each connection once it has no open requests."""
         began = self.loop.time()
         while self.connections:
             waited_s = self.loop.time() - began
@@ -210,7 +213,10 @@
 
 
 def bind_socket(address: Address, shared: bool) -> socket.socket:
-    """Return a bound socket. `shared`: another process of this gateway may be bound there. Raises OSError."""
+    """Return a socket bound to `address`. Raises OSError.
+
+    `shared`: other processes of this gateway may be bound to the same address.
+    """
     found = socket.getaddrinfo(*address, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
     family, kind, protocol, _, where = found[0]
     sock = socket.socket(family, kind, protocol)
--- a/badgergap/proxy/downstream/request_reader.py
+++ b/badgergap/proxy/downstream/request_reader.py
@@ -1,8 +1,12 @@
-"""Reads the requests of one client: what its transport and its parser report, and the bounds on that.
+"""Reads requests from one client connection: callbacks of the transport and the parser, and their limits.
 
-Bounds, each with the status at it: a head HEAD_LIMIT bytes (431), what is not body RAW_LIMIT and a share of
-the body (413), a body BODY_LIMIT bytes (413), requests read ahead of their turn PIPELINED (400). The times
-(REQUEST_S, FIRST_S, SLOWEST, STALL_S) are checked by `client_connection.py` (408).
+The limits, with the status of a request that exceeds one:
+
+- head: HEAD_LIMIT bytes (431)
+- bytes besides the body: RAW_LIMIT and a share of the body (413)
+- body: BODY_LIMIT bytes (413)
+- pipelined requests: PIPELINE_LIMIT (400)
+- times: REQUEST_S, MIN_UPLOAD_RATE, UPLOAD_STALL_S, UPLOAD_START_S (408), checked by `client_connection.py`
 """
 
 from __future__ import annotations
@@ -22,83 +26,84 @@
 from badgergap.proxy.limits.memory import Budget, ReadBuffer
 from badgergap.proxy.upstream.stream_exchange import FRAMING_SHARE
 
-# Bytes of a request that are no body, beside FRAMING_SHARE times its body. Guards against chunk extensions
-# and trailers without end; a body may come in chunks of one byte.
+# Bytes of a request besides its body, plus FRAMING_SHARE times its body. Bounds endless chunk extensions and
+# trailers, but allows a body in chunks of one byte.
 RAW_LIMIT = 4 * HEAD_LIMIT
-ACCOUNTED_HEAD_BYTES = 2048  # of an incomplete head, from which on the budget counts it
-PIPELINE_LIMIT = 8  # requests read ahead of their turn
-# For a complete request: the first on a connection from its accept, a later one from its first byte. Guards
-# against clients that send nothing, or a request without end, and hold a descriptor meanwhile.
+ACCOUNTED_HEAD_BYTES = 2048  # an incomplete head above this size counts against the memory budget
+PIPELINE_LIMIT = 8  # requests that wait for the responses before them
+# Time to receive a complete request: the first on a connection from its accept, a later one from its first
+# byte. Bounds how long clients that send nothing, or an endless request, occupy a descriptor.
 REQUEST_S = 2.25
-# Of a body: bytes a second that a client has to send, and how long it may send none. Half the rate of the
-# slowest clients is enough.
+# The bytes of a body that a client has to send per second, half the rate of the slowest clients, and how long
+# it may send none.
 MIN_UPLOAD_RATE = 32_000
 UPLOAD_STALL_S = 2.0
-UPLOAD_START_S = 1.0  # for its first bytes, after a head that took long
+UPLOAD_START_S = 1.0  # for the first bytes of a body, after a head that came slowly
 
 
 class ReaderContext(Protocol):
-    """What a request reader needs of the listener that accepted its connection."""
+    """The interface of the listener that accepted a connection, as the request reader uses it."""
 
     loop: asyncio.AbstractEventLoop
-    budget: Budget  # bytes of bodies and heads that the process may hold
+    budget: Budget  # the memory for bodies and heads in the process
     reads: ReadBuffer  # the buffer that all connections read into
-    idle_connections: dict[
-        HttpConnection[IncomingRequest], None
-    ]  # between requests, the one used last comes last
+    idle_connections: dict[HttpConnection[IncomingRequest], None]  # least recently used first
 
 
 class RequestReader(HttpConnection[IncomingRequest], asyncio.BufferedProtocol):
-    """The reading half of a connection: it queues requests that are complete or held as far as may be."""
+    """The reading half of a connection.
+
+    It queues each request once it is complete, or once an attempt may begin with the part that has arrived.
+    """
 
     def __init__(self, server: ReaderContext, requests_read: int) -> None:
-        """`asked`: requests that were read on this connection before."""
+        """`requests_read`: the number of valid requests read on this connection before."""
         super().__init__(server.loop, IncomingRequest())
         self.server = server
-        self.requests_read = requests_read  # valid requests so far
-        self.accounted_bytes = 0  # reported to the budget: held of a body, and not taken of a response
-        self.data_came_at = 0.0  # time.monotonic() when what is being read came to this machine
-        self.due_at = 0.0  # loop time by which more of a body has to have come
+        self.requests_read = requests_read  # valid requests
+        self.accounted_bytes = 0  # reported to the budget, for requests and unsent responses
+        self.arrived_at = 0.0  # time.monotonic() when the newest data reached this machine
+        self.due_at = 0.0  # loop time by which more of the body must have arrived
 
-    # What the subclass does
+    # Implemented by the subclass
 
     def start_next(self) -> None:
-        """Start the next request unless one is being answered."""
+        """Start the next request unless one is in progress."""
         raise NotImplementedError
 
-    def reject_and_close(self, refusal: BadRequestError) -> None:
-        """Answer the newest request with `refusal` in its turn, then close."""
+    def reject_and_close(self, error: BadRequestError) -> None:
+        """Respond to the newest request with `error`, in order, then close the connection."""
         raise NotImplementedError
 
     def send_continue(self) -> None:
-        """Send 100 Continue if the newest request waits for it and it is its turn."""
+        """Send 100 Continue if the newest request expects it and no earlier request is open."""
         raise NotImplementedError
 
     def on_body_complete(self, incoming: IncomingRequest) -> None:
-        """Handle the end of a body whose request may be on its way to an endpoint already."""
+        """Handle the end of a body, whose request may be in transit to an endpoint already."""
         raise NotImplementedError
 
     def reject_pipeline(self) -> None:
-        """Reject a client that sends far more requests ahead than it may."""
+        """Reject all pipelined requests of a client that exceeds PIPELINE_LIMIT."""
         raise NotImplementedError
 
     # Transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the read buffer that the listener's connections share."""
+        """Return the read buffer, which all connections of the listener share."""
         return self.server.reads.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """The first `nbytes` of the shared buffer were read from this client."""
+        """Process the first `nbytes` of the shared buffer, which were read from this client."""
         self.data_received(self.server.reads.take(nbytes))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the client has sent, and start the next request; invalid input is rejected."""
+        """Parse data from the client and start the next request; invalid data is rejected."""
         if self.is_closing:
             return
         self.progress_at = self.loop.time()
-        # The loop may have been held up since: times of this request count from when its bytes came.
-        self.data_came_at = time.monotonic() - unread_input.data_age_s(self.transport)
+        # The event loop may have stalled: timeouts of a request count from when its bytes arrived.
+        self.arrived_at = time.monotonic() - unread_input.data_age_s(self.transport)
         self.server.idle_connections.pop(self, None)
         if self.state is IDLE:
             self.begin()
@@ -106,7 +111,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.make_newest_last()  # the request is valid; what follows it is no HTTP
+            self.make_newest_last()  # the request is valid, but the data after it is not HTTP
         except httptools.HttpParserError:
             self.reject_and_close(BadRequestError(400, "malformed request"))
         if self.state is RECEIVING:
@@ -114,7 +119,7 @@
         self.start_next()
 
     def check_size(self) -> None:
-        """Enforce the bounds on a request that has come in part."""
+        """Enforce the size limits on a partly received request."""
         incoming = self.incoming
         if not incoming.head_complete:
             if incoming.raw_bytes > HEAD_LIMIT:
@@ -125,37 +130,38 @@
             self.reject_and_close(BadRequestError(413, "request too long"))
 
     def begin(self) -> None:
-        """Handle the first byte of a request, also one that the parser skips."""
+        """Handle the first byte of a request, even one that the parser skips."""
         self.incoming = IncomingRequest()
         self.state = AFTER_BEGIN[self.state]
         is_first = not self.requests_read
-        self.phase_began_at = min(self.phase_began_at, self.data_came_at) if is_first else self.data_came_at
+        self.phase_began_at = min(self.phase_began_at, self.arrived_at) if is_first else self.arrived_at
 
     def make_newest_last(self) -> None:
-        """Read nothing after the newest request: its response is the connection's last."""
+        """Read nothing after the newest request, whose response will be the connection's last."""
         self.stop_reading()
         self.incoming.keep_alive = False
 
     def on_upload_flow(self, incoming: IncomingRequest, on: bool) -> None:
-        """Read on, or not: whoever takes the body takes more, or no more for now."""
+        """Resume or pause reading, as the consumer of the body of `incoming` has resumed or paused."""
         if incoming is not self.incoming or self.upload_paused is not on:
             return
         self.upload_paused = not on
         if on:
-            self.due_at = self.loop.time() + UPLOAD_STALL_S  # the client is not blamed for what was not read
+            # The time of the pause does not count as a stall of the client.
+            self.due_at = self.loop.time() + UPLOAD_STALL_S
         self.check_flow()
 
     def must_pause_reading(self) -> bool:
-        """Whether nothing more can be taken from the client for now.
+        """Return whether reading from the client has to pause.
 
-        Guards against a client that sends requests but reads no responses: they would pile up in memory. The
-        rest of the current request is read all the same: its client may read only once it has sent it all.
+        It pauses while the client does not read its responses, which would accumulate in memory. The rest of
+        the current request is still read: the client may read only after it has sent the whole request.
         """
         unread = self.write_paused and not (self.is_receiving and self.incoming is self.current)
         return not self.is_closing and (self.upload_paused or unread)
 
     def account_memory(self) -> None:
-        """Report to the budget the bytes that are held here."""
+        """Report the bytes held by this connection to the memory budget."""
         held = 0
         if self.transport is not None and self.write_paused:
             held += self.transport.get_write_buffer_size()
@@ -169,18 +175,18 @@
     # Parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header field to the request, or reject it; trailers are dropped."""
+        """Add a header field to the request, or reject the request; trailers are dropped."""
         incoming = self.incoming
-        if self.state is not RECEIVING or incoming.head_complete:  # trailers are dropped
+        if self.state is not RECEIVING or incoming.head_complete:  # nothing is read any more, or a trailer
             return
         incoming.size += len(name) + len(value) + 4
         try:
             incoming.add_header(name, value)
-        except BadRequestError as refusal:
-            self.reject_and_close(refusal)
+        except BadRequestError as error:
+            self.reject_and_close(error)
 
     def on_headers_complete(self) -> None:
-        """Check the complete head, and begin to receive the body if one is to come."""
+        """Validate the complete head, and prepare to receive the body, if there is one."""
         incoming = self.incoming
         incoming.method = self.parser.get_method()
         if self.state is not RECEIVING:
@@ -189,8 +195,8 @@
             if incoming.size + len(incoming.target) > HEAD_LIMIT:
                 raise BadRequestError(431, "head too long")
             incoming.check_head(self.parser.get_http_version())
-        except BadRequestError as refusal:
-            self.reject_and_close(refusal)
+        except BadRequestError as error:
+            self.reject_and_close(error)
             return
         incoming.head_complete, incoming.size = True, 0
         if incoming.length == 0:
@@ -203,7 +209,10 @@
             self.send_continue()
 
     def on_body(self, body: bytes) -> None:
-        """Add bytes to the body, and queue the request once an attempt may begin; rejects over BODY_LIMIT."""
+        """Add bytes to the body, and queue the request once an attempt may begin.
+
+        A body over BODY_LIMIT is rejected.
+        """
         incoming = self.incoming
         incoming.size += len(body)
         if incoming.size > BODY_LIMIT:
@@ -219,12 +228,12 @@
                 self.enqueue(incoming)
 
     def on_message_complete(self) -> None:
-        """The request has been read to its end: complete its body, queue it, and bound those read ahead."""
+        """Complete the body of the request, queue the request, and enforce PIPELINE_LIMIT."""
         self.state = AFTER_END[self.state]
         if self.state is not IDLE:
             return
         incoming = self.incoming
-        incoming.received_at = self.data_came_at
+        incoming.received_at = self.arrived_at
         incoming.keep_alive = self.parser.should_keep_alive()
         if not incoming.upload.complete:
             incoming.upload.end([])
@@ -236,7 +245,7 @@
             self.reject_pipeline()
 
     def enqueue(self, incoming: IncomingRequest) -> None:
-        """Queue a request that is complete, or of which as much is here as is held."""
+        """Queue a request that is complete or whose attempt may begin, unless it was queued before."""
         if not incoming.is_queued:
             incoming.is_queued = True
             self.pipeline.append(incoming)
--- a/badgergap/proxy/downstream/request_validation.py
+++ b/badgergap/proxy/downstream/request_validation.py
@@ -1,7 +1,7 @@
-"""Validates requests of the platform's clients: head, class, bounds and id, whatever the transport.
+"""Validates requests of the platform's clients (head, class, limits, id), independent of the transport.
 
-A transport fills a `RequestHead` field by field, and gets a `RequestSpec` for the proxy or a
-`BadRequestError` with the response. It checks itself what is bounded per connection (raw bytes, time).
+A transport fills a `RequestHead` field by field and gets a `RequestSpec` for the proxy, or a
+`BadRequestError` with the response. It enforces the limits of a connection (raw bytes, time) itself.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 TARGET_LIMIT = 4 * 1024
 ID_LIMIT = 128
 
-# The fields that are forwarded, each once and in this spelling; the deadline and the length are written anew.
-# Guards against heads that an endpoint reads in another way than the gateway: its 400 would count as a fault.
+# The fields that are forwarded, each once and in this spelling; the gateway sets the timeout and the length.
+# An endpoint must not parse a head differently from the gateway: its 400 would count as the endpoint's fault.
 FORWARDED = {
     name.lower(): name
     for name in (
@@ -46,17 +46,17 @@
         b"Tracestate",
     )
 }
-# Repeated, these are one list; any other field that is repeated is ambiguous.
+# Fields that may be repeated and are joined to one list; any other repeated field is ambiguous.
 LIST_HEADERS = frozenset(
     (b"accept", b"accept-encoding", b"accept-language", b"content-encoding", b"tracestate")
 )
 CONSUMED = frozenset((b"request-timeout-ms", b"content-length", b"transfer-encoding", b"expect"))
 VALUE = re.compile(rb"[\t\x20-\x7e]*")
-TARGET = re.compile(rb"/[\x21\x23-\x7e]*")  # no space, no quote, nothing beyond ASCII
+TARGET = re.compile(rb"/[\x21\x23-\x7e]*")  # visible ASCII without the double quote
 
 
 class BadRequestError(BadgergapError):
-    """A request that is rejected; `answer` is the response."""
+    """A request is rejected; `answer` is the response."""
 
     def __init__(self, status: int, why: str, *headers: tuple[bytes, bytes]) -> None:
         super().__init__(why)
@@ -65,16 +65,14 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """The head of a request while it is read."""
+    """The head of a request, filled while it is read."""
 
     target: bytes = b""
     method: bytes = b""
-    headers: dict[bytes, bytes] = field(
-        default_factory=dict
-    )  # those that are forwarded or used, by lower-case name
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # only those used, by lower-case name
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        """Add a field; those that nobody uses are dropped. Raises BadRequestError."""
+        """Add a field, or drop it if it is neither forwarded nor used. Raises BadRequestError."""
         name = name.lower()
         if name not in FORWARDED and name not in CONSUMED:
             return
@@ -88,14 +86,14 @@
             raise BadRequestError(400, "a header is repeated")
 
     def check_target(self) -> None:
-        """Raises BadRequestError for a target that is too long or holds invalid bytes."""
+        """Raise BadRequestError if the target is too long or contains invalid bytes."""
         if len(self.target) > TARGET_LIMIT:
             raise BadRequestError(414, f"target over {TARGET_LIMIT} bytes")
         if TARGET.fullmatch(self.target) is None:
             raise BadRequestError(400, "odd bytes in the target")
 
     def check_length(self) -> None:
-        """Raises BadRequestError for a Content-Length that is invalid or too large, or that a GET has."""
+        """Raise BadRequestError if Content-Length is invalid, too large, or above 0 for a GET."""
         length = self.headers.get(b"content-length")
         if length is not None and (parse_number(length) is None or int(length) > BODY_LIMIT):
             raise BadRequestError(413, f"body over {BODY_LIMIT} bytes")
@@ -104,19 +102,19 @@
 
 
 class RequestValidator:
-    """Validates requests and tracks their ids: one for the gateway, shared by its transports."""
+    """Validates requests and tracks their ids. One instance is shared by all transports of the gateway."""
 
     def __init__(self, config: Config) -> None:
         self.settings = config.settings
         self.classes = {name.encode(): number for number, name in enumerate(config.names.classes)}
-        tenants = config.names.tenants if config.proxy_settings.tenants else ()  # else the routes have them
+        tenants = config.names.tenants if config.proxy_settings.tenants else ()  # else defined by the routes
         self.tenants = {name.encode(): number for number, name in enumerate(tenants)}
         self.open_ids: set[bytes] = set()  # Request-Id of each open request
 
     def reserve_id(self, head: RequestHead) -> bytes:
         """Reserve a request's id until `release_id`, and return it. Raises BadRequestError if it is in use.
 
-        Guards against a client that uses the id of another's request: an endpoint takes both for one.
+        Endpoints would treat two open requests with the same id as one, even of different clients.
         """
         request_id = head.headers[b"request-id"]
         if request_id in self.open_ids:
@@ -129,9 +127,9 @@
         self.open_ids.discard(request_id)
 
     def validate(self, head: RequestHead, launch: Launch, waited_s: float) -> RequestSpec:
-        """Return the request as the proxy and the endpoints need it. Raises BadRequestError.
+        """Return the request in the form that the proxy uses. Raises BadRequestError.
 
-        `launch` sends it to an endpoint. `waited_s`: seconds since its last byte came.
+        `launch` sends it to an endpoint. `waited_s`: seconds since its last byte arrived.
         """
         headers = head.headers
         class_index = self._request_class(head.target, headers)
@@ -151,7 +149,7 @@
         if tenant is None:
             raise BadRequestError(400, "Tenant is missing or unknown")
         work_us = parse_number(headers.get(b"work-hint", b""))
-        # Bounded by the class: the figures of one client must not become typical, nor last for hours.
+        # Bounded by the class: one client must not distort typical values or keep a request open for hours.
         return RequestSpec(
             request_class=class_index,
             client_timeout_us=min(timeout_ms * 1000, request_class.client_timeout_us),
@@ -160,7 +158,7 @@
             target=head.target,
             headers=_forwarded_lines(headers),
             launch=launch,
-            passes_failures=False,  # the platform's clients get the gateway's own failures
+            passes_failures=False,  # the platform's clients get the gateway's own failure responses
             key=_affinity_key(head.target),
             expected_work_us=min(work_us, request_class.client_timeout_us) if work_us else None,
             is_retry=headers.get(b"client-retry") == b"1",
@@ -181,19 +179,19 @@
 
 
 def _forwarded_lines(headers: dict[bytes, bytes]) -> bytes:
-    """Return the fields that are forwarded, as lines."""
+    """Return the header lines to forward."""
     return b"".join(
         b"%b: %b\r\n" % (spelling, headers[name]) for name, spelling in FORWARDED.items() if name in headers
     )
 
 
 def parse_number(text: bytes) -> int | None:
-    """Return a decimal number, or None if it is none or has more than 18 digits."""
+    """Return the value of a decimal number, or None if `text` is not one or has more than 18 digits."""
     return int(text) if text.isdigit() and len(text) < 19 else None
 
 
 def _affinity_key(target: bytes) -> int | None:
-    """Return a number for the user that the request is about, the same at every gateway; None without one."""
+    """Return the affinity key of the user named in the target, equal at all gateways; None without a user."""
     query = target.partition(b"?")[2]
     if not query:
         return None
--- a/badgergap/proxy/downstream/response_writer.py
+++ b/badgergap/proxy/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes one response to a client over HTTP/1.1 while it comes from an endpoint."""
+"""Writes one HTTP/1.1 response to a client while it is received from an endpoint."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 
 class RespondedRequest(Protocol):
-    """A request, as far as its response needs it."""
+    """The attributes of a request that its response depends on."""
 
     version: str
-    keep_alive: bool  # False: the connection ends with its response
+    keep_alive: bool  # False: the connection is closed after its response
     chunked: bool  # how the response is framed
-    source: DownloadSource | None  # of the response that is streamed
+    source: DownloadSource | None  # of the response that is being streamed
 
 
 class ResponseConnection(Protocol):
-    """A client's connection, as a response needs it."""
+    """The interface of a client's connection that a response writer uses."""
 
     loop: asyncio.AbstractEventLoop
-    write_paused: bool  # the client takes no more for now
-    progress_at: float  # loop time when the client last sent or took something
+    write_paused: bool  # the write buffer is full: the client reads too slowly
+    progress_at: float  # loop time when the client last sent or received data
 
     def serves(self, incoming: RespondedRequest) -> bool:
-        """Whether it is this request's turn, and its response is not complete."""
+        """Return whether this is the current request and its response is incomplete."""
 
     def client_has_left(self) -> bool:
-        """Whether the client has closed, also where that has not been read yet."""
+        """Return whether the client has closed its connection, even if the close has not been read yet."""
 
     def send_response(self, incoming: RespondedRequest, answer: Answer) -> None:
-        """Send a complete response to this request."""
+        """Send a complete response to the request."""
 
     def head_lines(self, incoming: RespondedRequest, head: AnswerHead) -> bytes:
-        """Return the bytes of a response's head, as this request's client gets it."""
+        """Return the bytes of a response head for the client of this request."""
 
     def write(self, data: bytes) -> None:
         """Write to the client; does nothing once the connection is closing."""
 
     def response_finished(self, incoming: RespondedRequest) -> None:
-        """The response is complete."""
+        """Handle the end of a complete response."""
 
     def abort_response(self, incoming: RespondedRequest) -> None:
-        """The response has broken off: the client must see that it is not complete."""
+        """Abort a response that broke off, so that the client sees that it is incomplete."""
 
 
 class ResponseWriter:
-    """Takes the response of one attempt; once one has begun, the sources of others are cancelled."""
+    """Receives the response of one attempt. Once one response has begun, other sources are cancelled."""
 
     __slots__ = ("incoming", "writer")
 
@@ -60,11 +60,11 @@
 
     @property
     def open(self) -> bool:
-        """Whether the client still waits for this response or the rest of it."""
+        """Whether the client still waits for this response or its remainder."""
         return self.writer.serves(self.incoming)
 
     def client_has_left(self) -> bool:
-        """Whether nobody waits for this response any more."""
+        """Return whether no client waits for this response any more."""
         return not self.open or self.writer.client_has_left()
 
     def answer(self, answer: Answer) -> None:
@@ -72,7 +72,7 @@
         self.writer.send_response(self.incoming, answer)
 
     def interim(self, status: int, headers: Headers) -> None:
-        """Forward a 1xx response; an HTTP/1.0 client gets none."""
+        """Forward a 1xx response, except to an HTTP/1.0 client."""
         if self.open and self.incoming.version == "1.1":
             lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
             lines += [b"%b: %b" % header for header in headers]
@@ -84,7 +84,10 @@
             self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
-        """Send the final response's head; `source` is cancelled if none is awaited or one has begun."""
+        """Send the head of the final response, whose body comes from `source`.
+
+        `source` is cancelled if no response is awaited or another one has begun.
+        """
         writer, incoming = self.writer, self.incoming
         if not self.open or incoming.source is not None:
             source.client_left()
@@ -94,14 +97,14 @@
             head.has_body and head.length is None and incoming.version == "1.1" and not head.upgraded
         )
         if head.has_body and head.length is None and not incoming.chunked and not head.upgraded:
-            incoming.keep_alive = False  # only the connection's end ends the body
+            incoming.keep_alive = False  # the end of the connection marks the end of the body
         writer.progress_at = writer.loop.time()
         writer.write(writer.head_lines(incoming, head))
         if writer.write_paused:
             source.flow(False)
 
     def data(self, data: bytes) -> None:
-        """Send the next bytes of the body, as a chunk if the response is chunked."""
+        """Send bytes of the body, as one chunk if the response is chunked."""
         if self.open and data:
             writer = self.writer
             if not writer.write_paused:
@@ -116,12 +119,12 @@
             self.writer.response_finished(self.incoming)
 
     def abort(self) -> None:
-        """The response has broken off: abort it, so that the client sees that it is incomplete."""
+        """Abort a response that broke off, so that the client sees that it is incomplete."""
         if self.open:
             self.incoming.source = None
             self.writer.abort_response(self.incoming)
 
 
 def last_chunk(fields: Headers) -> bytes:
-    """Return the end of a chunked body, with its trailers."""
+    """Return the last chunk of a body, followed by its trailers."""
     return b"0\r\n" + b"".join(b"%b: %b\r\n" % field for field in fields) + b"\r\n"
