--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -34,7 +34,9 @@
         from badgergap.hot_restart.coordinator import coordinator_from_environment
 
         make_hot_restart = partial(coordinator_from_environment, os.environ)
-    return run(config, partial(reload_config, os.environ), hung_up=early, make_hot_restart=make_hot_restart)
+    return run(
+        config, partial(reload_config, os.environ), early_hangups=early, make_hot_restart=make_hot_restart
+    )
 
 
 if __name__ == "__main__":
--- a/badgergap/proxy/lifecycle/__init__.py
+++ b/badgergap/proxy/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway as a process: configuration, start, signals, graceful shutdown."""
+"""The life of a gateway process: configuration, start, signals, drains, graceful shutdown."""
--- a/badgergap/proxy/lifecycle/component.py
+++ b/badgergap/proxy/lifecycle/component.py
@@ -1,4 +1,4 @@
-"""The protocols of what runs beside the core in a gateway's process."""
+"""The interfaces of the components that run beside the core in a gateway process."""
 
 from __future__ import annotations
 
@@ -10,96 +10,97 @@
 from badgergap.proxy.lifecycle.config import Config
 from badgergap.proxy.proxy import Proxy
 
-# Reads the configuration again, given the one read last; called off the loop. Raises ConfigError.
+# Reads the configuration again, given the one read last; called in a thread. Raises ConfigError.
 ReadConfig = Callable[[Config], Config]
 
 
 class Component(Protocol):
-    """A part beside the core in its process: the console's socket, a further source of endpoints."""
+    """A component beside the core, such as the console's socket or a further source of endpoints."""
 
     def join(self, proxy: Proxy) -> None:
         """Add sources and restore stored state, before anything has started."""
 
     async def start(self) -> None:
-        """Start, once the gateway listens. An OSError ends the process with exit code 1."""
+        """Start, after the gateway listens. An OSError ends the process with exit code 1."""
 
     def reload(self, config: Config) -> None:
-        """Apply a configuration that the core has applied."""
+        """Apply a configuration, after the core has applied it."""
 
     async def close(self) -> None:
-        """End, once all requests are answered."""
+        """Close, after all requests are answered."""
 
 
 @runtime_checkable
 class PoolOwner(Protocol):
-    """A component that divides the endpoints among pools."""
+    """A component that divides the endpoints into pools."""
 
     def proxies(self) -> Mapping[str, Proxy]:
-        """Return the proxies of all pools, the main one among them; empty before it has started."""
+        """Return the proxies of all pools by pool name, including the main one; empty before the start."""
 
 
-# Reads the configuration by this and has all apply it; returns once they have. Raises ConfigError.
+# Reads a configuration with the given function and applies it to the core and all components; returns when
+# that is complete. Raises ConfigError.
 Reload = Callable[[ReadConfig], Awaitable[None]]
 
 
 @runtime_checkable
 class ConfigurationSource(Protocol):
-    """A component that brings configurations of its own, beside those of SIGHUP."""
+    """A component that provides configurations itself, besides those read on SIGHUP."""
 
     def set_reload(self, reload: Reload) -> None:
-        """Take the function that applies one; called before the start."""
+        """Store the function that applies a configuration; called before the start."""
 
 
 @runtime_checkable
 class AsyncReload(Protocol):
-    """A component that needs a while to apply a new configuration."""
+    """A component whose `reload` returns before the new configuration is applied."""
 
     async def wait_reloaded(self) -> None:
-        """Return once it is applied."""
+        """Wait until the newest configuration is applied."""
 
 
 @runtime_checkable
 class Drainable(Protocol):
-    """A component that accepts requests itself."""
+    """A component that accepts requests."""
 
     async def drain(self) -> None:
-        """Shut down gracefully; return once all its requests are answered."""
+        """Shut down gracefully; return when all its requests are answered."""
 
 
 class InheritedState(Protocol):
-    """The state that a gateway starts with, from the process before it."""
+    """The state that a gateway starts with, received from the previous process."""
 
     @property
     def endpoint_list(self) -> dict[str, Any]:
-        """The endpoint list, as `Config.known`."""
+        """The endpoint list, in the form of `Config.known`."""
 
     @property
     def clock_offset_ns(self) -> int:
-        """The offset of its clock against the monotonic one, in nanoseconds."""
+        """The offset of that process's clock from the monotonic clock, in nanoseconds."""
 
 
 class HotRestart(Protocol):
-    """Takes over from another process of this gateway, and hands over to the next."""
+    """Takes over from another process of this gateway, and later hands over to the next one."""
 
-    listener: socket.socket | None  # for clients, handed over
+    listener: socket.socket | None  # the listening socket for clients that was handed over, or None
 
     async def inherit(self) -> InheritedState | None:
-        """Return the state of the process that serves, or None where there is none."""
+        """Return the state of the serving process, or None if there is no such process."""
 
     def join(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component]) -> None:
-        """Take the parts of this gateway, before anything has started."""
+        """Store the parts of this gateway, before anything has started."""
 
     def restore_learned_state(self) -> None:
-        """Hand what was learned to the proxies, once the endpoints are listed."""
+        """Restore the learned state in the proxies, after the endpoints are listed."""
 
     def take_clients(self) -> None:
-        """Have clients served here from now on."""
+        """Take over serving the clients from the other process."""
 
     def on_shutdown(self) -> None:
-        """Note that this process shuts down."""
+        """Record that this process is shutting down."""
 
     async def close(self) -> None:
-        """End, once all requests are answered."""
+        """Close, after all requests are answered."""
 
 
 # Creates the hot restart of a gateway that supports one; called on the event loop.
--- a/badgergap/proxy/lifecycle/config.py
+++ b/badgergap/proxy/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""The configuration at the start and on SIGHUP: the ROUTER_* variables and the file that they name."""
+"""Loads the configuration, at the start and on SIGHUP, from the ROUTER_* variables and the file they name."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class ConfigError(BadgergapError, ValueError):
-    """The configuration is missing or cannot be used."""
+    """The configuration is missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names in the settings; the balancer knows each by its index."""
+    """The names in the settings; the balancer refers to each by its index."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -33,28 +33,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One gateway's configuration. The field names stand in the log where a change needs a restart."""
+    """The configuration of one gateway.
+
+    Field names are written to the log when a change needs a restart.
+    """
 
     name: str
-    listen: Address | None  # None: no listener for the platform's clients
-    discovery: Address | None  # None: the endpoints come from other sources
+    listen: Address | None  # for the platform's clients; None: no listener
+    discovery: Address | None  # None: the endpoints come only from other sources
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int  # file descriptors that the process may open
     settings: Settings
     names: Names
-    known: dict[str, Any]  # the endpoint list as last stored, in discovery's form
-    filed_discovery: object  # discovery in the file itself, without the environment
+    known: dict[str, Any]  # the endpoint list as last stored, in the format of service discovery
+    filed_discovery: object  # the value in the file, which an environment variable may override
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    grows: bool = False  # a later configuration may hold further classes behind those of this one
+    grows: bool = False  # a later configuration may append request classes
     console: Address | None = None  # for operator commands; None: no such listener
-    memory_mb: int = 0  # that the process may have; 0: not stated
-    proxy_settings: ProxySettings = field(default_factory=ProxySettings)  # of the same part as settings
+    memory_mb: int = 0  # memory of the process; 0: not stated
+    proxy_settings: ProxySettings = field(default_factory=ProxySettings)  # of the same section as `settings`
 
 
 def parse_address(text: object) -> Address:
-    """Parse host:port. Raises ConfigError."""
+    """Parse an address of the form host:port. Raises ConfigError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65_536:
         raise ConfigError(f"{text!r} is not an address of the form host:port")
@@ -62,7 +65,7 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Read the configuration that the environment names. Raises ConfigError."""
+    """Load the configuration that the environment variables name. Raises ConfigError."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
@@ -81,10 +84,10 @@
 
 
 def reload_config(environ: Mapping[str, str], old: Config) -> Config:
-    """Read the file again. Raises ConfigError.
+    """Load the configuration again. Raises ConfigError.
 
-    A discovery that has changed in the file takes precedence over the environment: the variable from the
-    start would else tie the process to a service that is being replaced.
+    A `discovery` that has changed in the file takes precedence over the environment variable, which is fixed
+    for the life of the process and may name a service that is being replaced.
     """
     new = load_config(environ)
     if new.filed_discovery == old.filed_discovery:
@@ -93,28 +96,28 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """Return the names of fields that differ and that a running process does not take over.
+    """Return the names of the changed fields that a running process cannot apply.
 
-    `known` is used at the start only.
+    `known` is used only at the start.
     """
-    followed = {"discovery", "filed_discovery", "known", "proxy_settings"}
+    reloadable = {"discovery", "filed_discovery", "known", "proxy_settings"}
     if old.grows:
-        more = old.settings.classes + new.settings.classes[len(old.settings.classes) :]
-        most = new.proxy_settings.max_open_requests
+        appended_classes = old.settings.classes + new.settings.classes[len(old.settings.classes) :]
+        new_limit = new.proxy_settings.max_open_requests
         old = replace(
             old,
-            settings=replace(old.settings, classes=more),
-            proxy_settings=replace(old.proxy_settings, max_open_requests=most),
+            settings=replace(old.settings, classes=appended_classes),
+            proxy_settings=replace(old.proxy_settings, max_open_requests=new_limit),
             names=new.names,
         )
     changed = {f.name for f in fields(Config) if getattr(old, f.name) != getattr(new, f.name)}
     if "proxy_settings" in changed:
-        changed.add("settings")  # both are the same part of the file
-    return [f.name for f in fields(Config) if f.name in changed - followed]
+        changed.add("settings")  # both are the same section of the file
+    return [f.name for f in fields(Config) if f.name in changed - reloadable]
 
 
 def parse_config(raw: dict[str, Any], filed_discovery: object = None) -> Config:
-    """Check a decoded configuration. Raises ConfigError."""
+    """Validate and convert a decoded configuration. Raises ConfigError."""
     name, settings, known = raw.get("name"), raw.get("settings"), raw.get("known", {})
     if not isinstance(name, str) or not name:
         raise ConfigError("name is missing")
@@ -175,11 +178,11 @@
 
 
 def _names(settings: dict[str, Any]) -> Names:
-    def named(key: str) -> tuple[str, ...]:
+    def names_of(key: str) -> tuple[str, ...]:
         items = [item.get("name") if isinstance(item, dict) else item for item in settings.get(key, ())]
         names = tuple(name for name in items if isinstance(name, str))
         if len(names) < len(items):
             raise ConfigError(f"{key} holds one with no name")
         return names
 
-    return Names(named("lanes"), named("tenants"), named("zones"), named("shapes"))
+    return Names(names_of("lanes"), names_of("tenants"), names_of("zones"), names_of("shapes"))
--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -1,4 +1,4 @@
-"""One gateway as a process: start, signals, reloads, graceful shutdown; `component.py` is what it runs."""
+"""The gateway process: start, signals, reloads and graceful shutdown of its components (`component.py`)."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class GatewayProcess:
-    """The parts of one gateway, in the order in which they start and end."""
+    """The parts of one gateway; starts and closes them in order."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.hot_restart = hot_restart
 
     async def start(self) -> Reloader:
-        """Start everything that serves. Raises OSError."""
+        """Start all parts and return the reloader. Raises OSError."""
         if self.hot_restart is not None:
             self.hot_restart.join(self.proxy, self.downstream, self.components)
         for component in self.components:
@@ -76,9 +76,9 @@
         return reloader
 
     async def drain(self) -> None:
-        """Answer all requests that were accepted.
+        """Shut down gracefully: return when all accepted requests are answered.
 
-        A component that fails does not keep the others from answering theirs: its error is logged.
+        An error of one part is logged and does not prevent the others from answering their requests.
         """
         if self.hot_restart is not None:
             self.hot_restart.on_shutdown()
@@ -87,10 +87,10 @@
             drains.append(self.downstream.drain())
         for error in await asyncio.gather(*drains, return_exceptions=True):
             if error is not None:
-                log.error("the end was not as planned", exc_info=error)
+                log.error("graceful shutdown failed", exc_info=error)
 
     async def close(self) -> None:
-        """End all parts, the one that started last first."""
+        """Close all parts, in the reverse order of their start."""
         for component in reversed(self.components):
             await component.close()
         if self.hot_restart is not None:
@@ -104,16 +104,16 @@
     read_again: ReadConfig,
     components: Sequence[Component] = (),
     observer: Observer | None = None,
-    early: Sequence[int] = (),
+    early_hangups: Sequence[int] = (),
     make_hot_restart: HotRestartFactory | None = None,
 ) -> None:
     """Run until SIGTERM or SIGINT, and then until all accepted requests are answered.
 
-    `early`: SIGHUPs that came before the loop ran. Raises OSError where an address cannot be bound.
+    `early_hangups`: SIGHUPs received before the event loop ran. Raises OSError if an address cannot be bound.
     """
     loop = asyncio.get_running_loop()
     stopped, hung_up = watch_signals(loop)
-    if early:
+    if early_hangups:
         hung_up.set()
     hot_restart = make_hot_restart(config) if make_hot_restart is not None else None
     inherited = await hot_restart.inherit() if hot_restart is not None else None
@@ -129,7 +129,7 @@
     reloads = loop.create_task(reload_on_signal(reloader, hung_up, read_again))
     await stopped.wait()
     ignore_signals(loop)
-    reloads.cancel()  # a process that ends applies no configuration
+    reloads.cancel()  # a process that shuts down applies no configuration
     await gateway.drain()
     if commands is not None:
         commands.close()
@@ -137,7 +137,7 @@
 
 
 def watch_signals(loop: asyncio.AbstractEventLoop) -> tuple[asyncio.Event, asyncio.Event]:
-    """Return the events that are set by a signal to stop, and by SIGHUP."""
+    """Return two events: one is set by SIGTERM and SIGINT, the other by SIGHUP."""
     stopped, hung_up = asyncio.Event(), asyncio.Event()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stopped.set)
@@ -148,14 +148,17 @@
 async def start_command_listener(
     config: Config, proxy: Proxy, downstream: Downstream, components: Sequence[Component]
 ) -> CommandListener | None:
-    """Listen at the second address, if there is one. Started last: PING says that clients are served."""
+    """Listen for operator commands, if an address is configured for them.
+
+    Started last, as a response to PING states that clients are served.
+    """
     if config.console is None:
         return None
 
     def proxies() -> list[Proxy]:
         owners = [component for component in components if isinstance(component, PoolOwner)]
-        further = [each for owner in owners for each in owner.proxies().values()]
-        return list(dict.fromkeys((proxy, *further)))
+        pool_proxies = [each for owner in owners for each in owner.proxies().values()]
+        return list(dict.fromkeys((proxy, *pool_proxies)))
 
     max_connections = min(MAX_CONNECTIONS, eviction.reserve(config.sockets) // 3)
     handler = CommandHandler(proxies, downstream)
@@ -167,10 +170,10 @@
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore all signals from here on: the process ends by itself.
+    """Ignore all handled signals from here on; the process ends by itself.
 
-    Guards against one that comes after the loop has closed and restored the default handlers: the process
-    would end as if it had crashed.
+    Closing the event loop restores the default handlers: a signal after that would end the process as if it
+    had crashed.
     """
     for number in (*STOP_SIGNALS, signal.SIGHUP):
         loop.remove_signal_handler(number)
@@ -178,14 +181,14 @@
 
 
 class Reloader:
-    """Applies one new configuration after the other while the gateway serves."""
+    """Applies new configurations to the running gateway, one at a time."""
 
     def __init__(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component]) -> None:
         self.proxy, self.downstream, self.components = proxy, downstream, components
         self.lock = asyncio.Lock()
 
     async def reload(self, read: ReadConfig) -> None:
-        """Read a configuration and apply it. Raises ConfigError, and then nothing has changed."""
+        """Read a configuration and apply it. Raises ConfigError without having changed anything."""
         async with self.lock:
             config = await asyncio.to_thread(read, self.proxy.latest_config)
             self.proxy.reload(config)
@@ -199,7 +202,7 @@
 
 
 async def reload_on_signal(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadConfig) -> None:
-    """Apply the file again at each SIGHUP; an invalid one changes nothing."""
+    """Reload the configuration on each SIGHUP; an invalid configuration has no effect."""
     while True:
         await hung_up.wait()
         hung_up.clear()
@@ -216,22 +219,25 @@
     read_again: ReadConfig,
     components: Sequence[Component] = (),
     observer: Observer | None = None,
-    hung_up: Sequence[int] = (),
+    early_hangups: Sequence[int] = (),
     make_hot_restart: HotRestartFactory | None = None,
 ) -> int:
-    """Serve until a signal to stop; return the exit code. `hung_up`: SIGHUPs that came during the start."""
-    gc.freeze()  # the objects of the imports are never garbage
-    gc.enable()  # `__main__` has it off while it imports
+    """Serve until a signal stops the process, and return the exit code.
+
+    `early_hangups`: SIGHUPs received during the start.
+    """
+    gc.freeze()  # objects created by imports are never garbage
+    gc.enable()  # `__main__` disables it during the imports
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, read_again, components, observer, hung_up, make_hot_restart))
+            runner.run(serve(config, read_again, components, observer, early_hangups, make_hot_restart))
     except OSError as error:
-        why = error if error.errno is not None else error.strerror  # this package's own have no number
+        why = error if error.errno is not None else error.strerror  # this package's own errors have no errno
         print(f"badgergap: cannot start: {why}", file=sys.stderr)
         return 1
     return 0
 
 
 def log_to_stderr() -> None:
-    """Send the log to stderr, with times."""
+    """Write the log to stderr, with timestamps."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
