--- a/badgergap/proxy/commands/__init__.py
+++ b/badgergap/proxy/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Operator commands at the second address."""
+"""Operator commands, received on the address for operators (`console`)."""
--- a/badgergap/proxy/commands/listener.py
+++ b/badgergap/proxy/commands/listener.py
@@ -1,8 +1,8 @@
-"""Serves operator commands at the second address, one line to a connection; `parsing.py` has the protocol.
+"""Serves operator commands, one per connection, at the address for operators; protocol: `parsing.py`.
 
-Bounds: MAX_CONNECTIONS at once, of which the oldest without a complete line is closed for a new one;
-LINE_LIMIT bytes of a line; LINE_TIMEOUT_S for it to come; UNREAD_S for its response to be taken. So clients
-that send nothing, or half a command, never keep another out. Their descriptors belong to the reserve.
+Limits: MAX_CONNECTIONS at a time, beyond which the oldest is closed, first of all those that have their
+response; LINE_LIMIT bytes and LINE_TIMEOUT_S for a line; UNREAD_S for its response to be read. So clients
+that send nothing or an incomplete command never block others. The descriptors count against the reserve.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 LINE_TIMEOUT_S = 2.0
 UNREAD_S = 1.0
 BACKLOG = 128
-DRAIN_OWNER = "console"  # what operators read as the origin of such a drain
+DRAIN_OWNER = "console"  # the origin of these drains as shown to operators
 
 
 class CommandConnection(asyncio.Protocol):
-    """One connection of an operator: one line, one response."""
+    """One connection from an operator: receives one command and sends one response."""
 
     def __init__(self, listener: CommandListener) -> None:
         self.listener = listener
@@ -43,15 +43,15 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """An operator has connected: its line has LINE_TIMEOUT_S to come."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
+        """Register the new connection, which has LINE_TIMEOUT_S to send its line."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self.listener.add(self)
         self.timer = self.listener.loop.call_later(LINE_TIMEOUT_S, self.respond, b"fail no line has come\n")
 
     def data_received(self, data: bytes) -> None:
-        """Collect the line and respond to it once it is complete; one over LINE_LIMIT bytes fails."""
+        """Collect the line and respond when it is complete or exceeds LINE_LIMIT bytes."""
         if self.is_answered:
-            return  # only one line to a connection
+            return  # one command per connection
         self.line += data[: LINE_LIMIT + 1 - len(self.line)]
         end = self.line.find(b"\n")
         if end >= 0:
@@ -60,26 +60,25 @@
             self.respond(b"fail the line is too long\n")
 
     def eof_received(self) -> bool:
-        """The operator has closed its end: a line that is incomplete is answered with a failure."""
+        """Reject an incomplete line, after the operator has closed its write side."""
         if self.is_answered:
-            return False  # it has its response and has closed
+            return False  # the response was sent, so the transport may close
         self.respond(b"fail the line has no end\n")
-        return True  # until the response is sent
+        return True  # keeps the transport open until the response is sent
 
     def respond(self, line: bytes) -> None:
-        """Send the response, and end the connection once it is read or UNREAD_S have passed."""
+        """Send the response, and close the connection once the client has closed or after UNREAD_S."""
         self.is_answered = True
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
             self.transport.write(line)
-            # Not closed before the client has closed or had its time: unread input would make the close a
-            # reset, which can overtake the response.
+            # Closing now could send a reset, if input is unread, which can overtake the response.
             self.transport.write_eof()
             self.timer = self.listener.loop.call_later(UNREAD_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: stop its timer and no longer count it."""
+        """Cancel the timer of the lost connection and remove the connection."""
         if self.timer is not None:
             self.timer.cancel()
         self.listener.connections.pop(self, None)
@@ -101,9 +100,10 @@
         max_connections: int = MAX_CONNECTIONS,
         events: EventLog | None = None,
     ) -> None:
-        """`execute` returns what was done, or raises CommandError. `max_connections`: at a time.
+        """Listen on `address` after `start`.
 
-        `events`: where calls of the system that fail are counted.
+        `execute` returns the text of the response, or raises CommandError. `max_connections`: the limit on
+        simultaneous connections. `events` counts failed system calls.
         """
         self.address, self.loop, self.execute = address, loop, execute
         self.connections: dict[CommandConnection, None] = {}  # oldest first
@@ -113,7 +113,7 @@
         self.acceptor: Acceptor | None = None
 
     async def start(self) -> Address:
-        """Listen; returns where. Raises OSError."""
+        """Listen, and return the bound address. Raises OSError."""
         self.socket = bind_socket(self.address, shared=False)
         self.socket.listen(BACKLOG)
         self.acceptor = Acceptor(
@@ -124,14 +124,14 @@
         return bound
 
     def add(self, connection: CommandConnection) -> None:
-        """Take a new connection, and close the oldest if there are too many."""
+        """Add a new connection, and close the oldest if there are too many."""
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
             self.close_oldest()
 
     def close_oldest(self) -> None:
-        """Close the oldest connection that has its response, or else the oldest; does nothing without any."""
-        # Those that have their response only wait to be read.
+        """Close the oldest connection that was sent its response, else the oldest, if there is one."""
+        # These only wait for the client to read the response.
         answered = next((each for each in self.connections if each.is_answered), None)
         oldest = answered or next(iter(self.connections), None)
         if oldest is not None:
@@ -139,17 +139,17 @@
             oldest.abort()
 
     def respond(self, line: bytes) -> bytes:
-        """Execute a line and return its response, with a line feed."""
+        """Execute a command line and return the response line, with its line feed."""
         try:
             answer = respond(line, self.execute)
         except Exception:
-            log.exception("failed on a call: %.300r", line)
+            log.exception("operator command failed: %.300r", line)
             return b"fail a fault in the gateway, which is in its log\n"
-        log.info("call %.300r: %s", line, answer.decode().rstrip())
+        log.info("operator command %.300r: %s", line, answer.decode().rstrip())
         return answer
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         if self.acceptor is not None:
             self.acceptor.stop()
         if self.socket is not None:
@@ -159,14 +159,14 @@
 
 
 class CommandHandler:
-    """Executes commands on a gateway: on its listener and its endpoints."""
+    """Executes operator commands on a gateway's listener and endpoints."""
 
     def __init__(self, proxies: Callable[[], Sequence[Proxy]], downstream: Downstream) -> None:
-        """`proxies` returns those of all pools, the main one first."""
+        """`proxies` returns the proxies of all pools, the main one first."""
         self.proxies, self.downstream = proxies, downstream
 
     def execute(self, command: Command) -> str:
-        """Return what was done. Raises CommandError."""
+        """Execute a command and return the text of the response. Raises CommandError."""
         match command.verb:
             case "PING":
                 return self.state()
@@ -188,9 +188,9 @@
                 return self.set_drained(command.endpoint_name, drained=False)
 
     def set_drained(self, name: str, drained: bool) -> str:
-        """Drain an endpoint by hand, or end that. Raises CommandError."""
+        """Begin or end the manual drain of an endpoint. Raises CommandError."""
         proxy = proxy_for_endpoint(self.proxies(), name)
-        was = name in proxy.directory.registry.drains
+        was_drained = name in proxy.directory.registry.drains
         try:
             if drained:
                 proxy.directory.drain(name, DRAIN_OWNER)
@@ -198,17 +198,17 @@
                 proxy.directory.undrain(name, DRAIN_OWNER)
         except EndpointRegistryError as error:
             raise CommandError(str(error)) from None
-        if was is drained:
+        if was_drained is drained:
             return f"{name} was {'out' if drained else 'in'} already"
         return f"{name} is {'out' if drained else 'back, cold'}"
 
     def require_listener(self) -> None:
-        """Raises CommandError where the platform's clients have no listener."""
+        """Raise CommandError if the gateway has no listener for the platform's clients."""
         if self.downstream.config.listen is None:
             raise CommandError("this gateway has no address for the platform's clients")
 
     def state(self) -> str:
-        """Describe the gateway in one line. Raises CommandError once it shuts down."""
+        """Return the state of the gateway as one line. Raises CommandError during shutdown."""
         if self.downstream.draining:
             raise CommandError("this process ends and takes no clients")
         main, *_ = proxies = self.proxies()
--- a/badgergap/proxy/diagnostics/__init__.py
+++ b/badgergap/proxy/diagnostics/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of itself: counters, bounded log lines, the story of a request, a late event loop."""
+"""Diagnostics of a gateway: event counters, rate-limited log lines, request traces, event loop stalls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Diagnostics:
-    """The counters and the monitor of one process, shared by all its pools."""
+    """The event log and the event loop monitor of one process, shared by all its pools."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.events = EventLog()
--- a/badgergap/proxy/diagnostics/event_log.py
+++ b/badgergap/proxy/diagnostics/event_log.py
@@ -1,4 +1,4 @@
-"""Counters of what happens, and log lines beside them: a bounded number a second for each kind of event."""
+"""Counts events, and writes log lines about them at a bounded rate for each kind of event."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 log = logging.getLogger(__name__)
 
-LINES_PER_S = 5.0  # of one kind of event
+LINES_PER_S = 5.0  # per kind of event
 LINES_BURST = 20.0
-SUPPRESSED = "suppressed"  # beside the kinds: lines beyond the bound
+SUPPRESSED = "suppressed"  # counted as a kind of its own: lines beyond the rate limit
 
 
 class EventKind(StrEnum):
-    """What is counted. The detail beside it says which: an outcome, a status, a reason."""
+    """The kinds of events. Each is counted with a detail: an outcome, a status or a reason."""
 
     REQUEST_ANSWERED = "answered"
     REQUEST_REJECTED = "rejected"
@@ -25,19 +25,19 @@
     ATTEMPT_ENDED = "attempt"
     CONNECTION_CLOSED = "connection"
     UNANSWERED_CLOSE = "closed_unanswered"
-    LOOP_HELD_UP = "held_up"
+    LOOP_STALLED = "held_up"
     CALL_FAILED = "call_failed"
 
 
 @dataclass(slots=True)
 class LineBudget:
-    """Lines that one kind of event may still write: a bucket that fills steadily."""
+    """A token bucket for the log lines of one kind of event."""
 
     lines: float
-    filled_at: float  # seconds of the log's clock
+    filled_at: float  # seconds of the event log's clock
 
     def take(self, now: float) -> bool:
-        """Whether one more line may be written at `now`."""
+        """Take one line at `now`; return whether one was left."""
         self.lines = min(LINES_BURST, self.lines + (now - self.filled_at) * LINES_PER_S)
         self.filled_at = now
         if self.lines < 1.0:
@@ -47,10 +47,10 @@
 
 
 class EventLog:
-    """All counters of one process. Lines beyond the bound are counted as `suppressed`."""
+    """The event counters of one process. Lines beyond the rate limit are counted as `suppressed`."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """`clock`: seconds that never step back."""
+        """`clock` returns monotonic seconds."""
         self._clock = clock
         self._counts: dict[tuple[str, str], int] = defaultdict(int)
         self._budgets: dict[EventKind, LineBudget] = {}
@@ -62,11 +62,14 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What was counted since the start, by `kind.detail`."""
+        """The counts since the start, by `kind.detail`."""
         return Counter({f"{kind}.{detail}": count for (kind, detail), count in self._counts.items()})
 
-    def may_write(self, kind: EventKind) -> bool:
-        """Whether a line for this kind of event is within the bound; takes it."""
+    def take_line(self, kind: EventKind) -> bool:
+        """Take one line of this kind from its budget; return whether it may be written.
+
+        A line that may not is counted as suppressed.
+        """
         now = self._clock()
         budget = self._budgets.get(kind)
         if budget is None:
@@ -77,15 +80,15 @@
         return False
 
     def warn(self, kind: EventKind, detail: str, line: str, *arguments: object) -> None:
-        """Count one event, and write a warning about it."""
+        """Count one event, and log a warning about it within the rate limit."""
         self.count(kind, detail)
-        if self.may_write(kind):
+        if self.take_line(kind):
             log.warning(line, *arguments)
 
     def write_summary(self) -> None:
-        """Write what was counted since the summary before, if anything was."""
-        before, self._summarised = self._summarised, dict(self._counts)
-        new = {name: count - before.get(name, 0) for name, count in self._summarised.items()}
+        """Log the counts since the previous summary, if there are any."""
+        previous, self._summarised = self._summarised, dict(self._counts)
+        new = {name: count - previous.get(name, 0) for name, count in self._summarised.items()}
         parts = [f"{kind}.{detail}={count}" for (kind, detail), count in sorted(new.items()) if count]
         if parts:
             log.info("counted: %s", " ".join(parts))
--- a/tests/proxy/diagnostics/test_diagnostics.py
+++ b/tests/proxy/diagnostics/test_diagnostics.py
@@ -10,7 +10,7 @@
 from badgergap.balancing.interface import AttemptEnded, ClientDisconnected, RequestArrived
 from badgergap.proxy.diagnostics import EventKind, EventLog, LoopMonitor, RequestTrace
 from badgergap.proxy.diagnostics.event_log import LINES_BURST, LINES_PER_S
-from badgergap.proxy.diagnostics.loop_monitor import BEAT_S
+from badgergap.proxy.diagnostics.loop_monitor import TICK_S
 from tests.sockets import ask, gateway, run, settings
 
 
@@ -55,13 +55,13 @@
         clock = FakeClock()
         monitor = LoopMonitor(asyncio.get_running_loop(), EventLog(clock), clock)
         monitor.start()
-        clock.now += BEAT_S + 0.05
-        monitor.beat()
+        clock.now += TICK_S + 0.05
+        monitor.tick()
         assert not caplog.records
-        clock.now += BEAT_S + 0.45
-        monitor.beat()
+        clock.now += TICK_S + 0.45
+        monitor.tick()
         assert [r.getMessage() for r in caplog.records] == ["the event loop was held up for 450 ms"]
-        assert monitor.longest_hold_s == pytest.approx(0.45)
+        assert monitor.longest_stall_s == pytest.approx(0.45)
 
     run(test())
 
