--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -21,8 +21,8 @@
 from badgergap.hot_restart.frames import encode_frame
 from badgergap.hot_restart.rendezvous import SOCKET_NAME, Rendezvous
 from badgergap.standins.net import Server, read_message
-from tests.proxy.commands.test_commands import call
-from tests.proxy.lifecycle.test_process import logged
+from tests.proxy.commands.test_commands import send_command
+from tests.proxy.lifecycle.test_process import wait_for_log
 from tests.sockets import (
     PATIENCE_S,
     Client,
@@ -85,7 +85,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
         self.children.append(child)
-        line = await logged(child, b"operators call at ")
+        line = await wait_for_log(child, b"operators call at ")
         return child, ("127.0.0.1", int(line.rpartition(b":")[2]))
 
     async def client(self) -> Client:
@@ -176,18 +176,18 @@
             child, address = await it.start()
             load = Load(it)
             await load.more()
-            assert await call(address, b"DETACH h0\n") == b"ok h0 is out\n"
+            assert await send_command(address, b"DETACH h0\n") == b"ok h0 is out\n"
             out = asyncio.get_running_loop().time() + 0.1
             for _ in range(2):
                 after, to = await it.start()
                 await load.more()
-                assert b"1 out by hand" in await call(to, b"PING\n")
+                assert b"1 out by hand" in await send_command(to, b"PING\n")
                 child.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(child.wait(), PATIENCE_S) == 0
                 await load.more()
                 child, address = after, to
             banned = [at for at in it.boxes[0].at if at > out]
-            assert await call(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
+            assert await send_command(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
             before = len(it.boxes[0].at)
             while len(it.boxes[0].at) == before:  # it is used again
                 await load.more(10)
@@ -213,7 +213,7 @@
             half.send(late[:40])
             new, address = await it.start()
             old.send_signal(signal.SIGTERM)
-            assert (await call(address, b"PING\n")).startswith(b"ok ")
+            assert (await send_command(address, b"PING\n")).startswith(b"ok ")
             it.boxes[0].go.set()
             assert (await busy.answer())[0] == 200
             half.send(late[40:])
@@ -246,7 +246,7 @@
                 await asyncio.sleep(0.005)
             _, address = await it.start()
             old.send_signal(signal.SIGTERM)
-            assert (await call(address, b"PING\n")).startswith(b"ok ")
+            assert (await send_command(address, b"PING\n")).startswith(b"ok ")
             if leaves:
                 client.writer.close()
                 # The old process ends once nobody is owed anything: it has seen the end.
@@ -267,18 +267,18 @@
     async def test() -> None:
         async with site(tmp_path) as it:
             _, first = await it.start()
-            assert await call(first, b"LAMEDUCK\n") == b"ok sends clients away\n"
+            assert await send_command(first, b"LAMEDUCK\n") == b"ok sends clients away\n"
             _, second = await it.start()
-            assert b"send clients away" in await call(second, b"PING\n")
-            assert (await call(second, b"REJOIN\n")).startswith(b"ok takes clients again")
-            assert await call(first, b"DETACH h0\n") == b"ok h0 is out\n"
-            assert await call(second, b"DETACH h1\n") == b"ok h1 is out\n"
+            assert b"send clients away" in await send_command(second, b"PING\n")
+            assert (await send_command(second, b"REJOIN\n")).startswith(b"ok takes clients again")
+            assert await send_command(first, b"DETACH h0\n") == b"ok h0 is out\n"
+            assert await send_command(second, b"DETACH h1\n") == b"ok h1 is out\n"
             for address in (first, second):
-                while b"2 out by hand" not in (said := await call(address, b"PING\n")):
+                while b"2 out by hand" not in (said := await send_command(address, b"PING\n")):
                     await asyncio.sleep(0.005)
                 assert b"takes clients" in said
-            assert await call(first, b"ATTACH h1\n") == b"ok h1 is back, cold\n"
-            while b"1 out by hand" not in await call(second, b"PING\n"):
+            assert await send_command(first, b"ATTACH h1\n") == b"ok h1 is back, cold\n"
+            while b"1 out by hand" not in await send_command(second, b"PING\n"):
                 await asyncio.sleep(0.005)
             client = await it.client()
             assert (await client.ask(ask()))[0] == 200 and not it.boxes[0].ran and it.boxes[1].ran
@@ -304,15 +304,15 @@
                 assert (await client.ask(ask()))[0] == 200
             else:
                 new, _ = await it.start()
-                await logged(old, b"takes its clients")
+                await wait_for_log(old, b"takes its clients")
                 new.kill()
-                await logged(old, b"taken here again")
+                await wait_for_log(old, b"taken here again")
             for _ in range(3):
                 assert (await (await it.client()).ask(ask()))[0] == 200
-            assert (await call(address, b"PING\n")).startswith(b"ok ")
+            assert (await send_command(address, b"PING\n")).startswith(b"ok ")
             _, third = await it.start()  # and the next one takes over
-            await logged(old, b"takes its clients")
-            assert (await call(third, b"PING\n")).startswith(b"ok ")
+            await wait_for_log(old, b"takes its clients")
+            assert (await send_command(third, b"PING\n")).startswith(b"ok ")
 
     run(test())
 
@@ -332,7 +332,7 @@
     async def test() -> None:
         async with site(tmp_path) as it:
             old, address = await it.start()
-            assert (await call(address, b"DETACH h0\n")).startswith(b"ok ")
+            assert (await send_command(address, b"DETACH h0\n")).startswith(b"ok ")
             while not (it.folder / "drains.json").exists():
                 await asyncio.sleep(0.005)
             sock = Rendezvous(it.folder).listen()  # in place of the old one's
@@ -345,7 +345,7 @@
 
             server = await asyncio.start_unix_server(hand_over, sock=sock)
             _, second = await it.start()  # beside the old one: both are bound
-            assert asked.is_set() and b"1 out by hand" in await call(second, b"PING\n")
+            assert asked.is_set() and b"1 out by hand" in await send_command(second, b"PING\n")
             server.close()
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
@@ -374,7 +374,7 @@
                 assert await child.wait() == 1
             for _ in range(3):
                 assert (await (await it.client()).ask(ask()))[0] == 200
-            assert (await call(address, b"PING\n")).startswith(b"ok ")
+            assert (await send_command(address, b"PING\n")).startswith(b"ok ")
 
     run(test())
 
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -74,7 +74,7 @@
 
 
 @asynccontextmanager
-async def opened(it: Gateway) -> AsyncIterator[Address]:
+async def command_listener(it: Gateway) -> AsyncIterator[Address]:
     """The second address of a gateway in this process."""
     hands = CommandHandler(lambda: [it.proxy], it.downstream)
     its = CommandListener(("127.0.0.1", 0), it.proxy.loop, hands.execute)
@@ -84,7 +84,7 @@
         its.close()
 
 
-async def call(address: Address, line: bytes) -> bytes:
+async def send_command(address: Address, line: bytes) -> bytes:
     reader, writer = await asyncio.open_connection(*address)
     writer.write(line)
     answer = await reader.readline()
@@ -97,12 +97,12 @@
     """Also where the list names it anew: as it was, restarted, or somewhere else."""
 
     async def test() -> None:
-        async with gateway(hosts=2) as it, opened(it) as address:
+        async with gateway(hosts=2) as it, command_listener(it) as address:
             client = await it.client()
             await it.served(client)
-            assert await call(address, b"DETACH nobody\n") == b"fail no box is called 'nobody'\n"
-            assert await call(address, b"DETACH h0\n") == b"ok h0 is out\n"
-            assert await call(address, b"DETACH h0\n") == b"ok h0 was out already\n"
+            assert await send_command(address, b"DETACH nobody\n") == b"fail no box is called 'nobody'\n"
+            assert await send_command(address, b"DETACH h0\n") == b"ok h0 is out\n"
+            assert await send_command(address, b"DETACH h0\n") == b"ok h0 was out already\n"
             _, watch = await it.registry.watches.get()
             numbers = {
                 e.name: e.listed.endpoint_id for e in it.proxy.directory.registry._merged(["h0", "h1"])
@@ -119,9 +119,9 @@
                 for _ in range(20):
                     await it.served(client)
                     assert (await it.event(AttemptEnded)).endpoint_id == numbers["h1"]
-            assert await call(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
-            assert await call(address, b"ATTACH h0\n") == b"ok h0 was in already\n"
-            assert await call(address, b"ATTACH nobody\n") == b"fail no box is called 'nobody'\n"
+            assert await send_command(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
+            assert await send_command(address, b"ATTACH h0\n") == b"ok h0 was in already\n"
+            assert await send_command(address, b"ATTACH nobody\n") == b"fail no box is called 'nobody'\n"
             served = set[int]()
             while len(served) < 2:
                 await it.served(client)
@@ -134,7 +134,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with gateway() as it, opened(it) as address:
+        async with gateway() as it, command_listener(it) as address:
             client = await it.client()
             opening, connect = it.proxy.loop.create_connection, tcp_transport.connect_socket
             go = asyncio.Event()
@@ -174,11 +174,11 @@
     monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 60.0)
 
     async def test() -> None:
-        async with gateway() as it, opened(it) as address:
+        async with gateway() as it, command_listener(it) as address:
             held = [await asyncio.open_connection(*address) for _ in range(2 * MAX_CONNECTIONS)]
             for number, (_, writer) in enumerate(held):
                 writer.write((b"", b"DETACH h", b"PI", b"\xff")[number % 4])
-            assert (await call(address, b"PING\n")).startswith(b"ok ")
+            assert (await send_command(address, b"PING\n")).startswith(b"ok ")
             # Those that came first have given way; the others hold what the bound allows.
             for reader, _ in held[:MAX_CONNECTIONS]:
                 with pytest.raises(ConnectionError):
@@ -205,7 +205,7 @@
     monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        async with gateway() as it, opened(it) as address:
+        async with gateway() as it, command_listener(it) as address:
             reader, writer = await asyncio.open_connection(*address)
             writer.write(sent)
             if end:
@@ -224,7 +224,7 @@
     async def test() -> None:
         its = CommandListener(("127.0.0.1", 0), asyncio.get_running_loop(), carry_out)
         address = await its.start()
-        assert (await call(address, b"PING\n")).startswith(b"fail ")
+        assert (await send_command(address, b"PING\n")).startswith(b"fail ")
         assert "ZeroDivisionError" in caplog.text
         its.close()
 
@@ -235,7 +235,7 @@
     """A crowd of requests in work, hosts that answer nothing: each call has its answer within its second."""
 
     async def test() -> None:
-        async with gateway(hosts=3) as it, opened(it) as address:
+        async with gateway(hosts=3) as it, command_listener(it) as address:
             clients = [await it.client() for _ in range(60)]
             for client in clients:
                 client.send(ask())
@@ -243,7 +243,9 @@
             for _ in range(60):
                 began = asyncio.get_running_loop().time()
                 word = draw.choice([b"PING", b"DETACH h1", b"ATTACH h1", b"no"])
-                assert (await call(address, word + b"\n")).split()[0] == (b"fail" if word == b"no" else b"ok")
+                assert (await send_command(address, word + b"\n")).split()[0] == (
+                    b"fail" if word == b"no" else b"ok"
+                )
                 assert asyncio.get_running_loop().time() - began < 1.0
             for client in clients:
                 client.writer.transport.abort()
@@ -253,11 +255,11 @@
 
 def test_a_ban_is_known_to_the_balancer_as_out() -> None:
     async def test() -> None:
-        async with gateway(hosts=2) as it, opened(it) as address:
-            assert (await call(address, b"DETACH h1\n")).startswith(b"ok")
+        async with gateway(hosts=2) as it, command_listener(it) as address:
+            assert (await send_command(address, b"DETACH h1\n")).startswith(b"ok")
             statuses = {s.entry.status for s in it.proxy.balancer.table.ranked}
             assert statuses == {EndpointStatus.READY, EndpointStatus.OUT}
-            assert b"1 out by hand" in await call(address, b"PING\n")
+            assert b"1 out by hand" in await send_command(address, b"PING\n")
 
     run(test())
 
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -12,7 +12,7 @@
 from badgergap.proxy.lifecycle import lame_duck as rules
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
 from tests.hot_restart.test_coordinator import Box
-from tests.proxy.commands.test_commands import call, opened
+from tests.proxy.commands.test_commands import command_listener, send_command
 from tests.proxy.test_bodies import beside
 from tests.sockets import Client, ask, gateway, run
 
@@ -49,7 +49,7 @@
     hurry(monkeypatch)
 
     async def test() -> None:
-        async with gateway() as it, opened(it) as address:
+        async with gateway() as it, command_listener(it) as address:
             used, never, half, waits, ahead = [await it.client() for _ in range(5)]
             await it.served(used)
             half.send(ask()[:30])
@@ -57,8 +57,8 @@
             taken = await it.host.taken.get()
             ahead.send(ask() + ask())
             first = await it.host.taken.get()
-            assert await call(address, b"LAMEDUCK\n") == b"ok sends clients away\n"
-            assert await call(address, b"LAMEDUCK\n") == b"ok sends clients away already\n"
+            assert await send_command(address, b"LAMEDUCK\n") == b"ok sends clients away\n"
+            assert await send_command(address, b"LAMEDUCK\n") == b"ok sends clients away already\n"
             status, head, _ = await (await it.client()).ask(READY)
             assert status == 503 and head["connection"] == "close"
             first.answer()
@@ -73,9 +73,9 @@
             taken.answer()  # however old it is, it was taken
             status, head, _ = await waits.answer()
             assert status == 200 and head["connection"] == "close" and await waits.closed()
-            assert b"was told to send clients away" in await call(address, b"PING\n")
-            assert await call(address, b"REJOIN\n") == b"ok takes clients again\n"
-            assert await call(address, b"REJOIN\n") == b"ok takes clients as before\n"
+            assert b"was told to send clients away" in await send_command(address, b"PING\n")
+            assert await send_command(address, b"REJOIN\n") == b"ok takes clients again\n"
+            assert await send_command(address, b"REJOIN\n") == b"ok takes clients as before\n"
             back = await it.client()
             assert (await back.ask(READY))[0] == 200
             await it.served(back)
@@ -90,10 +90,10 @@
     monkeypatch.setattr(rules, "CLOSE_IDLE_AFTER_S", 60.0)
 
     async def test() -> None:
-        async with gateway() as it, opened(it) as address:
+        async with gateway() as it, command_listener(it) as address:
             client = await it.client()
             await it.served(client)
-            await call(address, b"LAMEDUCK\n")
+            await send_command(address, b"LAMEDUCK\n")
             status, head, _ = await client.ask(ask())
             assert status == 503 and head["connection"] == "close" and "retry-after" in head
             assert await client.closed() and it.host.taken.empty()
@@ -108,11 +108,11 @@
 
     async def test() -> None:
         box = Box()
-        async with beside(box) as it, opened(it) as address:
+        async with beside(box) as it, command_listener(it) as address:
             clients = [await it.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(ask()))[0] == 200
-            await call(address, b"LAMEDUCK\n")
+            await send_command(address, b"LAMEDUCK\n")
 
             async def cross(client: Client) -> tuple[str, int]:
                 request = ask()
@@ -135,14 +135,14 @@
 
 def test_an_end_in_the_midst_of_a_drain_answers_what_was_taken() -> None:
     async def test() -> None:
-        async with gateway() as it, opened(it) as address:
+        async with gateway() as it, command_listener(it) as address:
             client = await it.client()
             client.send(ask())
             taken = await it.host.taken.get()
-            await call(address, b"LAMEDUCK\n")
+            await send_command(address, b"LAMEDUCK\n")
             end = asyncio.create_task(it.downstream.drain())
             await asyncio.sleep(0)
-            assert (await call(address, b"PING\n")).startswith(b"fail ")
+            assert (await send_command(address, b"PING\n")).startswith(b"fail ")
             taken.answer()
             status, head, _ = await client.answer()
             assert status == 200 and head["connection"] == "close"
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -83,7 +83,7 @@
     assert done.returncode == 1 and "cannot start" in done.stderr.splitlines()[-1]
 
 
-async def logged(child: asyncio.subprocess.Process, text: bytes) -> bytes:
+async def wait_for_log(child: asyncio.subprocess.Process, text: bytes) -> bytes:
     """The first line with this text; what other lines come before it is left to the scheduler."""
     assert child.stderr is not None
     while text not in (line := await child.stderr.readline()):
@@ -108,7 +108,7 @@
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        line = await logged(child, b"listens")
+        line = await wait_for_log(child, b"listens")
         yield child, int(line.rpartition(b":")[2])
     finally:
         if child.returncode is None:
@@ -219,11 +219,11 @@
             good = path.read_text()
             path.write_text("{")
             child.send_signal(signal.SIGHUP)
-            assert b"ERROR" in await logged(child, b"the old configuration stays")
+            assert b"ERROR" in await wait_for_log(child, b"the old configuration stays")
             raw = json.loads(good) | {"discovery": second.address, "seed": "2f"}
             path.write_text(json.dumps(raw))
             child.send_signal(signal.SIGHUP)
-            await logged(child, b"changes seed: that needs a restart")
+            await wait_for_log(child, b"changes seed: that needs a restart")
             first, _ = await second.watches.get()
             assert first == "GET /registry/instances?stream=1&index=0 HTTP/1.1"
             taken.answer()
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -34,7 +34,7 @@
 from badgergap.proxy.requests import AttemptListener
 from badgergap.proxy.upstream.connection_pool import Upstream
 from badgergap.replication.keyed_attempt import PendingAttempt
-from tests.proxy.lifecycle.test_process import logged, process
+from tests.proxy.lifecycle.test_process import process, wait_for_log
 from tests.proxy.test_gateway import hold_connects
 from tests.sockets import (
     Client,
@@ -605,7 +605,7 @@
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
         child = await started(path, "badgergap.proxy.lifecycle.config:load_config", signal.SIGHUP)
         try:
-            await logged(child, b"the configuration was read again")
+            await wait_for_log(child, b"the configuration was read again")
             child.send_signal(signal.SIGTERM)
             assert await child.wait() == 0
         finally:
