--- a/badgergap/proxy/downstream/client_connection.py
+++ b/badgergap/proxy/downstream/client_connection.py
@@ -200,7 +200,7 @@
                 self.pipeline.clear()
                 self.send_response(incoming, error.answer)
             except Exception:
-                log.exception("failed on a request")
+                log.exception("unhandled error while processing a request")
                 self.send_response(incoming, plain_text(500, "internal error"))
 
     def dispatch(self, incoming: IncomingRequest) -> None:
@@ -390,7 +390,7 @@
                 self.linger(LAME_DUCK_LINGER_S)
 
     def check_time(self, now: float) -> None:
-        """Enforce the time limits at `now` (loop time, seconds)."""
+        """Enforce the timeouts of the connection at `now` (loop time, seconds)."""
         if self.current is not None and self.current.exchange is not None:
             self.current.exchange.check_time(now, ENDPOINT_QUIET_S, ENDPOINT_QUIET_S)
         if self.read_paused and self.client_has_left():
--- a/badgergap/proxy/downstream/listener.py
+++ b/badgergap/proxy/downstream/listener.py
@@ -19,8 +19,8 @@
 BACKLOG = 1024
 CLEANUP_INTERVAL_S = 0.25
 # After a planned restart has begun, clients keep opening connections for 0.4 s.
-LAST_ACCEPT_S = 0.5
-LAST_REQUEST_S = 0.6
+LAST_ACCEPT_S = 0.5  # from the start of the shutdown until this process stops listening
+LAST_REQUEST_S = 0.6  # until idle connections may be closed
 MAX_FINAL_ACCEPTS = 20  # rounds of accepting the queued connections; several are needed in a shortage
 UNREAD_DRAIN_S = 3.0  # for a client to read its last response
 FINISH_POLL_S = 0.01
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -1,4 +1,4 @@
-"""The calls of operators: what a line means, what it does, and who cannot keep a good one out."""
+"""Operator commands: parsing, execution, and clients that must not block valid commands."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from badgergap.proxy.lifecycle.config import Address
 from tests.sockets import Client, Gateway, ask, chunk, entry, gateway, news, run
 
-GOOD = [
+VALID = [
     (b"PING", Command("PING")),
     (b"PING\r", Command("PING")),
     (b"DETACH s-5be2a07c", Command("DETACH", "s-5be2a07c")),
@@ -35,7 +35,7 @@
     (b"LAMEDUCK", Command("LAMEDUCK")),
     (b"REJOIN", Command("REJOIN")),
 ]
-BAD = [
+INVALID = [
     b"", b" ", b"ping", b"PING ", b"PING x", b" PING", b"PINGX", b"DETACH", b"DETACH ", b"DETACH  h",
     b"DETACH h ", b"DETACH h x", b"DETACH h\x00", b"DETACH h\xff", b"DETACH\th", b"ATTACH",
     b"LAMEDUCK now", b"REJOIN x",
@@ -43,31 +43,31 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("line", "call"), GOOD)
-def test_a_call_is_a_word_and_what_belongs_to_it(line: bytes, call: Command) -> None:
-    assert parse_command(line) == call
+@pytest.mark.parametrize(("line", "command"), VALID)
+def test_a_valid_line_is_parsed(line: bytes, command: Command) -> None:
+    assert parse_command(line) == command
 
 
-@pytest.mark.parametrize("line", BAD)
-def test_what_is_no_call_changes_nothing_and_hears_why(line: bytes) -> None:
-    def carry_out(call: Command) -> str:
-        raise AssertionError(f"{call} was carried out")
+@pytest.mark.parametrize("line", INVALID)
+def test_an_invalid_line_is_rejected_with_a_reason_and_not_executed(line: bytes) -> None:
+    def execute(command: Command) -> str:
+        raise AssertionError(f"{command} was executed")
 
-    answer = respond(line, carry_out)
+    answer = respond(line, execute)
     assert answer.startswith(b"fail ") and answer.count(b"\n") == 1 and len(answer) > len(b"fail \n")
 
 
 @given(st.binary(max_size=60), st.text(max_size=30))
-def test_any_line_has_one_line_for_an_answer(line: bytes, said: str) -> None:
-    """Also where what is to be said holds line ends of its own."""
+def test_every_line_has_a_response_of_one_line(line: bytes, result: str) -> None:
+    """Even if the result or the error message contains line breaks."""
 
-    def carry_out(call: Command) -> str:
-        if call.verb == "PING":
-            raise CommandError(said)
-        return said
+    def execute(command: Command) -> str:
+        if command.verb == "PING":
+            raise CommandError(result)
+        return result
 
     for each in (line, b"PING", b"REJOIN"):
-        answer = respond(each, carry_out)
+        answer = respond(each, execute)
         assert answer.endswith(b"\n") and answer.count(b"\n") == 1
         assert answer.split()[0] in (b"ok", b"fail")
     assert set(COMMANDS) == {"PING", "DETACH", "ATTACH", "LAMEDUCK", "REJOIN"}
@@ -75,13 +75,13 @@
 
 @asynccontextmanager
 async def command_listener(it: Gateway) -> AsyncIterator[Address]:
-    """The second address of a gateway in this process."""
-    hands = CommandHandler(lambda: [it.proxy], it.downstream)
-    its = CommandListener(("127.0.0.1", 0), it.proxy.loop, hands.execute)
+    """Listen for operator commands to a gateway in this process, and yield the address."""
+    handler = CommandHandler(lambda: [it.proxy], it.downstream)
+    commands = CommandListener(("127.0.0.1", 0), it.proxy.loop, handler.execute)
     try:
-        yield await its.start()
+        yield await commands.start()
     finally:
-        its.close()
+        commands.close()
 
 
 async def send_command(address: Address, line: bytes) -> bytes:
@@ -93,8 +93,8 @@
     return answer
 
 
-def test_a_host_that_is_out_gets_nothing_new_until_it_is_called_back() -> None:
-    """Also where the list names it anew: as it was, restarted, or somewhere else."""
+def test_a_manually_drained_endpoint_gets_no_requests_until_the_drain_ends() -> None:
+    """Even if the endpoint list names it again: unchanged, or restarted with another weight."""
 
     async def test() -> None:
         async with gateway(hosts=2) as it, command_listener(it) as address:
@@ -104,21 +104,21 @@
             assert await send_command(address, b"DETACH h0\n") == b"ok h0 is out\n"
             assert await send_command(address, b"DETACH h0\n") == b"ok h0 was out already\n"
             _, watch = await it.registry.watches.get()
-            numbers = {
+            endpoint_ids = {
                 e.name: e.listed.endpoint_id for e in it.proxy.directory.registry._merged(["h0", "h1"])
             }
             for index, since_ms in enumerate([0, 5, 6]):
-                said = news(
+                update = news(
                     entry("h0", it.host.address, since_ms=since_ms, weight=1.0 + index), index=20 + index
                 )
-                watch.write(chunk(said))
+                watch.write(chunk(update))
                 while (
                     it.proxy.directory.discovery is None or it.proxy.directory.discovery.index != 20 + index
                 ):
                     await asyncio.sleep(0.001)
                 for _ in range(20):
                     await it.served(client)
-                    assert (await it.event(AttemptEnded)).endpoint_id == numbers["h1"]
+                    assert (await it.event(AttemptEnded)).endpoint_id == endpoint_ids["h1"]
             assert await send_command(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
             assert await send_command(address, b"ATTACH h0\n") == b"ok h0 was in already\n"
             assert await send_command(address, b"ATTACH nobody\n") == b"fail no box is called 'nobody'\n"
@@ -130,27 +130,27 @@
     run(test())
 
 
-def test_what_waits_for_a_connection_is_not_sent_once_its_host_is_out(
+def test_an_attempt_that_awaits_a_connection_is_not_sent_to_a_drained_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         async with gateway() as it, command_listener(it) as address:
             client = await it.client()
-            opening, connect = it.proxy.loop.create_connection, tcp_transport.connect_socket
-            go = asyncio.Event()
+            create_connection, connect_socket = it.proxy.loop.create_connection, tcp_transport.connect_socket
+            may_connect = asyncio.Event()
 
-            async def later(
+            async def connect_later(
                 loop: asyncio.AbstractEventLoop, sock: socket.socket, where: tuple[str, int]
             ) -> None:
-                await go.wait()
-                await connect(loop, sock, where)
+                await may_connect.wait()
+                await connect_socket(loop, sock, where)
 
-            monkeypatch.setattr(tcp_transport, "connect_socket", later)
+            monkeypatch.setattr(tcp_transport, "connect_socket", connect_later)
             client.send(ask())
             while not it.proxy.upstream.connections:
                 await asyncio.sleep(0.001)
-            assert (await call_with(opening, address, b"DETACH h0\n")).startswith(b"ok ")
-            go.set()
+            assert (await send_command_with(create_connection, address, b"DETACH h0\n")).startswith(b"ok ")
+            may_connect.set()
             ended = await it.event(AttemptEnded)
             assert ended.outcome is Outcome.NEVER_SENT and it.host.taken.empty()
             assert (await client.answer())[0] == 503
@@ -158,11 +158,11 @@
     run(test())
 
 
-async def call_with(opening: object, address: Address, line: bytes) -> bytes:
-    """A call while the gateway's own connections are held up."""
+async def send_command_with(create_connection: object, address: Address, line: bytes) -> bytes:
+    """Send a command by `create_connection`, while the gateway's own connections are delayed."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
-    transport, _ = await opening(lambda: asyncio.StreamReaderProtocol(reader), *address)  # type: ignore[operator]
+    transport, _ = await create_connection(lambda: asyncio.StreamReaderProtocol(reader), *address)  # type: ignore[operator]
     assert loop is not None
     transport.write(line)
     answer = await reader.readline()
@@ -170,7 +170,9 @@
     return answer
 
 
-def test_callers_that_say_nothing_or_too_much_keep_no_good_one_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_that_send_incomplete_lines_do_not_block_valid_commands(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 60.0)
 
     async def test() -> None:
@@ -179,7 +181,7 @@
             for number, (_, writer) in enumerate(held):
                 writer.write((b"", b"DETACH h", b"PI", b"\xff")[number % 4])
             assert (await send_command(address, b"PING\n")).startswith(b"ok ")
-            # Those that came first have given way; the others hold what the bound allows.
+            # The oldest connections were closed; the others are within the limit.
             for reader, _ in held[:MAX_CONNECTIONS]:
                 with pytest.raises(ConnectionError):
                     if await reader.read() == b"":
@@ -201,7 +203,9 @@
         (b"PIN", False),
     ],
 )
-def test_no_whole_line_is_no_call(sent: bytes, end: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_or_oversized_line_is_rejected(
+    sent: bytes, end: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -217,34 +221,34 @@
     run(test())
 
 
-def test_a_fault_in_a_call_is_a_no(caplog: pytest.LogCaptureFixture) -> None:
-    def carry_out(call: Command) -> str:
+def test_an_unexpected_error_in_a_command_is_answered_with_fail(caplog: pytest.LogCaptureFixture) -> None:
+    def execute(command: Command) -> str:
         raise ZeroDivisionError
 
     async def test() -> None:
-        its = CommandListener(("127.0.0.1", 0), asyncio.get_running_loop(), carry_out)
-        address = await its.start()
+        commands = CommandListener(("127.0.0.1", 0), asyncio.get_running_loop(), execute)
+        address = await commands.start()
         assert (await send_command(address, b"PING\n")).startswith(b"fail ")
         assert "ZeroDivisionError" in caplog.text
-        its.close()
+        commands.close()
 
     run(test())
 
 
-def test_calls_are_answered_while_clients_are_served() -> None:
-    """A crowd of requests in work, hosts that answer nothing: each call has its answer within its second."""
+def test_commands_are_answered_while_clients_are_served() -> None:
+    """With many open requests and endpoints that do not respond, each command is answered within a second."""
 
     async def test() -> None:
         async with gateway(hosts=3) as it, command_listener(it) as address:
             clients = [await it.client() for _ in range(60)]
             for client in clients:
                 client.send(ask())
-            draw = random.Random(5)
+            rng = random.Random(5)
             for _ in range(60):
                 began = asyncio.get_running_loop().time()
-                word = draw.choice([b"PING", b"DETACH h1", b"ATTACH h1", b"no"])
-                assert (await send_command(address, word + b"\n")).split()[0] == (
-                    b"fail" if word == b"no" else b"ok"
+                line = rng.choice([b"PING", b"DETACH h1", b"ATTACH h1", b"no"])
+                assert (await send_command(address, line + b"\n")).split()[0] == (
+                    b"fail" if line == b"no" else b"ok"
                 )
                 assert asyncio.get_running_loop().time() - began < 1.0
             for client in clients:
@@ -253,7 +257,7 @@
     run(test())
 
 
-def test_a_ban_is_known_to_the_balancer_as_out() -> None:
+def test_a_manual_drain_is_reported_to_the_balancer() -> None:
     async def test() -> None:
         async with gateway(hosts=2) as it, command_listener(it) as address:
             assert (await send_command(address, b"DETACH h1\n")).startswith(b"ok")
--- a/tests/proxy/diagnostics/test_diagnostics.py
+++ b/tests/proxy/diagnostics/test_diagnostics.py
@@ -1,4 +1,4 @@
-"""Counters and bounded lines, a late event loop, and the story of a request as the log tells it."""
+"""Event counters, rate-limited log lines, event loop stalls, and the logged trace of a request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         return self.now
 
 
-def test_lines_are_bounded_and_what_is_left_out_is_counted(caplog: pytest.LogCaptureFixture) -> None:
+def test_log_lines_are_rate_limited_and_suppressed_ones_are_counted(caplog: pytest.LogCaptureFixture) -> None:
     clock = FakeClock()
     events = EventLog(clock)
     for _ in range(1000):
@@ -36,7 +36,7 @@
     assert len(caplog.records) == LINES_BURST + 2 * LINES_PER_S
 
 
-def test_a_summary_tells_what_is_new(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_summary_contains_the_counts_since_the_previous_one(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     events = EventLog()
     events.count(EventKind.CLIENT_LEFT, "a")
@@ -50,7 +50,7 @@
     ]
 
 
-def test_a_hold_up_of_the_loop_is_told_with_its_length(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_stall_of_the_event_loop_is_logged_with_its_length(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         clock = FakeClock()
         monitor = LoopMonitor(asyncio.get_running_loop(), EventLog(clock), clock)
@@ -74,8 +74,8 @@
     assert trace.render() == "+0.0 class 1; +2.5 attempt 0 to 77"
 
 
-def test_the_log_tells_an_unusual_request_by_its_id(caplog: pytest.LogCaptureFixture) -> None:
-    """The excerpts of report c96572 had no line that named a request, its attempts or its client's end."""
+def test_an_unusual_request_is_logged_under_its_id(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a log without the id, the attempts and the disconnect of a request (report c96572)."""
     caplog.set_level(logging.INFO)
 
     async def test() -> None:
--- a/tests/proxy/downstream/test_acceptor.py
+++ b/tests/proxy/downstream/test_acceptor.py
@@ -1,4 +1,4 @@
-"""When a shortage makes the acceptor have a connection closed for another."""
+"""When the acceptor has a connection closed because of a shortage of file descriptors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Listener:
-    """A listening socket whose calls of `accept` end as scripted: True is a connection."""
+    """A listening socket whose `accept` follows a script: True returns a connection, False raises EMFILE."""
 
     def __init__(self, outcomes: list[bool]) -> None:
         self.outcomes = iter(outcomes)
@@ -28,9 +28,9 @@
         return None, None
 
 
-# Guards against a client that was accepted just now and is closed for a shortage that is over in a moment.
+# Guards against closing a client that was accepted just now because of a brief shortage.
 @pytest.mark.parametrize(
-    ("turns", "closed"),
+    ("rounds", "closed"),
     [
         ([[False] * MAX_SHORTAGES], 0),
         ([[True, *[False] * MAX_SHORTAGES]] * 2, 0),
@@ -40,7 +40,7 @@
     ],
 )
 def test_a_connection_is_closed_only_for_a_shortage_that_lasts(
-    turns: list[list[bool]], closed: int, monkeypatch: pytest.MonkeyPatch
+    rounds: list[list[bool]], closed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Acceptor, "_open", lambda self, sock: None)
     evictions: list[None] = []
@@ -53,7 +53,7 @@
         EventLog(),
         lambda: evictions.append(None),
     )
-    for outcomes in turns:
+    for outcomes in rounds:
         listener.outcomes = iter(outcomes)
         acceptor.accept()
     loop.close()
--- a/tests/proxy/downstream/test_http_connection.py
+++ b/tests/proxy/downstream/test_http_connection.py
@@ -1,4 +1,4 @@
-"""The states of an HTTP/1.1 connection, against the two facts that they stand for."""
+"""Compares the states of an HTTP/1.1 connection with the two flags that each state represents."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     ConnectionState,
 )
 
-# Whether nothing more is read, and whether a request has come in part.
-FACTS = {IDLE: (False, False), RECEIVING: (False, True), DISCARDING: (True, True), CLOSED: (True, False)}
+# Whether nothing more is read, and whether a request is partly received.
+FLAGS = {IDLE: (False, False), RECEIVING: (False, True), DISCARDING: (True, True), CLOSED: (True, False)}
 
 
-def facts_after(event: ConnectionEvent, closing: bool, receiving: bool) -> tuple[bool, bool]:
+def flags_after(event: ConnectionEvent, closing: bool, receiving: bool) -> tuple[bool, bool]:
     match event:
         case ConnectionEvent.REQUEST_BEGINS:
             return closing, True
@@ -32,15 +32,15 @@
 
 @pytest.mark.parametrize("state", ConnectionState)
 @pytest.mark.parametrize("event", ConnectionEvent)
-def test_each_event_changes_a_state_as_it_changes_the_facts(
+def test_each_event_changes_the_state_as_it_changes_the_flags(
     event: ConnectionEvent, state: ConnectionState
 ) -> None:
-    """A client that was told that its connection ends sends further requests in the same read.
+    """A connection that has stopped reading must never return to a state in which it reads.
 
-    The parser reports them, and none may be answered: a connection that has ended its reading must never
-    come back to a state in which it reads. A missing or wrong entry of the table would do that, or would
-    raise KeyError within a callback of the parser.
+    A client may send further requests after the connection's last one, in the same read. The parser reports
+    them, and none may be answered. A wrong entry of the table would allow that; a missing entry would raise
+    KeyError within a callback of the parser.
     """
     after = TRANSITIONS[event][state]
-    assert FACTS[after] == facts_after(event, *FACTS[state])
-    assert FACTS[after][0] or not FACTS[state][0]
+    assert FLAGS[after] == flags_after(event, *FLAGS[state])
+    assert FLAGS[after][0] or not FLAGS[state][0]
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -1,4 +1,4 @@
-"""The process as a whole: its configuration, its end on SIGTERM, peers."""
+"""The gateway process: its configuration, SIGHUP, shutdown on SIGTERM, messages between peers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     return raw
 
 
-BAD: list[tuple[object, str]] = [
+INVALID: list[tuple[object, str]] = [
     (without("name"), "name"),
     (without("listen"), "address"),
     (without("discovery"), "address"),
@@ -60,22 +60,22 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "named"), BAD)
-def test_a_bad_configuration_is_one_line_and_a_failure(raw: object, named: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("raw", "mentioned"), INVALID)
+def test_an_invalid_configuration_fails_with_one_line(raw: object, mentioned: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw) if raw != "" else "{")
     done = start(path)
     assert done.returncode != 0 and not done.stdout
     (line,) = done.stderr.splitlines()
-    assert line.startswith("badgergap: ") and named in line
+    assert line.startswith("badgergap: ") and mentioned in line
 
 
-def test_a_missing_configuration_is_one_line_and_a_failure(tmp_path: Path) -> None:
+def test_a_missing_configuration_fails_with_one_line(tmp_path: Path) -> None:
     for done in (start(""), start(tmp_path / "none.json")):
         assert done.returncode != 0 and len(done.stderr.splitlines()) == 1
 
 
-def test_an_address_in_use_is_one_line_and_a_failure(tmp_path: Path) -> None:
+def test_an_address_in_use_fails_with_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
@@ -84,7 +84,7 @@
 
 
 async def wait_for_log(child: asyncio.subprocess.Process, text: bytes) -> bytes:
-    """The first line with this text; what other lines come before it is left to the scheduler."""
+    """Return the first log line that contains `text`; which other lines precede it depends on scheduling."""
     assert child.stderr is not None
     while text not in (line := await child.stderr.readline()):
         assert line, "the log has ended"
@@ -118,28 +118,28 @@
         registry.stop()
 
 
-def test_sigterm_answers_what_was_taken_and_ends_well(tmp_path: Path) -> None:
+def test_sigterm_answers_accepted_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def test() -> None:
         host = Host()
         async with process(host, tmp_path) as (child, port):
-            held = Client(*await asyncio.open_connection("127.0.0.1", port))
-            assert (await held.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
-            held.send(ask())
+            waiting = Client(*await asyncio.open_connection("127.0.0.1", port))
+            assert (await waiting.ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+            waiting.send(ask())
             taken = await host.taken.get()
             idle = Client(*await asyncio.open_connection("127.0.0.1", port))
             child.send_signal(signal.SIGTERM)
-            assert await idle.closed()  # and so the signal has been heeded
+            assert await idle.closed()  # so the signal has been handled
             taken.answer()
-            status, head, _ = await held.answer()
+            status, head, _ = await waiting.answer()
             assert status == 200 and head["connection"] == "close"
-            assert await held.closed()
+            assert await waiting.closed()
             assert await child.wait() == 0
 
     run(test())
 
 
 def test_requests_that_come_during_a_drain_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front goes on sending for a moment, on new connections and on those that it has."""
+    """Clients keep sending for a moment, on new connections and on existing ones."""
     monkeypatch.setattr(eviction, "STALLED_S", PATIENCE_S)
 
     async def test() -> None:
@@ -169,7 +169,7 @@
     run(test())
 
 
-def test_requests_read_ahead_are_answered_before_a_drain_closes() -> None:
+def test_pipelined_requests_are_answered_before_a_drain_closes_the_connection() -> None:
     async def test() -> None:
         async with gateway() as it:
             client = await it.client()
@@ -186,7 +186,7 @@
     run(test())
 
 
-def test_a_client_that_reads_nothing_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_reads_nothing_does_not_delay_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "UNREAD_DRAIN_S", 0.0)
 
     async def test() -> None:
@@ -206,8 +206,8 @@
     run(test())
 
 
-def test_sighup_follows_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    """With no handler the signal ended the process, and all that it held was lost."""
+def test_sighup_applies_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    """Without a handler SIGHUP would end the process and lose its open requests."""
 
     async def test() -> None:
         host, second, path = Host(), Registry(), tmp_path / "config.json"
@@ -216,11 +216,11 @@
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             client.send(ask())
             taken = await host.taken.get()
-            good = path.read_text()
+            valid = path.read_text()
             path.write_text("{")
             child.send_signal(signal.SIGHUP)
             assert b"ERROR" in await wait_for_log(child, b"the old configuration stays")
-            raw = json.loads(good) | {"discovery": second.address, "seed": "2f"}
+            raw = json.loads(valid) | {"discovery": second.address, "seed": "2f"}
             path.write_text(json.dumps(raw))
             child.send_signal(signal.SIGHUP)
             await wait_for_log(child, b"changes seed: that needs a restart")
@@ -237,8 +237,8 @@
     run(test())
 
 
-def test_no_signal_cuts_the_end_short(tmp_path: Path) -> None:
-    """Once the loop had closed, signals had their own effect again: the last moments were a crash."""
+def test_signals_during_the_shutdown_have_no_effect(tmp_path: Path) -> None:
+    """Closing the event loop restored the default handlers, so a signal after it ended the process."""
 
     async def test() -> None:
         async with process(Host(), tmp_path) as (child, port):
@@ -254,12 +254,12 @@
     run(test())
 
 
-def test_an_idle_connection_does_not_hold_up_the_end(tmp_path: Path) -> None:
+def test_an_idle_connection_does_not_delay_the_shutdown(tmp_path: Path) -> None:
     async def test() -> None:
         async with process(Host(), tmp_path) as (child, port):
             idle = Client(*await asyncio.open_connection("127.0.0.1", port))
-            half = Client(*await asyncio.open_connection("127.0.0.1", port))
-            half.send(ask()[:20])
+            partial = Client(*await asyncio.open_connection("127.0.0.1", port))
+            partial.send(ask()[:20])
             child.send_signal(signal.SIGTERM)
             assert await idle.closed()
             assert await child.wait() == 0
@@ -290,10 +290,10 @@
                 with pytest.raises(ValueError, match="too long"):
                     it.proxy.carry_out(SendPeerMessage(bytes(257)))
                 assert it.proxy.peers.transport is not None
-                to = it.proxy.peers.transport.get_extra_info("sockname")
-                stranger.sendto(b"from nobody", to)
-                peer.sendto(b"hello", to)
-                heard = await it.event(PeerMessage)
-                assert (heard.proxy, heard.data) == (1, b"hello")
+                gateway_address = it.proxy.peers.transport.get_extra_info("sockname")
+                stranger.sendto(b"from nobody", gateway_address)
+                peer.sendto(b"hello", gateway_address)
+                received = await it.event(PeerMessage)
+                assert (received.proxy, received.data) == (1, b"hello")
 
     run(test())
