--- a/badgergap/proxy/downstream/acceptor.py
+++ b/badgergap/proxy/downstream/acceptor.py
@@ -43,7 +43,7 @@
         self._on_shortage = on_shortage
         self._retry: asyncio.TimerHandle | None = None
         self._is_listening = False
-        self._is_short = False  # accepting was paused, and no connection was accepted since
+        self._in_shortage = False  # accepting was paused, and no connection was accepted since
 
     def start(self) -> None:
         """Start to accept connections."""
@@ -69,17 +69,17 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                self._count(error)
+                self._count_error(error)
                 shortages += error.errno in SHORTAGES
                 if shortages >= MAX_SHORTAGES:
                     self._pause()
                     break
             else:
-                self._is_short = False
+                self._in_shortage = False
                 self._open(sock)
         return True
 
-    def _count(self, error: OSError) -> None:
+    def _count_error(self, error: OSError) -> None:
         name = errno.errorcode.get(error.errno or 0, "unknown")
         self._events.warn(EventKind.CALL_FAILED, f"accept_{name}", "accept failed: %s", error.strerror)
 
@@ -89,9 +89,9 @@
         A brief shortage must not cost a client its connection: many of the connections that could be closed
         were accepted just now, and their requests are in transit.
         """
-        if self._is_short:
+        if self._in_shortage:
             self._on_shortage()
-        self._is_short = True
+        self._in_shortage = True
         if self._is_listening and self._retry is None:
             self._loop.remove_reader(self._listener.fileno())
             self._retry = self._loop.call_later(ACCEPT_RETRY_S, self._resume)
--- a/tests/proxy/commands/test_commands.py
+++ b/tests/proxy/commands/test_commands.py
@@ -177,17 +177,17 @@
 
     async def test() -> None:
         async with gateway() as it, command_listener(it) as address:
-            held = [await asyncio.open_connection(*address) for _ in range(2 * MAX_CONNECTIONS)]
-            for number, (_, writer) in enumerate(held):
+            incomplete = [await asyncio.open_connection(*address) for _ in range(2 * MAX_CONNECTIONS)]
+            for number, (_, writer) in enumerate(incomplete):
                 writer.write((b"", b"DETACH h", b"PI", b"\xff")[number % 4])
             assert (await send_command(address, b"PING\n")).startswith(b"ok ")
             # The oldest connections were closed; the others are within the limit.
-            for reader, _ in held[:MAX_CONNECTIONS]:
+            for reader, _ in incomplete[:MAX_CONNECTIONS]:
                 with pytest.raises(ConnectionError):
                     if await reader.read() == b"":
                         raise ConnectionResetError
             assert it.proxy.directory.registry.drains == {}
-            for _, writer in held:
+            for _, writer in incomplete:
                 writer.transport.abort()
 
     run(test())
--- a/tests/proxy/lifecycle/test_process.py
+++ b/tests/proxy/lifecycle/test_process.py
@@ -22,7 +22,7 @@
 from tests.sockets import PATIENCE_S, Client, Host, Registry, ask, configuration, gateway, run, settings
 
 
-def start(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
+def run_gateway(path: Path | str, **environ: str) -> subprocess.CompletedProcess[str]:
     env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | environ
     return subprocess.run(
         [sys.executable, "-m", "badgergap"],
@@ -34,17 +34,17 @@
     )
 
 
-def without(key: str) -> dict[str, Any]:
+def configuration_without(key: str) -> dict[str, Any]:
     raw = configuration({}, "127.0.0.1:1")
     del raw[key]
     return raw
 
 
 INVALID: list[tuple[object, str]] = [
-    (without("name"), "name"),
-    (without("listen"), "address"),
-    (without("discovery"), "address"),
-    (without("settings"), "settings"),
+    (configuration_without("name"), "name"),
+    (configuration_without("listen"), "address"),
+    (configuration_without("discovery"), "address"),
+    (configuration_without("settings"), "settings"),
     (configuration({}, "127.0.0.1:1", settings={"lanes": []}), "classes"),
     (configuration({}, "127.0.0.1:1", seed="none"), "seed"),
     (configuration({}, "127.0.0.1:1", limits={"sockets": 3}), "sockets"),
@@ -64,14 +64,14 @@
 def test_an_invalid_configuration_fails_with_one_line(raw: object, mentioned: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw) if raw != "" else "{")
-    done = start(path)
+    done = run_gateway(path)
     assert done.returncode != 0 and not done.stdout
     (line,) = done.stderr.splitlines()
     assert line.startswith("badgergap: ") and mentioned in line
 
 
 def test_a_missing_configuration_fails_with_one_line(tmp_path: Path) -> None:
-    for done in (start(""), start(tmp_path / "none.json")):
+    for done in (run_gateway(""), run_gateway(tmp_path / "none.json")):
         assert done.returncode != 0 and len(done.stderr.splitlines()) == 1
 
 
@@ -79,7 +79,7 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration({}, "127.0.0.1:1")))
-        done = start(path, ROUTER_LISTEN=f"127.0.0.1:{taken.getsockname()[1]}")
+        done = run_gateway(path, ROUTER_LISTEN=f"127.0.0.1:{taken.getsockname()[1]}")
     assert done.returncode == 1 and "cannot start" in done.stderr.splitlines()[-1]
 
 
