--- a/badgergap/proxy/lifecycle/proxy_settings.py
+++ b/badgergap/proxy/lifecycle/proxy_settings.py
@@ -29,7 +29,7 @@
     """The quota and share of one tenant."""
 
     quota_per_s: float = 0.0  # requests per second within its quota, summed over all proxies
-    share: float = 0.0  # of the capacity, 0 to 1
+    share: float = 0.0  # of the fleet's service, 0 to 1
 
     def __post_init__(self) -> None:
         """Raise ValueError for an invalid field."""
