--- a/badgergap/proxy/lifecycle/process.py
+++ b/badgergap/proxy/lifecycle/process.py
@@ -1,4 +1,4 @@
-"""One gateway as a process: start, signals, reloads, graceful shutdown; `component.py` is what it runs."""
+"""The gateway process: start, signals, reloads and graceful shutdown of its components (`component.py`)."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     Component,
     ConfigurationSource,
     Drainable,
+    HotRestart,
+    HotRestartFactory,
     PoolOwner,
     ReadConfig,
-    Succeed,
-    Succession,
 )
 from badgergap.proxy.lifecycle.config import Config, ConfigError
 from badgergap.proxy.limits import eviction
@@ -35,7 +35,7 @@
 
 
 class GatewayProcess:
-    """The parts of one gateway, in the order in which they start and end."""
+    """The parts of one gateway; starts and closes them in order."""
 
     def __init__(
         self,
@@ -43,58 +43,58 @@
         proxy: Proxy,
         downstream: Downstream,
         components: Sequence[Component],
-        succession: Succession | None,
+        hot_restart: HotRestart | None,
     ) -> None:
         self.config = config
         self.proxy = proxy
         self.downstream = downstream
         self.components = components
-        self.succession = succession
+        self.hot_restart = hot_restart
 
     async def start(self) -> Reloader:
-        """Start everything that serves. Raises OSError."""
-        if self.succession is not None:
-            self.succession.join(self.proxy, self.downstream, self.components)
+        """Start all parts and return the reloader. Raises OSError."""
+        if self.hot_restart is not None:
+            self.hot_restart.join(self.proxy, self.downstream, self.components)
         for component in self.components:
             component.join(self.proxy)
         self.proxy.diagnostics.loop_monitor.start()
         await self.proxy.start()
-        if self.succession is not None:
-            self.succession.restore_learned_state()
+        if self.hot_restart is not None:
+            self.hot_restart.restore_learned_state()
         reloader = Reloader(self.proxy, self.downstream, self.components)
         for component in self.components:
             if isinstance(component, ConfigurationSource):
-                component.steers(reloader.reload)
+                component.set_reload(reloader.reload)
         if self.config.listen is not None:
-            inherited = self.succession.listener if self.succession is not None else None
+            inherited = self.hot_restart.listener if self.hot_restart is not None else None
             self.proxy.client_address = await self.downstream.start(inherited)
             log.info("%s listens on %s:%d", self.config.name, *self.proxy.client_address)
         for component in self.components:
             await component.start()
-        if self.succession is not None:
-            self.succession.take()
+        if self.hot_restart is not None:
+            self.hot_restart.take_clients()
         return reloader
 
     async def drain(self) -> None:
-        """Answer all requests that were accepted.
+        """Shut down gracefully: return when all accepted requests are answered.
 
-        A component that fails does not keep the others from answering theirs: its error is logged.
+        An error of one part is logged and does not prevent the others from answering their requests.
         """
-        if self.succession is not None:
-            self.succession.end()
+        if self.hot_restart is not None:
+            self.hot_restart.on_shutdown()
         drains = [component.drain() for component in self.components if isinstance(component, Drainable)]
         if self.config.listen is not None:
             drains.append(self.downstream.drain())
         for error in await asyncio.gather(*drains, return_exceptions=True):
             if error is not None:
-                log.error("the end was not as planned", exc_info=error)
+                log.error("graceful shutdown failed", exc_info=error)
 
     async def close(self) -> None:
-        """End all parts, the one that started last first."""
+        """Close all parts, in the reverse order of their start."""
         for component in reversed(self.components):
             await component.close()
-        if self.succession is not None:
-            await self.succession.close()
+        if self.hot_restart is not None:
+            await self.hot_restart.close()
         self.proxy.diagnostics.events.write_summary()
         self.proxy.close()
 
@@ -104,32 +104,32 @@
     read_again: ReadConfig,
     components: Sequence[Component] = (),
     observer: Observer | None = None,
-    early: Sequence[int] = (),
-    succeed: Succeed | None = None,
+    early_hangups: Sequence[int] = (),
+    make_hot_restart: HotRestartFactory | None = None,
 ) -> None:
     """Run until SIGTERM or SIGINT, and then until all accepted requests are answered.
 
-    `early`: SIGHUPs that came before the loop ran. Raises OSError where an address cannot be bound.
+    `early_hangups`: SIGHUPs received before the event loop ran. Raises OSError if an address cannot be bound.
     """
     loop = asyncio.get_running_loop()
     stopped, hung_up = watch_signals(loop)
-    if early:
+    if early_hangups:
         hung_up.set()
-    succession = succeed(config) if succeed is not None else None
-    inherited = await succession.inherit() if succession is not None else None
+    hot_restart = make_hot_restart(config) if make_hot_restart is not None else None
+    inherited = await hot_restart.inherit() if hot_restart is not None else None
     proxy = Proxy(
         config if inherited is None else replace(config, known=inherited.endpoint_list), loop, observer
     )
     if inherited is not None:
         proxy.clock.offset_ns = inherited.clock_offset_ns
     downstream = Downstream(config, proxy, loop)
-    gateway = GatewayProcess(config, proxy, downstream, components, succession)
+    gateway = GatewayProcess(config, proxy, downstream, components, hot_restart)
     reloader = await gateway.start()
     commands = await start_command_listener(config, proxy, downstream, components)
     reloads = loop.create_task(reload_on_signal(reloader, hung_up, read_again))
     await stopped.wait()
     ignore_signals(loop)
-    reloads.cancel()  # a process that ends applies no configuration
+    reloads.cancel()  # a process that shuts down applies no configuration
     await gateway.drain()
     if commands is not None:
         commands.close()
@@ -137,7 +137,7 @@
 
 
 def watch_signals(loop: asyncio.AbstractEventLoop) -> tuple[asyncio.Event, asyncio.Event]:
-    """Return the events that are set by a signal to stop, and by SIGHUP."""
+    """Return two events: one is set by SIGTERM and SIGINT, the other by SIGHUP."""
     stopped, hung_up = asyncio.Event(), asyncio.Event()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stopped.set)
@@ -148,14 +148,17 @@
 async def start_command_listener(
     config: Config, proxy: Proxy, downstream: Downstream, components: Sequence[Component]
 ) -> CommandListener | None:
-    """Listen at the second address, if there is one. Started last: PING says that clients are served."""
+    """Listen for operator commands, if an address is configured for them.
+
+    Started last, as a response to PING states that clients are served.
+    """
     if config.console is None:
         return None
 
     def proxies() -> list[Proxy]:
         owners = [component for component in components if isinstance(component, PoolOwner)]
-        further = [each for owner in owners for each in owner.proxies().values()]
-        return list(dict.fromkeys((proxy, *further)))
+        pool_proxies = [each for owner in owners for each in owner.proxies().values()]
+        return list(dict.fromkeys((proxy, *pool_proxies)))
 
     max_connections = min(MAX_CONNECTIONS, eviction.reserve(config.sockets) // 3)
     handler = CommandHandler(proxies, downstream)
@@ -167,10 +170,10 @@
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore all signals from here on: the process ends by itself.
+    """Ignore all handled signals from here on; the process ends by itself.
 
-    Guards against one that comes after the loop has closed and restored the default handlers: the process
-    would end as if it had crashed.
+    Closing the event loop restores the default handlers: a signal after that would end the process as if it
+    had crashed.
     """
     for number in (*STOP_SIGNALS, signal.SIGHUP):
         loop.remove_signal_handler(number)
@@ -178,14 +181,14 @@
 
 
 class Reloader:
-    """Applies one new configuration after the other while the gateway serves."""
+    """Applies new configurations to the running gateway, one at a time."""
 
     def __init__(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component]) -> None:
         self.proxy, self.downstream, self.components = proxy, downstream, components
         self.lock = asyncio.Lock()
 
     async def reload(self, read: ReadConfig) -> None:
-        """Read a configuration and apply it. Raises ConfigError, and then nothing has changed."""
+        """Read a configuration and apply it. Raises ConfigError without having changed anything."""
         async with self.lock:
             config = await asyncio.to_thread(read, self.proxy.latest_config)
             self.proxy.reload(config)
@@ -195,11 +198,11 @@
                 component.reload(config)
             for component in self.components:
                 if isinstance(component, AsyncReload):
-                    await component.followed()
+                    await component.wait_reloaded()
 
 
 async def reload_on_signal(reloader: Reloader, hung_up: asyncio.Event, read_again: ReadConfig) -> None:
-    """Apply the file again at each SIGHUP; an invalid one changes nothing."""
+    """Reload the configuration on each SIGHUP; an invalid configuration has no effect."""
     while True:
         await hung_up.wait()
         hung_up.clear()
@@ -216,22 +219,25 @@
     read_again: ReadConfig,
     components: Sequence[Component] = (),
     observer: Observer | None = None,
-    hung_up: Sequence[int] = (),
-    succeed: Succeed | None = None,
+    early_hangups: Sequence[int] = (),
+    make_hot_restart: HotRestartFactory | None = None,
 ) -> int:
-    """Serve until a signal to stop; return the exit code. `hung_up`: SIGHUPs that came during the start."""
-    gc.freeze()  # the objects of the imports are never garbage
-    gc.enable()  # `__main__` has it off while it imports
+    """Serve until a signal stops the process, and return the exit code.
+
+    `early_hangups`: SIGHUPs received during the start.
+    """
+    gc.freeze()  # objects created by imports are never garbage
+    gc.enable()  # `__main__` disables it during the imports
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, read_again, components, observer, hung_up, succeed))
+            runner.run(serve(config, read_again, components, observer, early_hangups, make_hot_restart))
     except OSError as error:
-        why = error if error.errno is not None else error.strerror  # this package's own have no number
+        why = error if error.errno is not None else error.strerror  # this package's own errors have no errno
         print(f"badgergap: cannot start: {why}", file=sys.stderr)
         return 1
     return 0
 
 
 def log_to_stderr() -> None:
-    """Send the log to stderr, with times."""
+    """Write the log to stderr, with timestamps."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
--- a/badgergap/proxy/proxy.py
+++ b/badgergap/proxy/proxy.py
@@ -358,7 +358,7 @@
                 if exchange is not None and exchange.has_pending_timeout:
                     self.upstream.on_timeout(exchange)
         if request.reply is not None:
-            self.request_log.out_of_time(request.trace)
+            self.request_log.deadline_passed(request.trace)
             self.send_final_answer(request, plain_text(504, "out of time"))
             self.feed(ClientDisconnected(request.id))
             self.remove_if_done(request)
@@ -425,7 +425,7 @@
         if request.reply is not None or request.attempts_in_flight:
             return
         if self.requests.pop(request.id, None) is not None:
-            self.request_log.over(request.trace)
+            self.request_log.finished(request.trace)
 
     # Attempts
 
