--- a/badgergap/replication/messages.py
+++ b/badgergap/replication/messages.py
@@ -218,12 +218,12 @@
     return _message_decoder.decode(data)
 
 
-def bits(partitions: set[int] | frozenset[int]) -> bytes:
+def encode_partitions(partitions: set[int] | frozenset[int]) -> bytes:
     """A set of partitions, a bit each."""
     return sum(1 << partition for partition in partitions).to_bytes(32, "little")
 
 
-def unbits(data: bytes) -> frozenset[int]:
-    """The set of partitions that `bits` was given."""
+def decode_partitions(data: bytes) -> frozenset[int]:
+    """The set of partitions that `encode_partitions` encoded."""
     number = int.from_bytes(data, "little")
     return frozenset(partition for partition in range(256) if number >> partition & 1)
--- a/badgergap/replication/placement_leader.py
+++ b/badgergap/replication/placement_leader.py
@@ -78,7 +78,7 @@
     def _propose_placement(self, now_us: int, reports: dict[str, Report], offers: list[Replica]) -> None:
         node = self.node
         filled = {
-            report.disk_id: messages.unbits(report.filled)
+            report.disk_id: messages.decode_partitions(report.filled)
             for report in reports.values()
             if report.epoch == node.placement.epoch
         }
--- a/badgergap/replication/status.py
+++ b/badgergap/replication/status.py
@@ -68,7 +68,7 @@
         found.append("seats are moving: new ones are being filled")
     behind: set[int] = set()
     for report in reports.values():
-        behind |= messages.unbits(report.behind)
+        behind |= messages.decode_partitions(report.behind)
     if behind:
         found.append(f"{len(behind)} parts lack something at one of their seats, and are being mended")
     if not placement.epoch:
@@ -91,7 +91,7 @@
         **description,
         "records": report.records,
         "bytes": report.size,
-        "behind": len(messages.unbits(report.behind)),
+        "behind": len(messages.decode_partitions(report.behind)),
         "scrubbed_s": report.scrubbed_us // 1_000_000 if report.scrubbed_us >= 0 else -1,
         "mended": report.mended,
     }
