--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -137,7 +137,7 @@
             return
         replica_node, request, there = self.replica_node, self.request, result.record
         now = replica_node.clock.now_us(self.now_us())
-        hole = replica_node.is_hole(request.key)
+        hole = replica_node.may_have_lost_records(request.key)
         match records.judge(
             there, request.digest, now, request.repeats, hole, replica_node.clock.sure_since_us()
         ):
--- a/badgergap/replication/placement.py
+++ b/badgergap/replication/placement.py
@@ -79,7 +79,7 @@
             None,
         )
 
-    def is_hole(self, partition: int, now_us: int) -> bool:
+    def may_have_lost_records(self, partition: int, now_us: int) -> bool:
         """Whether records of this partition may have been lost for good."""
         return now_us < self.holes.get(partition, 0)
 
--- a/badgergap/replication/replica.py
+++ b/badgergap/replication/replica.py
@@ -190,10 +190,12 @@
         self.now_us = now_us
         return self.proposer.change(now_us, key, change, done, now_us + within_us, prepared)
 
-    def is_hole(self, key: bytes) -> bool:
+    def may_have_lost_records(self, key: bytes) -> bool:
         """Whether records of this key may have been lost for good."""
         # No member's clock is behind the agreed time: by this one a hole is never over too soon.
-        return self.placement.is_hole(partition_of(key, self.placement.partitions), self.clock.agreed_us)
+        return self.placement.may_have_lost_records(
+            partition_of(key, self.placement.partitions), self.clock.agreed_us
+        )
 
     def query_claim(self, now_us: int, record: Record, on_answer: Callable[[str], None]) -> None:
         """Ask the gateway of a claim what became of it: a `ClaimState`, or `SILENT` if it does not say."""
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -362,7 +362,7 @@
         if it.broken or it.stuck:
             found.append(f"This gateway keeps no copies: {it.broken or it.stuck}.")
         holes = sum(
-            it.placement.is_hole(partition, it.clock.agreed_us)
+            it.placement.may_have_lost_records(partition, it.clock.agreed_us)
             for partition in range(it.placement.partitions)
         )
         if holes:
--- a/badgergap/replication/status.py
+++ b/badgergap/replication/status.py
@@ -35,7 +35,8 @@
         "parts": {str(copies): count for copies, count in sorted(counts.items())},
         "under_copied": sum(count for copies, count in counts.items() if copies < placement.copies),
         "lost": sum(
-            placement.is_hole(partition, node.clock.agreed_us) for partition in range(placement.partitions)
+            placement.may_have_lost_records(partition, node.clock.agreed_us)
+            for partition in range(placement.partitions)
         ),
         "promised": max((report.records for report in reports.values()), default=0),
         "in_doubt": max((report.doubt for report in reports.values()), default=0),
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -226,5 +226,5 @@
         patches=((repair, "PartitionComparison", AdoptsAnything),),
     ),
     Guard("a wiped disk is another", "moves", 148, world=SameIdentity),
-    Guard("what was lost is in doubt", "ruin", 2, patches=((Placement, "is_hole", no_holes),)),
+    Guard("what was lost is in doubt", "ruin", 2, patches=((Placement, "may_have_lost_records", no_holes),)),
 ]
