--- a/badgergap/replication/placement_leader.py
+++ b/badgergap/replication/placement_leader.py
@@ -55,7 +55,7 @@
 
     def tick(self, now_us: int) -> None:
         """Propose what is due: a tick of the clock, and a placement that fits the reports."""
-        if not self.leads or not self.members or self.node.stuck:
+        if not self.leads or not self.members or self.node.unsupported:
             return
         tick = self.node.clock.next(now_us)
         if tick is not None:
--- a/badgergap/replication/repair.py
+++ b/badgergap/replication/repair.py
@@ -91,7 +91,7 @@
             self.allowance + (now_us - self.allowed_us) * self.node.options.rate / 1e6,
         )
         self.allowed_us = now_us
-        if self.node.broken or self.node.stuck or not self.node.placement.epoch:
+        if self.node.broken or self.node.unsupported or not self.node.placement.epoch:
             return
         for comparison in list(self.comparisons.values()):
             if now_us - comparison.moved_us > GIVE_UP_US:
--- a/badgergap/replication/replica.py
+++ b/badgergap/replication/replica.py
@@ -57,8 +57,8 @@
 class ReplicaNode:
     """Everything that one member does for replication.
 
-    `broken` says why its disk keeps nothing, `stuck` what of a later program it does not know. While one of
-    the two is set, it answers no proposer.
+    `broken` is why its disk stores nothing, `unsupported` what a later program version has written that this
+    one cannot read; both are empty in normal operation. While either is set, the node answers no proposer.
     """
 
     # Tests put classes in their place that lack a guard.
@@ -87,7 +87,7 @@
         self.report_us = now_us  # when the next report is due
         self.report_summary: tuple[int, messages.ReportSummary] | None = None  # of the leader, and when
         self.broken = ""
-        self.stuck = ""
+        self.unsupported = ""
         # What the driver is to do
         self.out: list[Action] = []
         self.saving: list[bytes] = []
@@ -109,19 +109,21 @@
 
     def on_placement(self, now_us: int, number: int, data: bytes) -> None:
         """The group has agreed on a placement; what it says of an older epoch is ignored."""
-        if number <= self.number or self.stuck:
+        if number <= self.number or self.unsupported:
             return
         try:
             placement = placements.decode(data)
         except placements.UnreadablePlacementError as error:
-            self.stuck = str(error)
+            self.unsupported = str(error)
             self.out.append(Alert(f"copies: {error}: nothing is kept here"))
             return
         self.number = number
         if placement.epoch <= self.placement.epoch:
             return
         if placement.partitions != self.options.partitions:
-            self.stuck = f"{placement.partitions} parts, and this program knows {self.options.partitions}"
+            self.unsupported = (
+                f"{placement.partitions} parts, and this program knows {self.options.partitions}"
+            )
             return
         self.placement = placement
         self.leader.placed_us = now_us
@@ -163,7 +165,7 @@
         try:
             self.clock.on_tick(now_us, number, data, own)
         except msgspec.MsgspecError as error:
-            self.stuck = f"a clock that this program does not know: {error}"
+            self.unsupported = f"a clock that this program does not know: {error}"
             return
         self.store.expire(self.clock.agreed_us)
 
@@ -308,7 +310,9 @@
 
     def serves(self, disk_id: str, epoch: int) -> bool:
         """Whether a message to that disk, in that epoch, is to be answered."""
-        return disk_id == self.disk_id and epoch == self.store.epoch and not self.broken and not self.stuck
+        return (
+            disk_id == self.disk_id and epoch == self.store.epoch and not self.broken and not self.unsupported
+        )
 
     def _save(self, lines: Iterable[bytes]) -> None:
         self.saving += lines
@@ -323,7 +327,7 @@
         self.out.append(Send(name, message, after if after > self.durable else 0))
 
     def _on_prepare(self, name: str, message: Prepare) -> None:
-        if message.disk_id != self.disk_id or self.broken or self.stuck:
+        if message.disk_id != self.disk_id or self.broken or self.unsupported:
             return
         epoch = self.store.epoch
         reply = acceptor.Reply(False)
@@ -344,7 +348,7 @@
         self.reply(name, promised, bool(reply.lines_to_save) or reply.accepted > acceptor.NO_BALLOT)
 
     def _on_accept(self, name: str, message: Accept) -> None:
-        if message.disk_id != self.disk_id or self.broken or self.stuck:
+        if message.disk_id != self.disk_id or self.broken or self.unsupported:
             return
         epoch = self.store.epoch
         reply = acceptor.Reply(False)
@@ -376,7 +380,7 @@
             self.store.records,
             self.store.bytes,
             self.store.state_counts.get("doubt", 0),
-            self.broken or self.stuck,
+            self.broken or self.unsupported,
             self.repair.scrubbed_ago_us(now_us),
             self.repair.mended,
         )
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -346,8 +346,8 @@
         it = self.replica_node
         if it is None or not it.placement.epoch:
             return "copies: none is placed yet"
-        if it.broken or it.stuck:
-            return f"copies: KEEPS NOTHING: {it.broken or it.stuck}"
+        if it.broken or it.unsupported:
+            return f"copies: KEEPS NOTHING: {it.broken or it.unsupported}"
         behind = f", {len(it.repair.behind)} parts behind" if it.repair.behind else ""
         state = "moving" if it.placement.before is not None else "settled"
         epoch = f"epoch {it.placement.epoch} {state}"
@@ -359,8 +359,8 @@
         if it is None:
             return []
         found = []
-        if it.broken or it.stuck:
-            found.append(f"This gateway keeps no copies: {it.broken or it.stuck}.")
+        if it.broken or it.unsupported:
+            found.append(f"This gateway keeps no copies: {it.broken or it.unsupported}.")
         holes = sum(
             it.placement.may_have_lost_records(partition, it.clock.agreed_us)
             for partition in range(it.placement.partitions)
