--- a/badgergap/cli/copies.py
+++ b/badgergap/cli/copies.py
@@ -60,7 +60,7 @@
         copies=table.copies,
         rate=table.refill,
         bounds=Bounds(table.records, int(table.memory), table.tenant_share),
-        longest_us=max(longest, LEAST_US),
+        max_retention_us=max(longest, LEAST_US),
     )
 
 
--- a/badgergap/replication/options.py
+++ b/badgergap/replication/options.py
@@ -18,4 +18,4 @@
     rate: int = 4000  # records a second that are fetched or settled to fill or repair this replica
     bounds: Bounds = field(default_factory=Bounds)
     partitions: int = PARTITIONS
-    longest_us: int = 600_000_000  # for which any route keeps a record
+    max_retention_us: int = 600_000_000  # for which any route keeps a record
--- a/badgergap/replication/placement_leader.py
+++ b/badgergap/replication/placement_leader.py
@@ -82,7 +82,7 @@
             for report in reports.values()
             if report.epoch == node.placement.epoch
         }
-        hole_until_us = node.group_us() + node.options.longest_us + 2 * records.SLACK_US
+        hole_until_us = node.group_us() + node.options.max_retention_us + 2 * records.SLACK_US
         placement = placements.next_of(
             node.placement,
             offers,
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -91,7 +91,7 @@
             log.warning("[copies] stays as it was: %s", error)
             return
         # What was promised under a longer time holds, whatever comes after it.
-        options.longest_us = max(options.longest_us, self.options.longest_us)
+        options.max_retention_us = max(options.max_retention_us, self.options.max_retention_us)
         self.options = options
         if self.replica_node is not None:
             self.replica_node.options = options
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -334,7 +334,7 @@
                 4000,
                 Bounds(),
                 partitions=self.partitions,
-                longest_us=self.keep_us,
+                max_retention_us=self.keep_us,
             ),
             node.disk_id,
             list(node.disk.durable),
