--- a/badgergap/replication/acceptor.py
+++ b/badgergap/replication/acceptor.py
@@ -168,7 +168,7 @@
         entry = self.entries.get(key)
         if entry is not None and (entry.ballot > ballot or (entry.ballot == ballot and not mend)):
             return b""
-        if records.is_over(records.decode(value), agreed_us):
+        if records.has_expired(records.decode(value), agreed_us):
             return b""
         return self._put(key, ballot, value)
 
--- a/badgergap/replication/idempotency_record.py
+++ b/badgergap/replication/idempotency_record.py
@@ -87,7 +87,7 @@
     return digest.digest()
 
 
-def is_over(record: Record, now_us: int) -> bool:
+def has_expired(record: Record, now_us: int) -> bool:
     """Whether it has expired, with the time for which clocks may differ."""
     return now_us >= record.expires_us + SLACK_US
 
@@ -123,7 +123,7 @@
     `hole`: copies of this partition were lost beyond repair. `sure_since_us`: the group's clock is known to
     have gone on without a break since then, so that no more time has passed than it says.
     """
-    if record is None or is_over(record, now_us):
+    if record is None or has_expired(record, now_us):
         return Decision.DOUBT if hole else Decision.RUN
     if record.digest != digest:
         return Decision.OTHER
--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -188,7 +188,7 @@
 
         def change(there: Record | None) -> Record | None:
             now = self.replica_node.clock.now_us(self.now_us())
-            if there is not None and records.is_over(there, now):
+            if there is not None and records.has_expired(there, now):
                 there = None
             if not records.follows(there, record):
                 return None
