--- a/badgergap/replication/__init__.py
+++ b/badgergap/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway holds for others, copied: registers of keys by quorums, and effects that run once."""
+"""Replicated idempotency records, so that a keyed request runs once, and copies of learned state."""
--- a/badgergap/replication/claims.py
+++ b/badgergap/replication/claims.py
@@ -1,4 +1,4 @@
-"""The claims of one gateway: what it says of a run of its own when another member asks. Pure."""
+"""The claims of one gateway: the states of its runs, for queries of other members. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 from collections import OrderedDict
 from typing import Literal
 
-STUCK_US = 120_000_000  # for a run to end, after its client's time
-CLAIMS_LIMIT = 20_000  # whose end is remembered
+RUN_GRACE_US = 120_000_000  # for which a run may continue after its client's deadline
+CLAIMS_LIMIT = 20_000
 
-# "gone": not of this process, or forgotten; "ran": it did, or may have.
+# "gone": a claim of another process, or no longer remembered; "ran": it ran, or may have.
 ClaimState = Literal["working", "ran", "never", "gone"]
 
 
 class ClaimRegistry:
-    """The claims that this process has made, those that began or ended last at the end."""
+    """The claims that this process has made, in the order in which they last began or ended."""
 
     def __init__(self, incarnation: int, rng: random.Random) -> None:
         self.incarnation = incarnation
         self.rng = rng
-        self.claims: OrderedDict[str, tuple[ClaimState, int]] = OrderedDict()  # until when "working" holds
+        self.claims: OrderedDict[str, tuple[ClaimState, int]] = OrderedDict()  # state, end of "working"
 
     def new(self, member: str) -> str:
-        """A name for a run of this member's that nobody has had."""
+        """Return a new, unique claim for a run of this member."""
         return f"{member}/{self.rng.getrandbits(63):x}"
 
     def started(self, claim: str, until_us: int) -> None:
-        """A run is under way. One that is long over its time may have run."""
-        self.claims[claim] = ("working", until_us + STUCK_US)
+        """Record that a run is under way. Long after its deadline it counts as one that may have run."""
+        self.claims[claim] = ("working", until_us + RUN_GRACE_US)
 
     def ended(self, claim: str, state: Literal["ran", "never"]) -> None:
-        """What became of a run, for whoever asks."""
+        """Record the result of a run, and forget the oldest finished claims above the limit."""
         self.claims[claim] = (state, 0)
         self.claims.move_to_end(claim)
         while len(self.claims) > CLAIMS_LIMIT:
@@ -41,7 +41,7 @@
             del self.claims[oldest]
 
     def state_of(self, claim: str, incarnation: int, now_us: int) -> ClaimState:
-        """What is known of a claim that a process of this incarnation made."""
+        """Return the state of a claim that the process of this incarnation made."""
         state, until_us = self.claims.get(claim, ("gone", 0))
         if incarnation != self.incarnation:
             return "gone"
--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts of a keyed request: each waits until its record is stored, and then goes to an endpoint."""
+"""Attempts of a keyed request: each is sent to an endpoint only after its record is stored."""
 
 from __future__ import annotations
 
@@ -16,63 +16,63 @@
 if TYPE_CHECKING:
     from badgergap.replication.keyed_request import KeyedRequest
 
-# Outcomes after which a request has certainly not run.
+# Outcomes after which the request has certainly not run.
 NOT_STARTED = (Outcome.NEVER_SENT, Outcome.CONNECT_FAILED, Outcome.REJECTED)
 
 
 class ForwardingClient:
-    """The client of the turn to an endpoint. One that was withdrawn tells nobody anything."""
+    """The client of a keyed request's inner turn. It ignores the events of a turn that was withdrawn."""
 
     def __init__(self, keyed_request: KeyedRequest, turn: Turn) -> None:
         self.keyed_request, self.turn = keyed_request, turn
 
     @property
     def open(self) -> bool:
-        """Whether its request still waits for this turn's answer."""
+        """Whether the keyed request still waits for this turn's answer."""
         return self.keyed_request.inner is self.turn
 
     def client_has_left(self) -> bool:
-        """Whether nobody waits for this turn's answer any more."""
+        """Return whether this turn's answer is not needed any more."""
         return not self.open or self.keyed_request.client.client_has_left()
 
     def answer(self, answer: Answer) -> None:
-        """Pass on the endpoint's whole answer."""
+        """Forward a whole answer."""
         if self.open:
             self.keyed_request.answer(answer)
 
     def interim(self, status: int, headers: Headers) -> None:
-        """Pass on an interim (1xx) response, unless the keyed request has its final answer."""
+        """Forward an interim (1xx) response, unless the client has its final answer."""
         if self.open and not self.keyed_request.over:
             self.keyed_request.client.interim(status, headers)
 
     def send_continue(self) -> None:
-        """The body is here."""
+        """Do nothing: the body has been received."""
 
     def begin(self, head: AnswerHead, source: DownloadSource) -> None:
-        """Pass on the head of a streamed answer, whose body `source` delivers."""
+        """Forward the head of a streamed answer, whose body `source` delivers."""
         if self.open:
-            self.keyed_request.begin(head, source)
+            self.keyed_request.on_head(head, source)
 
     def data(self, data: bytes) -> None:
-        """Pass on a piece of a streamed answer's body."""
+        """Forward a chunk of a streamed answer's body."""
         if self.open:
-            self.keyed_request.data(data)
+            self.keyed_request.on_data(data)
 
     def end(self, trailers: Headers) -> None:
-        """Pass on the end of a streamed answer."""
+        """Forward the end of a streamed answer."""
         if self.open:
-            self.keyed_request.end_of(trailers)
+            self.keyed_request.on_end(trailers)
 
     def abort(self) -> None:
-        """Pass on that a streamed answer broke off before its end."""
+        """Report that a streamed answer was aborted before its end."""
         if self.open:
-            self.keyed_request.broke()
+            self.keyed_request.on_aborted()
 
 
 class PendingAttempt(Exchange):
-    """An attempt that waits until its record is stored, and then carries the request.
+    """An attempt that waits until its record is stored, and then sends the request.
 
-    `inner` is the attempt on the upstream, once there is one.
+    `inner` is the attempt on the upstream, once it has started.
     """
 
     __slots__ = ("begin", "epoch", "inner", "keyed_request", "listener", "sent", "until", "upstream")
@@ -95,8 +95,8 @@
         self.sent = False
         self.epoch = upstream.current_epoch() if upstream.current_epoch is not None else 0
 
-    def ask(self, server: int) -> None:
-        """Have a record stored that names this endpoint."""
+    def store_record(self, server: int) -> None:
+        """Store a record that names this endpoint, before the request is sent to it."""
         idempotent = self.keyed_request.idempotent
         if self.done:
             return
@@ -107,28 +107,28 @@
         self.keyed_request.idempotency_filter.service.settle()
 
     def go(self, may: bool) -> None:
-        """The record is stored, or it may not go (`may` is False)."""
+        """Send the request if `may`: its record is stored. Otherwise end the attempt as never sent."""
         idempotent = self.keyed_request.idempotent
         assert idempotent is not None
-        left_s = self.until - self.keyed_request.loop.time()
+        remaining_s = self.until - self.keyed_request.loop.time()
         is_current = self.upstream.is_epoch_current(self.epoch)
-        if self.done or self.start_prevented or not may or left_s <= 0 or not is_current:
+        if self.done or self.start_prevented or not may or remaining_s <= 0 or not is_current:
             if may:
                 idempotent.attempt_over(False)
             if not self.done:
                 self.never_sent()
             return
         self.sent = True
-        self.inner = self.begin(left_s, AttemptObserver(self))
+        self.inner = self.begin(remaining_s, AttemptObserver(self))
 
     def prevent_start(self) -> None:
-        """Its answer is not wanted any more."""
+        """Keep the request from being sent if it has not been: its answer is not needed any more."""
         super().prevent_start()
         if self.inner is not None:
             self.inner.prevent_start()
 
-    def over(self, outcome: Outcome) -> None:
-        """Report whether the endpoint may have run the request."""
+    def report_ended(self, outcome: Outcome) -> None:
+        """Report to the idempotent request whether the endpoint may have run it."""
         idempotent = self.keyed_request.idempotent
         if self.sent and idempotent is not None:
             self.sent = False
@@ -137,7 +137,7 @@
             )
 
     def give_up(self, outcome: Outcome) -> None:
-        """End it with this outcome; one that was not sent yet ends as never sent."""
+        """End the attempt with this outcome; one that was not sent yet is cancelled or never sent."""
         if self.done:
             return
         if self.inner is not None:
@@ -147,24 +147,24 @@
 
 
 class AttemptObserver:
-    """The listener that the attempt which carries the request reports to."""
+    """The listener of the attempt on the upstream."""
 
     def __init__(self, attempt: PendingAttempt) -> None:
         self.attempt = attempt
 
     def on_committed(self) -> None:
-        """Pass on that the request cannot go to another endpoint any more."""
+        """Report that the request cannot be sent to another endpoint any more."""
         self.attempt.listener.on_committed()
 
     def on_response_started(self, status: int, waited_s: float) -> None:
-        """Pass on the status of a response that has started, and the seconds waited for it."""
+        """Report the status of a response that has started, and the seconds waited for it."""
         self.attempt.listener.on_response_started(status, waited_s)
 
     def on_ended(self, outcome: Outcome, answer: Answer | None) -> None:
-        """Keep the endpoint's answer, report whether it may have run the request, and end the attempt."""
+        """Store the endpoint's answer, report whether it may have run the request, and end the attempt."""
         attempt = self.attempt
         attempt.written = attempt.inner.written if attempt.inner is not None else False
         if answer is not None:
             attempt.keyed_request.endpoint_answer = answer
-        attempt.over(outcome)
+        attempt.report_ended(outcome)
         attempt.end(outcome, answer)
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -1,7 +1,8 @@
-"""One keyed request: the client of its turn to an endpoint, and the runner of its `IdempotentRequest`.
+"""A keyed request: the client of its inner turn to an endpoint, and the runner of its `IdempotentRequest`.
 
-The client's own turn waits. The request that goes to an endpoint is a turn of its own, whose client is the
-`KeyedRequest`: so an answer is here completely, up to what is stored of one, before any of it goes on.
+The client's own turn waits. The request to an endpoint is a separate, inner turn whose client is the
+`KeyedRequest`, so that an answer is received whole, up to the size that is stored, before any of it is
+forwarded.
 """
 
 from __future__ import annotations
@@ -34,14 +35,14 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 256 * 1024  # bytes of a request's body (413)
-WAITING_LIMIT = 1024  # requests of one key that wait here for another one (503)
-LAST_RESORT_S = 0.4  # after the client's deadline: later than whatever else ends a request
+BODY_LIMIT = 256 * 1024  # bytes of a request's body (413 above it)
+WAITING_LIMIT = 1024  # requests of one key that wait for the running one (503 above it)
+FALLBACK_DELAY_S = 0.4  # after the client's deadline: later than anything else that ends a request
 WAITING_MARGIN_S = 0.05  # before the client's deadline, when a waiting request is answered
 
 
 class KeyQueue:
-    """Requests of one key that are here at once: the first one runs, the others wait for its outcome."""
+    """The concurrent requests of one key at this gateway: one runs, the others wait for its outcome."""
 
     def __init__(self, digest: bytes) -> None:
         self.digest = digest
@@ -49,7 +50,7 @@
 
 
 class KeyedRequest:
-    """One keyed request: the client of its turn to an endpoint, and what `IdempotentRequest` runs."""
+    """One keyed request: the client of its inner turn, and the `Runner` of its `IdempotentRequest`."""
 
     def __init__(
         self,
@@ -73,60 +74,60 @@
         self.body = b""
         self.idempotent: IdempotentRequest | None = None
         self.queue: KeyQueue | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.last_resort: asyncio.TimerHandle | None = None
-        self.over = False  # the client has its answer, or has gone
+        self.wait_timer: asyncio.TimerHandle | None = None
+        self.fallback_timer: asyncio.TimerHandle | None = None
+        self.over = False  # the client has received its answer, or has disconnected
         self.inner: Turn | None = None
-        # Of an endpoint's answer
-        self.endpoint_answer: Answer | None = None  # as the decisions were told of it
+        # The endpoint's answer
+        self.endpoint_answer: Answer | None = None  # as it was reported to the balancer
         self.head: AnswerHead | None = None
         self.source: DownloadSource | None = None
         self.buffered = bytearray()
-        self.passing = False  # it is longer than what is kept, and goes on as it comes
+        self.streaming = False  # the answer is too long to store, and is streamed to the client
         self.ended = False
         self.trailers: Headers = []
 
     @property
     def is_running(self) -> bool:
-        """Whether it is this request that runs, and its outcome is not decided yet."""
+        """Whether this is the running request of its key, with no outcome yet."""
         return self.idempotent is not None and self.idempotent.running
 
     # The client's request
 
     def start(self) -> None:
-        """Wait for the body, and then for the key's turn."""
+        """Wait for the body, and then for earlier requests of the key."""
         turn, upload = self.turn, self.turn.upload
         self.idempotency_filter.open_requests += 1
         turn.joined = self
         upload.hold = BODY_LIMIT
         if upload.complete:
-            self.ready()
+            self.on_body_ready()
             return
-        upload.on_ready = self.ready
+        upload.on_ready = self.on_body_ready
         upload.flow(True)
         if turn.expects:
-            self.client.send_continue()  # its body is wanted before any endpoint is asked
+            self.client.send_continue()  # the body is needed before an endpoint is chosen
 
-    def ready(self) -> None:
-        """The body is here, or is longer than `BODY_LIMIT`."""
+    def on_body_ready(self) -> None:
+        """Start the request, or queue it, once the body is complete; reject a body above `BODY_LIMIT`."""
         upload = self.turn.upload
         if not upload.complete:
             self.reply(plain_text(413, f"a keyed request's body is {BODY_LIMIT} bytes at the most"))
             return
         self.body = b"".join(upload.held)
         turn, way = self.turn, self.way
-        # Its time is for the answer: it begins with the last byte of the request.
+        # The time limit applies to the answer, so it starts with the last byte of the request.
         self.received_at = self.loop.time()
         self.deadline_us = clock_us() + max(0, way.answer_us - TRANSIT_US)
         digest = records.digest_of(
             turn.method, way.path + way.query, turn.by_name.get(b"authorization", b""), self.body
         )
-        left_s = (self.deadline_us - clock_us()) / 1e6
-        self.last_resort = self.loop.call_later(left_s + LAST_RESORT_S, self.answer_at_last)
+        remaining_s = (self.deadline_us - clock_us()) / 1e6
+        self.fallback_timer = self.loop.call_later(remaining_s + FALLBACK_DELAY_S, self.send_fallback_answer)
         queue = self.idempotency_filter.queues.get(self.key)
         if queue is None:
             self.queue = self.idempotency_filter.queues[self.key] = KeyQueue(digest)
-            self.begin_run(digest)
+            self.start_run(digest)
         elif queue.digest != digest:
             self.reply(gateway_answer(End.OTHER, None))
         elif len(queue.waiting) >= WAITING_LIMIT:
@@ -134,24 +135,26 @@
         else:
             self.queue = queue
             queue.waiting.append(self)
-            self.timer = self.loop.call_later(max(0.0, left_s - WAITING_MARGIN_S), self.waited_out)
+            self.wait_timer = self.loop.call_later(
+                max(0.0, remaining_s - WAITING_MARGIN_S), self.on_wait_timeout
+            )
 
-    def answer_at_last(self) -> None:
-        """Guards against a fault here that would leave the client with no answer at all."""
+    def send_fallback_answer(self) -> None:
+        """Answer a client that has no answer after its deadline, which only a fault in this module causes."""
         if not self.over and self.head is None:
-            log.warning("a keyed request had no answer at its deadline")
+            log.warning("keyed request had no answer at its deadline; sending a fallback answer")
             idempotent = self.idempotent
             may_have_run = idempotent is not None and idempotent.sent
             self.reply(gateway_answer(End.DOUBT if may_have_run else End.UNREACHABLE, None))
             if idempotent is not None:
                 idempotent.left()
 
-    def waited_out(self) -> None:
-        """The request before this one is still under way at this one's deadline."""
+    def on_wait_timeout(self) -> None:
+        """Answer that the running request of the key is still under way at this one's deadline."""
         self.reply(gateway_answer(End.UNDER_WAY, None))
 
-    def begin_run(self, digest: bytes) -> None:
-        """It is this request's turn among those of its key."""
+    def start_run(self, digest: bytes) -> None:
+        """Start this request, the next one of its key."""
         replica_node, way = self.idempotency_filter.service.replica_node, self.way
         assert replica_node is not None
         request_class = way.proxy.settings.classes[way.klass]
@@ -162,7 +165,7 @@
                 request_class.deduplication_scope is DeduplicationScope.ALL,
             )
         elif request_class.idempotency is Idempotency.SAFE:
-            repeats = Repeats(way.once_us, True)  # whatever endpoint has it, running it again does no harm
+            repeats = Repeats(way.once_us, True)  # running it again does no harm at any endpoint
         request = RequestSpec(
             self.key,
             digest,
@@ -176,11 +179,11 @@
         self.idempotency_filter.service.settle()
 
     def leave(self) -> None:
-        """Its client has gone. What has gone to an endpoint goes on, so that its outcome is kept."""
+        """Handle the client's disconnect. An attempt that was sent continues: its outcome is stored."""
         if self.over:
             return
         self.close("left")
-        if self.source is not None and self.passing:
+        if self.source is not None and self.streaming:
             self.source.client_left()
         elif self.idempotent is not None:
             self.idempotent.left()
@@ -192,19 +195,19 @@
             self.inner.exchange.check_time(now, between_s, answer_s)
 
     def reply(self, answer: Answer, how: str = "") -> None:
-        """The final answer, unless there was one. `how`: what it counts as, in place of its status."""
+        """Send the final answer, unless there was one. `how` names its counter, by default its status."""
         if not self.over:
             self.close(how or str(answer.status))
             self.client.answer(answer)
 
     def close(self, how: str) -> None:
-        """The client needs nothing more: count it, and let the next request of the key go on."""
+        """Finish the client's request: count it, and start the next request of the key."""
         self.over = True
         self.idempotency_filter.open_requests -= 1
         self.idempotency_filter.count(how)
         self.turn.joined = None
         self.turn.upload.on_ready = None
-        for timer in (self.timer, self.last_resort):
+        for timer in (self.wait_timer, self.fallback_timer):
             if timer is not None:
                 timer.cancel()
         queue = self.queue
@@ -213,33 +216,33 @@
         if self in queue.waiting:
             queue.waiting.remove(self)
         elif self.idempotent is not None and self.idempotency_filter.queues.get(self.key) is queue:
-            self.wake_next(queue)
+            self.start_next(queue)
 
-    def wake_next(self, queue: KeyQueue) -> None:
-        """The next one that waits looks for itself, and mostly finds the answer kept."""
+    def start_next(self, queue: KeyQueue) -> None:
+        """Start the next waiting request, which reads the record and usually finds the stored answer."""
         while queue.waiting:
             successor = queue.waiting.popleft()
             if not successor.over:
-                if successor.timer is not None:
-                    successor.timer.cancel()
+                if successor.wait_timer is not None:
+                    successor.wait_timer.cancel()
                 self.loop.call_soon(successor.take_over)
                 return
         del self.idempotency_filter.queues[self.key]
 
     def take_over(self) -> None:
-        """The request before this one is over."""
+        """Start this request after the one before it has ended."""
         queue = self.queue
         if queue is None:
             return
         if self.over:
-            self.wake_next(queue)
+            self.start_next(queue)
         else:
-            self.begin_run(queue.digest)
+            self.start_run(queue.digest)
 
     # As `Runner`
 
     def run(self, only: tuple[int, ...] | None) -> None:
-        """As `Runner`: begin a turn of its own for the request to an endpoint."""
+        """As `Runner`: begin an inner turn for the request to an endpoint."""
         turn, body = self.turn, self.body
         way = replace(
             self.way, once=None, join=None, only=only or (), gate=self.gate, began_at=self.received_at
@@ -262,13 +265,13 @@
         self.inner.start_alone(self.ways, ForwardingClient(self, self.inner))
 
     def withdraw(self) -> None:
-        """As `Runner`."""
+        """As `Runner`: abandon the inner turn."""
         inner, self.inner = self.inner, None
         if inner is not None:
             inner.abandon()
 
     def give(self, record: Record) -> None:
-        """As `Runner`. Whoever waits for this key gets the same answer."""
+        """As `Runner`: send the stored answer, also to the requests that wait for this key."""
         if record.whole:
             queue = self.queue
             answer = Answer(record.status, list(record.headers), record.body)
@@ -277,18 +280,18 @@
             for keyed_request in waiting:
                 keyed_request.reply(Answer(record.status, list(record.headers), record.body), "given")
         elif self.head is not None and self.source is not None and not self.over:
-            self.pass_answer()
+            self.stream_answer()
         else:
             self.reply(gateway_answer(End.TOO_LONG, record), End.TOO_LONG.name)
 
     def end(self, how: End, record: Record | None) -> None:
-        """As `Runner`."""
+        """As `Runner`: send an answer of the gateway's own."""
         if self.source is not None and not self.ended:
             self.source.client_left()
         self.reply(gateway_answer(how, record), how.name)
 
     def after(self, delay_us: int, what: Callable[[], None]) -> None:
-        """As `Runner`."""
+        """As `Runner`: call `what` after a delay."""
 
         def run() -> None:
             what()
@@ -306,94 +309,94 @@
         books: AttemptListener,
         begin: Callable[[float, AttemptListener], StreamAttempt],
     ) -> Exchange:
-        """As `Gate`: an attempt waits until its record is stored."""
+        """As `Gate`: hold an attempt until its record is stored."""
         assert self.idempotent is not None
         attempt = PendingAttempt(self, upstream, timeout_s, books, begin)
-        # Once the decisions have been told of the attempt, not from within.
-        self.loop.call_soon(attempt.ask, server)
+        # Deferred until the balancer has registered the attempt.
+        self.loop.call_soon(attempt.store_record, server)
         return attempt
 
     # The endpoint's answer
 
-    def begin(self, head: AnswerHead, source: DownloadSource) -> None:
-        """The head of the endpoint's answer."""
+    def on_head(self, head: AnswerHead, source: DownloadSource) -> None:
+        """Receive the head of the endpoint's answer."""
         self.head, self.source = head, source
 
-    def data(self, data: bytes) -> None:
-        """A piece of its body: buffered, or passed on once it is longer than what is stored."""
-        if self.passing:
+    def on_data(self, data: bytes) -> None:
+        """Receive a chunk of the body: buffer it, or forward it once the body is too long to store."""
+        if self.streaming:
             self.client.data(data)
             return
         self.buffered += data
         if len(self.buffered) > records.BODY_LIMIT and self.is_running:
             assert self.head is not None and self.source is not None
             self.source.flow(False)
-            self.answered(self.head.status, self.head.headers)
+            self.store_answer(self.head.status, self.head.headers)
 
-    def end_of(self, trailers: Headers) -> None:
-        """It is complete."""
+    def on_end(self, trailers: Headers) -> None:
+        """Receive the end of the endpoint's answer."""
         self.ended, self.trailers = True, trailers
-        if self.passing:
+        if self.streaming:
             if not self.over:
                 self.close("passed on")
                 self.client.end(trailers)
         elif self.head is not None and self.is_running:
-            self.answered(self.head.status, self.head.headers)
+            self.store_answer(self.head.status, self.head.headers)
 
-    def broke(self) -> None:
-        """It broke off."""
+    def on_aborted(self) -> None:
+        """Handle an endpoint's answer that was aborted before its end."""
         self.ended = True
-        if self.passing:
+        if self.streaming:
             if not self.over:
                 self.close("broke")
                 self.client.abort()
         elif self.is_running:
-            self.own(plain_text(502, "the answer broke off"))
+            self.reply_gateway_answer(plain_text(502, "the answer broke off"))
 
     def answer(self, answer: Answer) -> None:
-        """An answer of an endpoint that is here completely, or one of the gateway's own."""
+        """Receive a whole answer, of an endpoint or of the gateway itself."""
         if answer is self.endpoint_answer and self.is_running:
             self.buffered += answer.body
-            self.answered(answer.status, answer.headers)
+            self.store_answer(answer.status, answer.headers)
         else:
-            self.own(answer)
+            self.reply_gateway_answer(answer)
 
-    def answered(self, status: int, headers: Headers) -> None:
+    def store_answer(self, status: int, headers: Headers) -> None:
         """Have the endpoint's answer stored."""
         assert self.idempotent is not None
         self.idempotent.answered(status, tuple(headers), bytes(self.buffered))
         self.idempotency_filter.service.settle()
 
-    def own(self, answer: Answer) -> None:
-        """The gateway's own answer: the decisions have given the request up."""
+    def reply_gateway_answer(self, answer: Answer) -> None:
+        """Send the gateway's own answer, after the balancer has given the request up."""
         if self.idempotent is not None and self.idempotent.running:
             self.idempotent.gave_up()
             self.idempotency_filter.service.settle()
             self.reply(answer)
 
-    def pass_answer(self) -> None:
-        """It is kept that this has run; its answer is longer than what is kept, and goes on as it comes."""
+    def stream_answer(self) -> None:
+        """Stream an answer that is too long to store. The record, without the answer, is stored already."""
         assert self.head is not None and self.source is not None
-        self.passing = True
+        self.streaming = True
         self.client.begin(self.head, self)
         if self.buffered:
             self.client.data(bytes(self.buffered))
             self.buffered.clear()
         if self.ended:
-            self.end_of(self.trailers)
+            self.on_end(self.trailers)
         else:
             self.source.flow(True)
 
-    # As `DownloadSource` of an answer that is passed on
+    # As `DownloadSource` of a streamed answer
 
     def flow(self, on: bool) -> None:
-        """Read more of the endpoint's answer, or pause."""
+        """Resume or pause reading the endpoint's answer."""
         if self.source is not None and not self.ended:
             self.source.flow(on)
 
     def send_body(self, data: bytes) -> None:
-        """No tunnel has a key."""
+        """Do nothing: only tunnels send data, and a keyed request is never one."""
 
     def client_left(self) -> None:
-        """The client has gone while the answer was passed on."""
+        """Handle a client that disconnects while the answer is streamed."""
         self.leave()
--- a/badgergap/replication/learned_state.py
+++ b/badgergap/replication/learned_state.py
@@ -1,8 +1,8 @@
-"""What a gateway has learned about endpoints, stored by others and aged by the time that has passed. Pure.
+"""The learned state of a gateway about endpoints, stored by other members and aged on return. Does no I/O.
 
-A weaker class than what is promised: it is sent now and then, never waited for, and may be lost. A *health
-snapshot* is what `Balancer.snapshot` gives, of each pool. Its times are readings of the clock of the
-gateway that learnt it; who keeps it counts by its own clock how long, so nobody's wall clock is trusted.
+It is best effort, unlike idempotency records: it is sent periodically, never waited for, and may be lost. A
+*health snapshot* holds the result of `Balancer.snapshot` for each pool. Its times are clock readings of the
+gateway that took it; the member that stores it measures its age by its own clock: no wall clock is trusted.
 """
 
 from __future__ import annotations
@@ -18,44 +18,44 @@
 from badgergap.errors import BadgergapError
 from badgergap.replication.placement import Replica, replicas_of
 
-KEEPERS = 2  # others that keep a gateway's health snapshot: one of them may be lost with it
-HALF_LIFE_US = 60_000_000  # after which what one answer tells counts half
-OLDEST_US = 600_000_000  # beyond which a health snapshot is none
+KEEPERS = 2  # members that store a gateway's health snapshot: one may be lost together with the gateway
+HALF_LIFE_US = 60_000_000  # after which an observed response counts half
+MAX_AGE_US = 600_000_000  # after which a health snapshot is discarded
 SNAPSHOT_BYTES_LIMIT = 256 * 1024  # compressed; a longer one is not sent
-UNPACKED_BYTES = 4 * 1024 * 1024
-KEPT_BYTES = 8 * 1024 * 1024  # of all that is kept for others
-ENDPOINTS_LIMIT = 500  # of all pools: more hold up the loop for over 5 ms while they are written down
+UNPACKED_BYTES_LIMIT = 4 * 1024 * 1024
+STORED_BYTES_LIMIT = 8 * 1024 * 1024  # limit of all snapshots stored for other members
+ENDPOINTS_LIMIT = 500  # across all pools: encoding more stalls the event loop for over 5 ms
 
 BalancerSnapshot = dict[str, Any]  # as `Balancer.snapshot` gives it
 
 
 class BadHealthSnapshotError(BadgergapError, ValueError):
-    """A health snapshot is damaged, or of another program; the message says which."""
+    """A health snapshot cannot be decoded: it is damaged, or another program version has written it."""
 
 
 class HealthSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway has learned about the endpoints of its pools."""
+    """The learned state of one gateway about the endpoints of its pools."""
 
-    taken_us: int  # by the clock of the gateway that learnt it
-    classes: tuple[str, ...]  # what the figures by class stand for
+    taken_us: int  # by the clock of the gateway that took it
+    classes: tuple[str, ...]  # the request classes, in the order of the per-class figures
     pools: dict[str, BalancerSnapshot]
 
 
 class StoreSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """Keep this for me, in place of the one before."""
+    """Request to store the sender's health snapshot, in place of its last one."""
 
     health_snapshot: bytes
 
 
 class QuerySnapshot(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """What do you keep for me?"""
+    """Query for the health snapshot that is stored for the sender."""
 
 
 class StoredSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="h"):
     """The answer to `QuerySnapshot`."""
 
     health_snapshot: bytes
-    age_us: int  # for which it was kept
+    age_us: int  # for which it has been stored
 
 
 Message = StoreSnapshot | QuerySnapshot | StoredSnapshot
@@ -66,17 +66,17 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Raises MsgspecError."""
+    """Decode a message. Raises MsgspecError."""
     return _message_decoder.decode(data)
 
 
 def pack(health_snapshot: HealthSnapshot) -> bytes | None:
-    """None for one that is too long to be kept by others."""
+    """Encode and compress a health snapshot. Return None if it is too long for others to store."""
     data = zstandard.ZstdCompressor(level=3, write_checksum=True).compress(
         msgspec.msgpack.encode(health_snapshot)
     )
@@ -84,19 +84,19 @@
 
 
 def unpack(data: bytes) -> HealthSnapshot:
-    """Raises BadHealthSnapshotError."""
+    """Decode a packed health snapshot. Raises BadHealthSnapshotError."""
     try:
-        if zstandard.get_frame_parameters(data).content_size > UNPACKED_BYTES:
-            raise BadHealthSnapshotError("a lesson too long")
+        if zstandard.get_frame_parameters(data).content_size > UNPACKED_BYTES_LIMIT:
+            raise BadHealthSnapshotError("health snapshot is too long when unpacked")
         return _snapshot_decoder.decode(zstandard.ZstdDecompressor().decompress(data))
     except (zstandard.ZstdError, msgspec.MsgspecError) as error:
-        raise BadHealthSnapshotError(f"no lesson: {error}") from None
+        raise BadHealthSnapshotError(f"invalid health snapshot: {error}") from None
 
 
 def choose_keepers(own: Replica, replicas: Sequence[Replica]) -> tuple[str, ...]:
-    """Who keeps the health snapshot of `own`.
+    """Return the names of the members that store the health snapshot of `own`.
 
-    The same ones while replicas stay, of other zones while there are any.
+    They stay the same while the replicas do, and are in other zones if possible.
     """
     others = [replica for replica in replicas if replica.name != own.name]
     away = [replica for replica in others if not own.zone or replica.zone != own.zone]
@@ -108,44 +108,46 @@
 
 @dataclass(slots=True)
 class SnapshotStore:
-    """What is kept here for others, one health snapshot each."""
+    """The health snapshots that this member stores for others, one each."""
 
-    snapshots: dict[str, tuple[bytes, int]] = field(default_factory=dict)  # and since when; oldest first
+    # By member: (health snapshot, time of receipt), oldest first.
+    snapshots: dict[str, tuple[bytes, int]] = field(default_factory=dict)
 
     @property
     def size(self) -> int:
-        """Bytes of all."""
+        """The total size of the snapshots in bytes."""
         return sum(len(health_snapshot) for health_snapshot, _ in self.snapshots.values())
 
     def keep(self, now_us: int, name: str, health_snapshot: bytes) -> None:
-        """Store a snapshot in place of the member's last one; none at all if it is too long."""
+        """Store a snapshot in place of the member's last one; one that is too long only removes the last."""
         self.snapshots.pop(name, None)
         if len(health_snapshot) > SNAPSHOT_BYTES_LIMIT:
             return
         self.snapshots[name] = (health_snapshot, now_us)
         self.forget(now_us)
-        while self.size > KEPT_BYTES:
+        while self.size > STORED_BYTES_LIMIT:
             del self.snapshots[next(iter(self.snapshots))]
 
     def have(self, now_us: int, name: str) -> StoredSnapshot | None:
-        """The snapshot of a member; None: there is none."""
+        """Return the snapshot of a member, or None."""
         self.forget(now_us)
         health_snapshot, since_us = self.snapshots.get(name, (b"", 0))
         return StoredSnapshot(health_snapshot, now_us - since_us) if health_snapshot else None
 
     def forget(self, now_us: int) -> None:
-        """Drop those that are too old."""
+        """Drop the snapshots that are too old."""
         for name, (_, since_us) in list(self.snapshots.items()):
-            if now_us - since_us > OLDEST_US:
+            if now_us - since_us > MAX_AGE_US:
                 del self.snapshots[name]
 
 
 def age_snapshot(snapshot: Mapping[str, Any], age_us: int, shift_us: int) -> BalancerSnapshot:
-    """What it is worth `age_us` later, in times that are `shift_us` ahead of its own.
+    """Age a snapshot by `age_us`, and move its times `shift_us` ahead.
 
-    Outcomes count less, the newest longest; weights go back towards 1; nothing is out any more. An open
-    breaker stays open until its time, and is then on trial: that costs an endpoint that is well again little.
-    Raises BadHealthSnapshotError for what has no snapshot's form; `Balancer.restore` judges its figures.
+    Outcomes lose weight, and the oldest are dropped first; endpoint weights return towards 1; the mean number
+    of requests under way is reset. An open circuit breaker stays open until its time and then becomes
+    half-open, which costs a recovered endpoint little. Raises BadHealthSnapshotError if the snapshot has the
+    wrong structure; `Balancer.restore` validates its figures.
     """
     share = 0.5 ** (max(0, age_us) / HALF_LIFE_US)
     try:
@@ -155,12 +157,12 @@
             "asked": [count * share for count in snapshot["asked"]],
             "served": [count * share for count in snapshot["served"]],
             "shed": snapshot["shed"] * share,
-            "shed_at_us": _at(snapshot["shed_at_us"], shift_us),
+            "shed_at_us": _shift_time(snapshot["shed_at_us"], shift_us),
             "mean_out": 0.0,
             "servers": [_age_server(server, share, shift_us) for server in snapshot["servers"]],
         }
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise BadHealthSnapshotError(f"no lesson: {error!r:.100}") from None
+        raise BadHealthSnapshotError(f"invalid health snapshot: {error!r:.100}") from None
 
 
 def _age_server(raw: Sequence[Any], share: float, shift_us: int) -> list[Any]:
@@ -169,15 +171,20 @@
         number,
         1.0 - (1.0 - weight) * share,
         spent_us,
-        *(_at(at_us, shift_us) for at_us in (spent_at_us, start_us, out_us, back_us)),
+        *(_shift_time(at_us, shift_us) for at_us in (spent_at_us, start_us, out_us, back_us)),
         used,
         [
-            [state, _at(until_us, shift_us), cooldown_us, list(ring)[len(ring) - round(len(ring) * share) :]]
+            [
+                state,
+                _shift_time(until_us, shift_us),
+                cooldown_us,
+                list(ring)[len(ring) - round(len(ring) * share) :],
+            ]
             for state, until_us, cooldown_us, ring in breakers
         ],
     ]
 
 
-def _at(at_us: int, shift_us: int) -> int:
-    """0 stands for never, or long ago."""
+def _shift_time(at_us: int, shift_us: int) -> int:
+    """Shift a time; 0 stands for never or long ago, and stays."""
     return max(1, at_us + shift_us) if at_us > 0 else at_us
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -186,7 +186,7 @@
             main = next(iter(proxies.values()))
             if health_snapshot.classes != main.latest_config.names.classes:
                 raise BadHealthSnapshotError("its classes are not those of now")
-            if answer.age_us > learned_state.OLDEST_US:
+            if answer.age_us > learned_state.MAX_AGE_US:
                 raise BadHealthSnapshotError("it is too old")
             for pool, raw in health_snapshot.pools.items():
                 if pool in proxies:
--- a/badgergap/replication/options.py
+++ b/badgergap/replication/options.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Options:
-    """What may differ between members, and between simulations."""
+    """The settings of one member's replica node."""
 
     name: str
     zone: str = ""
@@ -18,4 +18,4 @@
     rate: int = 4000  # records a second that are fetched or settled to fill or repair this replica
     bounds: Bounds = field(default_factory=Bounds)
     partitions: int = PARTITIONS
-    max_retention_us: int = 600_000_000  # for which any route keeps a record
+    max_retention_us: int = 600_000_000  # the longest time for which any route keeps a record
--- a/tests/replication/dying.py
+++ b/tests/replication/dying.py
@@ -1,9 +1,10 @@
-"""`badgergap` that kills itself at the n-th step of what it does for keyed requests. For tests only.
+"""`badgergap` that kills itself at the n-th step of handling keyed requests. For tests only.
 
     python -m tests.replication.dying NUMBER serve FILE ...
 
-Steps are counted from the first keyed request on: each word that goes out, each write to the log before and
-after, each attempt that may go, each answer that is kept, each that is given.
+Steps are counted from the first keyed request on. The start and the end of each of these calls is one:
+sending or receiving a message, writing to the log, the end of a durable write, starting an attempt, storing
+an answer, replying.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
     ("badgergap.replication.service", "ReplicationService", "_receive"),
     ("badgergap.storage.record_log", "RecordLog", "append"),
     ("badgergap.replication.keyed_attempt", "PendingAttempt", "go"),
-    ("badgergap.replication.keyed_request", "KeyedRequest", "answered"),
+    ("badgergap.replication.keyed_request", "KeyedRequest", "store_answer"),
     ("badgergap.replication.keyed_request", "KeyedRequest", "reply"),
 ]
 
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -103,13 +103,13 @@
     kept = SnapshotStore()
     for n in range(100):
         kept.keep(n, f"g{n}", bytes(learned_state.SNAPSHOT_BYTES_LIMIT))
-    assert kept.size <= learned_state.KEPT_BYTES and kept.have(100, "g0") is None
+    assert kept.size <= learned_state.STORED_BYTES_LIMIT and kept.have(100, "g0") is None
     assert kept.have(100, "g99") == StoredSnapshot(bytes(learned_state.SNAPSHOT_BYTES_LIMIT), 1)
     kept.keep(200, "g99", b"newer")
     assert kept.have(300, "g99") == StoredSnapshot(b"newer", 100)
     kept.keep(300, "g99", bytes(learned_state.SNAPSHOT_BYTES_LIMIT + 1))  # none at all rather than an old one
     assert kept.have(300, "g99") is None
-    assert kept.have(101 + learned_state.OLDEST_US, "g98") is None and not kept.snapshots
+    assert kept.have(101 + learned_state.MAX_AGE_US, "g98") is None and not kept.snapshots
     assert learned_state.decode(learned_state.encode(StoreSnapshot(b"x"))) == StoreSnapshot(b"x")
 
 
@@ -145,7 +145,7 @@
     assert taken.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
     for room, have in (
         (room_of(Driver(), ("b",)), StoredSnapshot(good, S)),
-        (room_of(Driver()), StoredSnapshot(good, learned_state.OLDEST_US + 1)),
+        (room_of(Driver()), StoredSnapshot(good, learned_state.MAX_AGE_US + 1)),
         (room_of(Driver()), StoredSnapshot(bad, S)),
         (room_of(Driver()), StoredSnapshot(good[:-3], S)),
     ):
