--- a/badgergap/replication/acceptor.py
+++ b/badgergap/replication/acceptor.py
@@ -1,20 +1,20 @@
-"""One register for each key, by single-decree Paxos with a change in place of a value (CASPaxos). Pure.
+"""The acceptor of one register per key: single-decree Paxos with change functions (CASPaxos). Does no I/O.
 
 A proposer asks the replicas of a key's partition to promise a ballot, learns the newest value among a
-majority, and has a majority accept what the change makes of it. The rules, stated once:
+majority, applies its change to that value, and has a majority accept the result. The rules:
 
-1. A ballot is (epoch, counter, proposer, step). What comes with another epoch than this replica's is
+1. A ballot is (epoch, counter, proposer, step). A message of any other epoch than the replica's own is
    refused.
-2. A replica that has promised a ballot accepts none below it. A proposer that has had its way goes on by
-   the next step of its ballot, with no look before: no other one has a ballot in between. `prior` is the
-   step before it; a replica that has promised more since then refuses.
-3. What is accepted is on disk before it is said. Promises are not: a counter up to which a replica may
-   promise is on disk ahead of it (`reserve`), and a replica that starts takes all of that for promised
-   (`floor`).
-4. What is known to be chosen (a majority of the partition's replicas hold the same) may be taken over
+2. A replica that has promised a ballot accepts none below it. A proposer whose value was accepted may
+   continue with the next step of the same ballot without a prepare phase: no other proposer has a ballot
+   in between. `prior` is the step before; a replica that has promised a higher ballot since then refuses.
+3. An accepted value is on disk before the replica acknowledges it. Promises are not written one by one:
+   the counter up to which a replica may promise is on disk in advance (`reserve`), and a restarted replica
+   treats every ballot up to it as promised (`floor`).
+4. A value that is known to be chosen (a majority of the partition's replicas hold it) may be adopted
    whatever was promised: every later ballot has seen it.
-5. A record is dropped only once it is over by the group's clock; the floor rises to its ballot, so nobody
-   can put something older beside it.
+5. A record is dropped only after it has expired by the group's clock. The floor rises to its ballot, so
+   that no older value can be accepted for its key.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 Ballot = tuple[int, int, int, int]
 NO_BALLOT: Ballot = (0, 0, 0, 0)
 COUNTER_MAX = (1 << 63) - 1
-RESERVE_STEP = 1 << 20  # counters that are reserved at a time
+RESERVE_STEP = 1 << 20  # counters reserved by one write
 PROMISES_LIMIT = 65536
-BUCKETS = 16  # of each partition, by the first four bits behind its byte
-SLOT_US = 10_000_000  # records that are over are dropped so many microseconds' worth at a time
+BUCKETS = 16  # per partition, by the first four bits after the key's first byte
+SLOT_US = 10_000_000  # width of the expiry time slots: records are dropped slot by slot
 
 Item = tuple[bytes, Ballot, bytes]  # key, ballot, value
 RecordDigest = tuple[bytes, Ballot, int]  # key, ballot, the value's checksum
 
 
 class StoredLine(msgspec.Struct, frozen=True, array_like=True):
-    """A line of the log. Without a key it says only the epoch and the reserve."""
+    """A line of the log. A line without a key holds only the epoch and the reserve."""
 
     epoch: int
     reserve: int
@@ -56,11 +56,11 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A register's record in memory, with what is needed to drop it again."""
+    """A register's record in memory, with the figures that are subtracted when it is dropped."""
 
     ballot: Ballot
-    data: bytes  # the line on disk, the value at its end
-    length: int  # of the value
+    data: bytes  # the encoded log line, which ends with the value
+    length: int  # of the value, in bytes
     checksum: int  # of the value
     expires_us: int
     size: int
@@ -69,22 +69,22 @@
 
     @property
     def value(self) -> bytes:
-        """The record, encoded."""
+        """The encoded record."""
         return self.data[len(self.data) - self.length :]
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What one replica stores at the most."""
+    """The capacity limits of one replica."""
 
     records: int = 200_000
     bytes: int = 256 * 1024 * 1024
-    tenant_share: float = 0.5  # of both that one tenant may have
+    tenant_share: float = 0.5  # the fraction of each limit that one tenant may use
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer of a register. `lines_to_save` have to be on disk before it is sent."""
+    """The reply of a register. `lines_to_save` must be on disk before it is sent."""
 
     ok: bool
     accepted: Ballot = NO_BALLOT
@@ -95,25 +95,28 @@
 
 
 class AcceptorStore:
-    """One replica's registers: what it has promised and accepted."""
+    """The registers of one replica: the ballots it has promised and the values it has accepted."""
 
     def __init__(
         self, lines: Iterable[bytes] = (), bounds: Bounds | None = None, partitions: int = PARTITIONS
     ) -> None:
-        """Raises MsgspecError for lines of a later program version."""
+        """Load the registers from the lines of the log.
+
+        Raises MsgspecError for lines that a later program version has written.
+        """
         self.bounds, self.partitions = bounds or Bounds(), partitions
         self.epoch = 0
         self.reserve = 0
         self.entries: dict[bytes, Entry] = {}
         self.buckets: dict[int, set[bytes]] = {}
-        self.checksums: dict[int, int] = {}  # of each bucket
+        self.checksums: dict[int, int] = {}  # by bucket
         self.promises: dict[bytes, Ballot] = {}
-        self.tenant_usage: dict[str, list[int]] = {}  # of each tenant: records, bytes
-        self.state_counts: dict[str, int] = {}  # how many records are in each
+        self.tenant_usage: dict[str, list[int]] = {}  # by tenant: [records, bytes]
+        self.state_counts: dict[str, int] = {}  # number of records in each state
         self.records = 0
         self.bytes = 0
-        self.stored_bytes = 0  # of the records' lines on disk
-        self.expiry_slots: dict[int, set[bytes]] = {}  # by when they are over
+        self.stored_bytes = 0  # size of the records' lines on disk
+        self.expiry_slots: dict[int, set[bytes]] = {}  # keys by the time slot in which they expire
         for data in lines:
             line = _line_decoder.decode(data)
             self.epoch, self.reserve = max(self.epoch, line.epoch), max(self.reserve, line.reserve)
@@ -123,16 +126,19 @@
             (self.epoch, self.reserve, COUNTER_MAX, COUNTER_MAX) if self.reserve else NO_BALLOT
         )
 
-    # What is said of a register
+    # Requests of proposers
 
     def promised(self, key: bytes) -> Ballot:
-        """The ballot below which nothing is accepted for this key."""
+        """Return the ballot below which nothing is accepted for this key."""
         entry = self.entries.get(key)
-        held = entry.ballot if entry is not None else NO_BALLOT
-        return max(self.floor, held, self.promises.get(key, NO_BALLOT))
+        accepted = entry.ballot if entry is not None else NO_BALLOT
+        return max(self.floor, accepted, self.promises.get(key, NO_BALLOT))
 
     def prepare(self, key: bytes, ballot: Ballot) -> Reply:
-        """Promise a ballot, and say what is accepted; refused where as much is promised already."""
+        """Promise a ballot and return the accepted value.
+
+        Refused if this ballot or a higher one is promised already.
+        """
         if ballot <= self.promised(key):
             return Reply(False, promised=self.promised(key))
         lines_to_save = self._reserve(ballot)
@@ -146,34 +152,34 @@
         return Reply(True, entry.ballot, entry.value, lines_to_save=lines_to_save)
 
     def accept(self, key: bytes, ballot: Ballot, prior: Ballot, value: bytes) -> Reply:
-        """Accept a value at a ballot, unless more than `prior` was promised or there is no capacity."""
+        """Accept a value at a ballot, unless a ballot above `prior` was promised or capacity is exhausted."""
         entry, promised = self.entries.get(key), self.promised(key)
         if entry is not None and entry.ballot == ballot:
-            return Reply(True)  # said before; on disk, or about to be
+            return Reply(True)  # a repeated message: the value is on disk, or about to be
         if promised > prior:
             return Reply(False, promised=promised)
-        # Only a request that would begin is refused for want of room: its outcome has its place already.
+        # Only a new key is refused for lack of capacity: an existing record has reserved it for its outcome.
         if entry is None and not self.has_capacity(records.decode(value)):
             return Reply(False, promised=promised, no_capacity=True)
         lines_to_save = self._reserve(ballot)
         return Reply(True, lines_to_save=(*lines_to_save, self._put(key, ballot, value)))
 
     def adopt_chosen(
-        self, key: bytes, ballot: Ballot, value: bytes, agreed_us: int, mend: bool = False
+        self, key: bytes, ballot: Ballot, value: bytes, agreed_us: int, is_damaged: bool = False
     ) -> bytes:
-        """Take over what a majority holds. The line to be saved; empty: it is nothing new.
+        """Adopt a value that a majority holds. Return the line to save, empty if the value is not new.
 
-        `mend`: also in place of another value of the same ballot, which a replica can only have by damage.
+        With `is_damaged`, also replace a different value of the same ballot: only damage can cause one.
         """
         entry = self.entries.get(key)
-        if entry is not None and (entry.ballot > ballot or (entry.ballot == ballot and not mend)):
+        if entry is not None and (entry.ballot > ballot or (entry.ballot == ballot and not is_damaged)):
             return b""
         if records.has_expired(records.decode(value), agreed_us):
             return b""
         return self._put(key, ballot, value)
 
     def enter_epoch(self, epoch: int) -> bytes:
-        """The line to be saved before anything is said in it; empty: it is no newer one."""
+        """Enter a later epoch. Return the line to save before any reply in it, empty if it is not later."""
         if epoch <= self.epoch:
             return b""
         self.epoch = epoch
@@ -237,7 +243,7 @@
         return entry
 
     def has_capacity(self, record: Record) -> bool:
-        """Whether a further record fits, also into its tenant's share."""
+        """Return whether another record fits into the limits and into its tenant's share of them."""
         bounds = self.bounds
         count, size = self.tenant_usage.get(record.tenant, (0, 0))
         tenant_share = bounds.tenant_share if record.tenant else 1.0
@@ -249,8 +255,8 @@
         )
 
     def expire(self, agreed_us: int) -> int:
-        """Drop what is over by the group's clock. How many."""
-        last = (agreed_us - records.SLACK_US) // SLOT_US  # all of an earlier slot is over
+        """Drop the records that have expired by the group's clock, and return their number."""
+        last = (agreed_us - records.SLACK_US) // SLOT_US  # every record of an earlier slot has expired
         count = 0
         for slot in [slot for slot in self.expiry_slots if slot < last]:
             for key in list(self.expiry_slots[slot]):
@@ -262,49 +268,52 @@
         return count
 
     def get(self, key: bytes) -> Record | None:
-        """The record of a key; None: there is none."""
+        """Return the record of a key, or None."""
         entry = self.entries.get(key)
         return records.decode(entry.value) if entry is not None else None
 
     def lines(self) -> Iterator[bytes]:
-        """All of it, to be written anew."""
+        """Yield the lines of a compacted log."""
         yield msgspec.msgpack.encode(StoredLine(self.epoch, self.reserve))
         for entry in list(self.entries.values()):
             yield entry.data
 
-    # What is compared with other replicas
+    # Comparison with other replicas
 
     def checksums_of(self, partition: int) -> tuple[int, ...]:
-        """Of each bucket of a partition."""
+        """Return the checksum of each bucket of a partition."""
         first = partition * BUCKETS
         return tuple(self.checksums.get(first + n, 0) for n in range(BUCKETS))
 
     def digests_of(self, bucket: int) -> list[RecordDigest]:
-        """Of each record in a bucket."""
+        """Return the digest of each record in a bucket."""
         found = []
         for key in self.buckets.get(bucket, ()):
             entry = self.entries[key]
             found.append((key, entry.ballot, entry.checksum))
         return found
 
-    def items(self, keys: Sequence[bytes], most_bytes: int) -> tuple[list[Item], list[bytes]]:
-        """As many of them as fit, at least one; and those that are not there."""
+    def items(self, keys: Sequence[bytes], max_bytes: int) -> tuple[list[Item], list[bytes]]:
+        """Return the records of `keys` and the keys that have none.
+
+        As many records as fit into `max_bytes`, but at least one.
+        """
         found: list[Item] = []
-        gone: list[bytes] = []
+        missing: list[bytes] = []
         for key in keys:
             entry = self.entries.get(key)
             if entry is None:
-                gone.append(key)
+                missing.append(key)
                 continue
-            if found and entry.length > most_bytes:
+            if found and entry.length > max_bytes:
                 break
-            most_bytes -= entry.length
+            max_bytes -= entry.length
             found.append((key, entry.ballot, entry.value))
-        return found, gone
+        return found, missing
 
 
 def bucket_of(key: bytes, partitions: int) -> int:
-    """The bucket of a key, counted over all partitions."""
+    """Return the bucket of a key, numbered across all partitions."""
     return partition_of(key, partitions) * BUCKETS + (key[1] >> 4)
 
 
--- a/badgergap/replication/actions.py
+++ b/badgergap/replication/actions.py
@@ -1,4 +1,4 @@
-"""What a replica node wants done by its driver. It does no I/O itself."""
+"""The actions that a replica node requests of its driver; the node does no I/O itself."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To the member of that name, itself among them. Not before the save `after` is durable."""
+    """Send a message to the named member, possibly this one, once the save with token `after` is durable."""
 
     name: str
     message: Message
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """Have the group agree on the next entry of this kind ("copies" or "time"). Only a leader proposes."""
+    """Propose the group's next log entry of this kind ("copies" or "time"). Only the leader proposes."""
 
     kind: str
     number: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Alert:
-    """Tell the operators."""
+    """Notify the operators."""
 
     text: str
 
--- a/badgergap/replication/messages.py
+++ b/badgergap/replication/messages.py
@@ -1,8 +1,8 @@
-"""The messages between replica nodes, and their bytes.
+"""The messages between replica nodes, and their encoding.
 
-The tags and the order of the fields are the protocol's: members of different releases talk to each other, so
-neither ever changes. `disk_id` names the disk that a message is for, or is from: another disk behind the same
-member's name must not answer in its place.
+Members of different releases exchange them, so the tags and the order of the fields never change. `disk_id`
+identifies the disk that a message is for or from: another disk under the same member name must not answer in
+its place.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag="p"):
-    """Promise this ballot, and say what is accepted."""
+    """Request to promise a ballot and return the accepted value."""
 
     operation: int
     epoch: int
@@ -25,12 +25,12 @@
 
 
 class Promised(Struct, frozen=True, array_like=True, tag="q"):
-    """The answer to `Prepare`: what is accepted, or what ballot was promised instead."""
+    """The answer to `Prepare`: the accepted value, or the ballot that was promised instead."""
 
     operation: int
-    epoch: int  # of who says it
+    epoch: int  # of the sender
     disk_id: str
-    ballot: Ballot  # that was asked for
+    ballot: Ballot  # of the request
     ok: bool
     accepted: Ballot
     value: bytes
@@ -38,7 +38,7 @@
 
 
 class Accept(Struct, frozen=True, array_like=True, tag="a"):
-    """Accept this value, unless more than `prior` was promised."""
+    """Request to accept a value, unless a ballot above `prior` was promised."""
 
     operation: int
     epoch: int
@@ -50,7 +50,7 @@
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag="b"):
-    """The answer to `Accept`. `full`: refused for want of capacity."""
+    """The answer to `Accept`. `full`: refused for lack of capacity."""
 
     operation: int
     epoch: int
@@ -62,18 +62,21 @@
 
 
 class Compare(Struct, frozen=True, array_like=True, tag="c"):
-    """The checksums of a partition's buckets, as they are here."""
+    """The checksums of a partition's buckets at the sender."""
 
     epoch: int
     disk_id: str
     partition: int
     checksums: tuple[int, ...]
-    # A bit for each bucket that was told of already: one answer does not hold all of a large partition.
-    had: int = 0
+    # One bit per bucket that was answered already: one answer cannot cover all of a large partition.
+    answered_buckets: int = 0
 
 
 class Compared(Struct, frozen=True, array_like=True, tag="d"):
-    """What differs, bucket by bucket; `same` are those that do not. Others are still to be asked for."""
+    """The answer to `Compare`: the buckets in `same` are equal, those in `digests` differ.
+
+    Buckets in neither did not fit, and have to be requested again.
+    """
 
     epoch: int
     disk_id: str
@@ -83,7 +86,7 @@
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag="f"):
-    """Send me these records."""
+    """Request for records by key."""
 
     epoch: int
     disk_id: str
@@ -92,17 +95,17 @@
 
 
 class Fetched(Struct, frozen=True, array_like=True, tag="g"):
-    """The answer to `Fetch`, as far as it fits; the others are to be asked for again."""
+    """The answer to `Fetch`. Records that did not fit have to be requested again."""
 
     epoch: int
     disk_id: str
     partition: int
     items: list[Item]
-    gone: list[bytes]  # not there any more
+    gone: list[bytes]  # keys that no longer have a record
 
 
 class QueryClaim(Struct, frozen=True, array_like=True, tag="w"):
-    """What has become of this claim of yours?"""
+    """Query to the gateway that made a claim for the claim's state."""
 
     operation: int
     incarnation: int
@@ -110,41 +113,45 @@
 
 
 class ClaimAnswer(Struct, frozen=True, array_like=True, tag="x"):
-    """`state`: "working", "ran" (or may have), "never", "gone" (not of this process, or forgotten)."""
+    """The answer to `QueryClaim`.
+
+    `state` is "working", "ran" (it ran, or may have), "never" (it was not sent), or "gone" (a claim of
+    another process, or no longer remembered).
+    """
 
     operation: int
     state: str
 
 
 class Report(Struct, frozen=True, array_like=True, tag="r"):
-    """To the leader, every REPORT_US: that this replica is there, and how it stands."""
+    """The state of one replica, sent to the leader every REPORT_US."""
 
     zone: str
     disk_id: str
     epoch: int
-    filled: bytes  # a bit for each partition: read from a majority of its sources in this epoch
-    behind: bytes  # a bit for each partition where it lacked something at the last look
+    filled: bytes  # one bit per partition: read from a majority of its sources in this epoch
+    behind: bytes  # one bit per partition that is not known to be complete
     records: int
     size: int
     doubt: int  # records whose outcome is uncertain
-    broken: str  # why it keeps nothing at the moment
-    scrubbed_us: int  # ago, by its own clock; -1: not yet
-    mended: int  # records, since the process began
+    broken: str  # why it stores nothing at the moment; empty: it does
+    scrubbed_us: int  # how long ago its least recently compared partition was compared; -1: one never was
+    mended: int  # records repaired since the process started
 
 
 class QueryReports(Struct, frozen=True, array_like=True, tag="l"):
-    """What do you know of all replicas? To the leader."""
+    """Query to the leader for the reports of all replicas."""
 
 
 class ReportSummary(Struct, frozen=True, array_like=True, tag="m"):
     """The answer to `QueryReports`."""
 
     epoch: int
-    lines: dict[str, Report]  # by name, of those heard lately
+    lines: dict[str, Report]  # the recent reports, by member name
 
 
 class Freeze(Struct, frozen=True, array_like=True, tag="z"):
-    """Hold back what would be accepted, for a snapshot of one instant."""
+    """Request to delay accepts, for a point-in-time snapshot."""
 
     id: int
     epoch: int
@@ -159,14 +166,14 @@
 
 
 class Unfreeze(Struct, frozen=True, array_like=True, tag="t"):
-    """Accept again; the snapshot stays for a while."""
+    """Request to stop delaying accepts; the snapshot is kept for a while."""
 
     id: int
     disk_id: str
 
 
 class Page(Struct, frozen=True, array_like=True, tag="n"):
-    """The frozen records of a partition, behind a key."""
+    """Request for the frozen records of a partition that follow a key."""
 
     id: int
     disk_id: str
@@ -175,7 +182,7 @@
 
 
 class Paged(Struct, frozen=True, array_like=True, tag="o"):
-    """The answer to `Page`."""
+    """The answer to `Page`; `more`: further records follow."""
 
     id: int
     disk_id: str
@@ -209,21 +216,21 @@
 
 
 def encode(batch: list[Message]) -> bytes:
-    """The bytes of messages that go to one member together."""
+    """Encode messages that are sent to one member together."""
     return msgspec.msgpack.encode(batch)
 
 
 def decode(data: bytes) -> list[Message]:
-    """Raises MsgspecError."""
+    """Decode a batch of messages. Raises MsgspecError."""
     return _message_decoder.decode(data)
 
 
 def encode_partitions(partitions: set[int] | frozenset[int]) -> bytes:
-    """A set of partitions, a bit each."""
+    """Encode a set of partitions as one bit each."""
     return sum(1 << partition for partition in partitions).to_bytes(32, "little")
 
 
 def decode_partitions(data: bytes) -> frozenset[int]:
-    """The set of partitions that `encode_partitions` encoded."""
+    """Decode the set of partitions that `encode_partitions` encoded."""
     number = int.from_bytes(data, "little")
     return frozenset(partition for partition in range(256) if number >> partition & 1)
--- a/badgergap/replication/placement_leader.py
+++ b/badgergap/replication/placement_leader.py
@@ -1,4 +1,4 @@
-"""The leader's duties in replication: placements that fit the reports, and the clock's ticks. Pure."""
+"""The leader's duties in replication: it proposes placements and ticks of the group's clock. Does no I/O."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 if TYPE_CHECKING:
     from badgergap.replication.replica import ReplicaNode
 
-FRESH_US = 2_500_000  # a member whose report is younger is there
-FIRST_PLACEMENT_US = 4_000_000  # for all members to report before the first placement
-MOVE_US = 15_000_000  # for a move to end before one that begins anew may take its place
-PROPOSE_AGAIN_US = 1_000_000  # until a proposal that was not agreed on is made again
+FRESH_REPORT_US = 2_500_000  # a member counts as present while its report is younger than this
+FIRST_PLACEMENT_US = 4_000_000  # for which the first placement waits for all members to report
+MOVE_TIMEOUT_US = 15_000_000  # after which a move that is under way may be replaced
+PROPOSE_AGAIN_US = 1_000_000  # after which a proposal that was not agreed on is repeated
 
 
 class PlacementLeader:
-    """What a member does while it leads the group; it proposes nothing while it does not."""
+    """The proposals of a member while it leads the group; other members propose nothing."""
 
     def __init__(self, node: ReplicaNode, now_us: int) -> None:
         self.node = node
-        self.reports: dict[str, tuple[int, Report]] = {}  # by member, and when each came
+        self.reports: dict[str, tuple[int, Report]] = {}  # by member: (time of receipt, report)
         self.name = ""  # of the leader, which may be another member
         self.leads = False
         self.leading_since_us = now_us
-        self.placed_us = now_us  # when the newest placement was heard of
-        self.proposed: dict[str, tuple[int, int]] = {}  # by kind: the number, and when
+        self.placed_us = now_us  # when the newest placement was received
+        self.proposed: dict[str, tuple[int, int]] = {}  # by kind: (number, time of the proposal)
         self.members: Collection[str] = ()
 
     def on_leader(self, now_us: int, name: str, leads: bool, members: Collection[str]) -> None:
-        """Who leads now, and who is in the group."""
+        """Record the leader and the members; a member that becomes leader starts without reports."""
         if leads and not self.leads:
             self.leading_since_us = now_us
             self.reports.clear()
@@ -45,16 +45,18 @@
         self.members = members
 
     def on_report(self, now_us: int, name: str, report: Report) -> None:
-        """Another member, or this one, has reported."""
+        """Store the report of another member, or of this one."""
         if self.leads:
             self.reports[name] = (now_us, report)
 
     def fresh_reports(self, now_us: int) -> dict[str, Report]:
-        """Of the members that are there."""
-        return {name: report for name, (at_us, report) in self.reports.items() if now_us - at_us < FRESH_US}
+        """Return the reports of the members that count as present."""
+        return {
+            name: report for name, (at_us, report) in self.reports.items() if now_us - at_us < FRESH_REPORT_US
+        }
 
     def tick(self, now_us: int) -> None:
-        """Propose what is due: a tick of the clock, and a placement that fits the reports."""
+        """Propose the next clock tick if it is due, and a new placement if the reports require one."""
         if not self.leads or not self.members or self.node.unsupported:
             return
         tick = self.node.clock.next(now_us)
@@ -70,7 +72,7 @@
             self._propose_placement(now_us, reports, offers)
 
     def _may_place_first(self, now_us: int, reports: Collection[str], offers: int) -> bool:
-        """Once all members have reported, or after a while a majority of them."""
+        """Return whether all members have reported, or after FIRST_PLACEMENT_US a majority of them."""
         if all(name in reports for name in self.members):
             return True
         return now_us - self.leading_since_us > FIRST_PLACEMENT_US and 2 * offers > len(self.members)
@@ -83,14 +85,14 @@
             if report.epoch == node.placement.epoch
         }
         hole_until_us = node.group_us() + node.options.max_retention_us + 2 * records.SLACK_US
-        placement = placements.next_of(
+        placement = placements.next_placement(
             node.placement,
             offers,
             filled,
             self.members,
             node.options.copies,
             hole_until_us,
-            now_us - self.placed_us < MOVE_US,
+            now_us - self.placed_us < MOVE_TIMEOUT_US,
             node.options.partitions,
         )
         if placement is not None:
@@ -103,5 +105,5 @@
             self.node.out.append(Proposal(kind, number, data))
 
     def has_proposed(self, kind: str, number: int) -> bool:
-        """Whether this member, leading, proposed that entry."""
+        """Return whether this member leads and its latest proposal of this kind has this number."""
         return self.leads and self.proposed.get(kind, (0, 0))[0] == number
--- a/badgergap/replication/proposer.py
+++ b/badgergap/replication/proposer.py
@@ -1,8 +1,8 @@
-"""Changes of registers, each by rounds until a majority of every set has it. Pure.
+"""The proposer: changes registers, in rounds until a majority of each replica set accepts. Does no I/O.
 
-A change is a function of the record that is there: it returns what it is to be, or None to leave it. It may
-be asked more than once, and only the last answer counts. `PreparedBallot`: what a finished change leaves
-behind, by which the next one of the same key needs no look before it, if nobody has come in between.
+A change is a function of the current record: it returns the new record, or None to leave it as it is. It may
+be called more than once, and only its last result counts. A finished change leaves a `PreparedBallot`, with
+which the next change of the same key skips the prepare phase unless another proposer came in between.
 """
 
 from __future__ import annotations
@@ -18,14 +18,15 @@
 from badgergap.replication.messages import Accept, Accepted, Prepare, Promised
 from badgergap.replication.placement import Placement, Replica, majority, partition_of
 
-AGAIN_US = 150_000  # until replicas that said nothing are asked again
-ROUND_US = 2_000_000  # until a round that stands still begins anew
-LATER_US = (4_000, 40_000)  # until a round that met another one begins anew, and more each time
-LEARN_US = 40_000  # for a new epoch to be known on both sides
+RESEND_US = 150_000  # without an answer, until a message is sent again
+ROUND_TIMEOUT_US = 2_000_000  # after which an unfinished round is restarted
+# Bounds of the random delay before a refused round is restarted; the upper one grows with the attempts.
+BACKOFF_US = (4_000, 40_000)
+EPOCH_DELAY_US = 40_000  # for a new epoch to reach both sides
 
 
 class ChangeFailure(StrEnum):
-    """Why a change was not made, as operators read it."""
+    """Why a change was not made, in the words that operators read."""
 
     UNREACHABLE = "too few copies can be reached"
     FULL = "no room for a further key"
@@ -33,17 +34,17 @@
 
 @dataclass(slots=True)
 class PreparedBallot:
-    """What a finished change leaves behind: the next one of its key needs no prepare phase of its own."""
+    """The ballot of a finished change, with which the next change of its key skips the prepare phase."""
 
-    ballot: Ballot  # the register is known as it was at this one, and so promised
+    ballot: Ballot  # promised by a majority of each set, and `record` is the register's content at it
     record: Record | None
-    accepted: bool  # at this very ballot, so that the next one is a step on
-    spent: bool = False  # two changes of one ballot would be two values of it
+    accepted: bool  # the record was accepted at this ballot, so the next change uses its next step
+    used: bool = False  # two changes at one ballot would give it two values
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What the register holds. `failure`: that is not known, and the change may or may not have been made."""
+    """The register's record after a change, or `failure`: then the change may or may not have been made."""
 
     record: Record | None = None
     prepared: PreparedBallot | None = None
@@ -56,7 +57,7 @@
 
 @dataclass(eq=False)
 class Operation:
-    """One change that is under way, and the round that it is in."""
+    """A change that is under way, and the state of its current round."""
 
     number: int
     key: bytes
@@ -67,23 +68,23 @@
     ballot: Ballot = NO_BALLOT
     epoch: int = 0
     accepting: bool = False
-    new_record: Record | None = None  # what the register becomes, once accepted
+    new_record: Record | None = None  # the proposed content of the register
     value: bytes = b""
     prior: Ballot = NO_BALLOT
     promises: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)  # by disk
     accepted_by: set[str] = field(default_factory=set)  # disks
-    refused_by: set[str] = field(default_factory=set)  # disks, in the phase that is on
+    refused_by: set[str] = field(default_factory=set)  # disks, in the current phase
     full: bool = False
-    tries: int = 0
-    began_us: int = 0  # of this round
+    attempts: int = 0
+    round_began_us: int = 0
     sent_us: int = 0
-    wait_us: int = -1  # a new round begins then; -1: one is on
+    next_round_us: int = -1  # when the next round begins; -1: a round is under way
 
 
 class Proposer:
-    """Carries changes out for one member.
+    """Makes one member's changes of registers.
 
-    `send(replica, message)` may lose the message, and its answer may come back before it returns.
+    `send(replica, message)` may lose the message, and the answer may arrive before it returns.
     """
 
     def __init__(
@@ -93,9 +94,9 @@
         self.send = send
         self.rng = rng
         self.placement = Placement()
-        # Of each partition, the sets of replicas of each of which a majority is needed.
+        # By partition: the replica sets, of each of which a majority is needed.
         self.sets = [self.placement.sets(partition) for partition in range(self.placement.partitions)]
-        self.counter = 0  # the second figure of the newest ballot
+        self.counter = 0  # the counter of the newest ballot
         self.operations: dict[int, Operation] = {}  # by number
         self.number = 0  # of the newest operation
 
@@ -108,58 +109,58 @@
         until_us: int,
         prepared: PreparedBallot | None = None,
     ) -> Operation:
-        """Begin a change; `done` is called once, which may be before this returns."""
+        """Start a change. `done` is called exactly once, possibly before this method returns."""
         self.number += 1
         operation = self.operations[self.number] = Operation(
             self.number, key, change, done, until_us, prepared
         )
-        self._begin(now_us, operation)
+        self._begin_round(now_us, operation)
         return operation
 
-    def place(self, now_us: int, placement: Placement) -> None:
-        """A new epoch: every round begins anew in it."""
+    def on_placement(self, now_us: int, placement: Placement) -> None:
+        """Enter a new epoch, and restart every round in it."""
         self.placement = placement
         self.sets = [placement.sets(partition) for partition in range(placement.partitions)]
         for operation in list(self.operations.values()):
-            if operation.number in self.operations and operation.wait_us < 0:
+            if operation.number in self.operations and operation.next_round_us < 0:
                 operation.prepared = None
-                self._begin(now_us, operation)
+                self._begin_round(now_us, operation)
 
     def tick(self, now_us: int) -> None:
-        """Give up what is out of time, begin anew what stands still, and ask the silent again."""
+        """Fail changes past their deadline, restart rounds that time out, and resend unanswered messages."""
         for operation in list(self.operations.values()):
             if operation.number not in self.operations:
                 continue
             if now_us >= operation.until_us:
                 self._finish(operation, Result(failure=ChangeFailure.UNREACHABLE))
-            elif operation.wait_us >= 0:
-                if now_us >= operation.wait_us:
-                    self._begin(now_us, operation)
-            elif now_us - operation.began_us > ROUND_US:
-                self._later(now_us, operation)
-            elif now_us - operation.sent_us > AGAIN_US:
+            elif operation.next_round_us >= 0:
+                if now_us >= operation.next_round_us:
+                    self._begin_round(now_us, operation)
+            elif now_us - operation.round_began_us > ROUND_TIMEOUT_US:
+                self._restart_round(now_us, operation)
+            elif now_us - operation.sent_us > RESEND_US:
                 self._send_round(now_us, operation)
 
     # Rounds
 
-    def _begin(self, now_us: int, operation: Operation) -> None:
+    def _begin_round(self, now_us: int, operation: Operation) -> None:
         placement = self.placement
-        operation.began_us = now_us
-        operation.wait_us = -1
+        operation.round_began_us = now_us
+        operation.next_round_us = -1
         operation.epoch = placement.epoch
         operation.promises.clear()
         operation.accepted_by.clear()
         operation.refused_by.clear()
         operation.accepting = operation.full = False
         if not placement.epoch:
-            operation.wait_us = now_us + LEARN_US
+            operation.next_round_us = now_us + EPOCH_DELAY_US
             return
         self.counter += 1
         prepared, operation.prepared = operation.prepared, None
-        if prepared is not None and prepared.ballot[0] == placement.epoch and not prepared.spent:
+        if prepared is not None and prepared.ballot[0] == placement.epoch and not prepared.used:
             new_record = operation.change(prepared.record)
             if new_record is not None:
-                prepared.spent = True
+                prepared.used = True
                 epoch, counter, incarnation, step = prepared.ballot
                 operation.ballot = (epoch, counter, incarnation, step + prepared.accepted)
                 self._accept(now_us, operation, new_record, prepared.ballot)
@@ -179,8 +180,8 @@
         operation.sent_us = now_us
         for replica in dict.fromkeys(
             replica
-            for each in self.sets[partition_of(operation.key, self.placement.partitions)]
-            for replica in each
+            for replica_set in self.sets[partition_of(operation.key, self.placement.partitions)]
+            for replica in replica_set
         ):
             if operation.number not in self.operations:
                 return
@@ -206,12 +207,15 @@
                 )
 
     def on_promised(self, now_us: int, message: Promised) -> None:
-        """An answer to a prepare. With a majority of each set the change is done, or is to be accepted."""
+        """Handle the answer to a prepare.
+
+        With promises of a majority of each set, send the accepts, or finish a change that changes nothing.
+        """
         operation = self.operations.get(message.operation)
         if (
             operation is None
             or operation.accepting
-            or operation.wait_us >= 0
+            or operation.next_round_us >= 0
             or message.ballot != operation.ballot
         ):
             return
@@ -220,30 +224,30 @@
             return
         operation.promises[message.disk_id] = (message.accepted, message.value)
         sets = self.sets[partition_of(operation.key, self.placement.partitions)]
-        if not all(_has_majority(operation.promises, each) for each in sets):
+        if not all(_has_majority(operation.promises, replica_set) for replica_set in sets):
             return
         newest, value = max(operation.promises.values(), key=lambda promises: promises[0])
-        there = records.decode(value) if newest > NO_BALLOT else None
-        new_record = operation.change(there)
-        prepared = PreparedBallot(operation.ballot, there, False)
-        if new_record is None or new_record == there:
-            if there is None or all(
-                sum(operation.promises.get(s.disk_id, (NO_BALLOT, b""))[0] == newest for s in each)
-                >= majority(len(each))
-                for each in sets
+        current = records.decode(value) if newest > NO_BALLOT else None
+        new_record = operation.change(current)
+        prepared = PreparedBallot(operation.ballot, current, False)
+        if new_record is None or new_record == current:
+            if current is None or all(
+                sum(operation.promises.get(s.disk_id, (NO_BALLOT, b""))[0] == newest for s in replica_set)
+                >= majority(len(replica_set))
+                for replica_set in sets
             ):
-                self._finish(operation, Result(there, prepared))
+                self._finish(operation, Result(current, prepared))
                 return
-            new_record = there  # it may not be a majority's yet: it is before anybody relies on it
+            new_record = current  # write the value back, since a majority may not hold it yet
         self._accept(now_us, operation, new_record, operation.ballot)
 
     def on_accepted(self, now_us: int, message: Accepted) -> None:
-        """An answer to an accept; with a majority of each set the change is done."""
+        """Handle the answer to an accept. Once a majority of each set has accepted, finish the change."""
         operation = self.operations.get(message.operation)
         if (
             operation is None
             or not operation.accepting
-            or operation.wait_us >= 0
+            or operation.next_round_us >= 0
             or message.ballot != operation.ballot
         ):
             return
@@ -254,8 +258,8 @@
         operation.accepted_by.add(message.disk_id)
         operation.refused_by.discard(message.disk_id)
         if all(
-            _has_majority(operation.accepted_by, each)
-            for each in self.sets[partition_of(operation.key, self.placement.partitions)]
+            _has_majority(operation.accepted_by, replica_set)
+            for replica_set in self.sets[partition_of(operation.key, self.placement.partitions)]
         ):
             self._finish(
                 operation,
@@ -264,35 +268,39 @@
 
     def _refused(self, now_us: int, operation: Operation, disk_id: str, epoch: int, promised: Ballot) -> None:
         if epoch != operation.epoch:
-            # One of the two does not know the newest epoch yet: it will in a moment.
+            # One side has not received the newest epoch yet, and will in a moment.
             if epoch > operation.epoch:
-                self._later(now_us, operation, LEARN_US)
+                self._restart_round(now_us, operation, EPOCH_DELAY_US)
             return
         self.counter = max(self.counter, promised[1])
         operation.refused_by.add(disk_id)
-        for each in self.sets[partition_of(operation.key, self.placement.partitions)]:
-            left = sum(replica.disk_id not in operation.refused_by for replica in each)
-            if left < majority(len(each)):
+        for replica_set in self.sets[partition_of(operation.key, self.placement.partitions)]:
+            remaining = sum(replica.disk_id not in operation.refused_by for replica in replica_set)
+            if remaining < majority(len(replica_set)):
                 if operation.full:
                     self._finish(operation, Result(failure=ChangeFailure.FULL))
                 else:
-                    self._later(now_us, operation)
+                    self._restart_round(now_us, operation)
                 return
 
-    def _later(self, now_us: int, operation: Operation, least_us: int = 0) -> None:
-        """Begin anew, after a while that grows: two that meet must not meet for ever."""
-        operation.tries += 1
-        low, high = LATER_US
-        wait = self.rng.randrange(low, min(high * operation.tries, 8 * high)) if operation.tries > 1 else 0
-        operation.wait_us = now_us + max(wait, least_us)
+    def _restart_round(self, now_us: int, operation: Operation, min_delay_us: int = 0) -> None:
+        """Restart the round after a random, growing delay, so that two proposers do not collide for ever."""
+        operation.attempts += 1
+        low, high = BACKOFF_US
+        delay_us = (
+            self.rng.randrange(low, min(high * operation.attempts, 8 * high)) if operation.attempts > 1 else 0
+        )
+        operation.next_round_us = now_us + max(delay_us, min_delay_us)
         operation.prepared = None
-        if operation.wait_us <= now_us:
-            self._begin(now_us, operation)
+        if operation.next_round_us <= now_us:
+            self._begin_round(now_us, operation)
 
     def _finish(self, operation: Operation, result: Result) -> None:
         if self.operations.pop(operation.number, None) is not None:
             operation.done(result)
 
 
-def _has_majority(there: dict[str, tuple[Ballot, bytes]] | set[str], replicas: tuple[Replica, ...]) -> bool:
-    return sum(replica.disk_id in there for replica in replicas) >= majority(len(replicas))
+def _has_majority(
+    disk_ids: dict[str, tuple[Ballot, bytes]] | set[str], replicas: tuple[Replica, ...]
+) -> bool:
+    return sum(replica.disk_id in disk_ids for replica in replicas) >= majority(len(replicas))
--- a/badgergap/replication/repair.py
+++ b/badgergap/replication/repair.py
@@ -1,8 +1,8 @@
-"""Keeps the partitions of one replica complete: fills those that are new to it, and mends the others. Pure.
+"""Keeps the partitions of one replica complete: fills new ones and repairs the others. Does no I/O.
 
-Each partition is compared with its other replicas (`anti_entropy`), the one that was not compared for longest
-first. What is chosen is fetched; what may or may not be chosen is settled by a round. Both are bounded by the
-operator's rate. In a moving epoch a partition counts as filled once it was compared to the end.
+Each partition is compared with its other replicas (`anti_entropy`), the least recently compared one first.
+Missing records that are chosen are fetched; those that may or may not be chosen are settled by a round. Both
+are limited by the operator's rate. In a moving epoch a partition is filled once its comparison is finished.
 """
 
 from __future__ import annotations
@@ -18,42 +18,43 @@
 if TYPE_CHECKING:
     from badgergap.replication.replica import ReplicaNode
 
-SCRUB_US = 60_000_000  # until a partition is compared again
-RECHECK_US = 1_000_000  # the same where the last comparison found something
-COMPARISONS_LIMIT = 8  # at a time while partitions are filled or rechecked, else one
-DIGESTS_LIMIT = 6000  # of one answer
+SCRUB_US = 60_000_000  # interval between comparisons of a partition
+RECHECK_US = 1_000_000  # the interval if the last comparison found a difference
+COMPARISONS_LIMIT = 8  # concurrent ones while partitions are filled or rechecked, else one
+DIGESTS_LIMIT = 6000  # after which an answer includes no further bucket
 FETCH_BYTES = 256 * 1024
 FETCH_KEYS = 500
-BEHIND_RECORDS = 16  # missing at one comparison: more than what is just under way
-ROUNDS_LIMIT = 256  # undecided keys that are settled at a time
-ROUND_PAUSE_US = 500_000  # where more were undecided than are settled at a time
-ASK_AGAIN_US = 400_000  # until other replicas are asked again
-SILENT_US = 10_000_000  # for which a replica that said nothing is not waited for
+BEHIND_RECORDS = 16  # missing in one comparison: more than writes that are under way account for
+ROUNDS_LIMIT = 256  # undecided keys settled in one comparison
+ROUND_PAUSE_US = 500_000  # before the next comparison if more keys were undecided than ROUNDS_LIMIT
+RESEND_US = 400_000  # without an answer, until a request is sent again
+SILENT_US = 10_000_000  # for which comparisons do not wait for a replica that did not answer
 
 
 class PartitionRepair:
-    """The comparisons of one replica node, and what came of them."""
+    """The comparisons of one replica node, and their results."""
 
     def __init__(self, node: ReplicaNode, now_us: int) -> None:
         self.node = node
         self.filled: set[int] = set()  # in this epoch
-        # When each partition was last compared to the end, the longest ago first; never: it is in `recheck`.
+        # When each partition's comparison last finished, oldest first; one without an entry is in `recheck`.
         self.compared_us: dict[int, int] = {}
-        self.recheck: set[int] = set()  # where the last comparison found something
-        self.lacking: set[int] = set()  # and of these, where it was not only undecided
+        self.recheck: set[int] = set()  # partitions never compared, or different in their last comparison
+        self.incomplete: set[int] = set()  # partitions whose last comparison found more than deferred keys
         self.behind: set[int] = set()  # partitions that are not known to be complete here
         self.comparisons: dict[int, PartitionComparison] = {}
         self.is_starting = False
-        self.silent_until_us: dict[str, int] = {}  # by disk: until then it is not waited for
-        self.undecided: dict[int, dict[bytes, Ballot]] = {}  # by partition, at the last comparison
-        self.mended = 0  # records, since the process began
+        self.silent_until_us: dict[str, int] = {}  # by disk: until when comparisons do not wait for it
+        self.undecided: dict[int, dict[bytes, Ballot]] = {}  # by partition: keys its last comparison deferred
+        self.mended = 0  # records repaired since the process started
         self.allowance = 0.0  # records that may be fetched or settled now
-        self.allowed_us = now_us
+        self.allowance_us = now_us  # when the allowance was last refilled
 
     def on_epoch(self, before: set[int]) -> None:
-        """The node has other partitions than `before`.
+        """Handle a new epoch, in which the node's partitions replace those of `before`.
 
-        Nothing is known of one that is new here before it was compared, whatever a majority has read.
+        A partition that is new here is not known to be complete before it was compared, whatever a majority
+        has read.
         """
         self._restart()
         now = set(self.node.partitions)
@@ -62,11 +63,11 @@
         self.recheck = (self.recheck & before | new) & now
 
     def on_reopen(self) -> None:
-        """The disk was opened anew: nothing is known of any partition."""
+        """Handle a reopened disk: no partition is known to be complete."""
         self._restart()
         self.behind = set(self.node.partitions)
         self.recheck = set(self.node.partitions)
-        self.lacking = set()
+        self.incomplete = set()
 
     def _restart(self) -> None:
         kept = set(self.node.partitions)
@@ -78,45 +79,45 @@
         self.undecided.clear()
 
     def scrubbed_ago_us(self, now_us: int) -> int:
-        """How long ago the partition that waits longest was compared; -1: one never was."""
+        """Return how long ago the least recently compared partition was compared, -1 if one never was."""
         oldest_us = min(
             (self.compared_us.get(partition, -1) for partition in self.node.partitions), default=-1
         )
         return -1 if oldest_us < 0 else now_us - oldest_us
 
     def tick(self, now_us: int) -> None:
-        """Go on with the comparisons that are under way, and start those that are due."""
+        """Advance the comparisons that are under way, and start those that are due."""
         self.allowance = min(
             float(self.node.options.rate),
-            self.allowance + (now_us - self.allowed_us) * self.node.options.rate / 1e6,
+            self.allowance + (now_us - self.allowance_us) * self.node.options.rate / 1e6,
         )
-        self.allowed_us = now_us
+        self.allowance_us = now_us
         if self.node.broken or self.node.unsupported or not self.node.placement.epoch:
             return
         for comparison in list(self.comparisons.values()):
-            if now_us - comparison.moved_us > GIVE_UP_US:
+            if now_us - comparison.progress_us > GIVE_UP_US:
                 del self.comparisons[comparison.partition]
             else:
                 self._advance(now_us, comparison)
         self._start_comparisons(now_us)
 
     def _start_comparisons(self, now_us: int) -> None:
-        """As many partitions as may be compared at a time. One that ends at once makes room from within."""
+        """Start comparisons up to the limit. One that finishes at once calls this method from within it."""
         if self.is_starting:
             return
         self.is_starting = True
         moving = self.node.placement.before is not None
-        most = COMPARISONS_LIMIT if moving or self.recheck else 1
-        while len(self.comparisons) < most:
-            partitions = self._next_partitions(now_us, moving, most - len(self.comparisons))
+        limit = COMPARISONS_LIMIT if moving or self.recheck else 1
+        while len(self.comparisons) < limit:
+            partitions = self._next_partitions(now_us, moving, limit - len(self.comparisons))
             if not partitions:
                 break
             for partition in partitions:
                 self._start(now_us, partition)
         self.is_starting = False
 
-    def _next_partitions(self, now_us: int, moving: bool, most: int) -> list[int]:
-        """Unfilled ones first, then those that lacked something, then the one not looked at for longest."""
+    def _next_partitions(self, now_us: int, moving: bool, limit: int) -> list[int]:
+        """Return the partitions to compare next: unfilled ones, then those to recheck, then the oldest."""
         if moving:
             unfilled = [
                 partition
@@ -124,15 +125,16 @@
                 if partition not in self.comparisons and partition not in self.filled
             ]
             if unfilled:
-                return unfilled[:most]
+                return unfilled[:limit]
         found = [
             partition
             for partition in sorted(self.recheck - self.comparisons.keys())
             if now_us - self.compared_us.get(partition, -SCRUB_US) >= RECHECK_US
-        ][:most]
-        # The others by when they were looked at: asked at each tick, this must not go through all of them.
+        ][:limit]
+        # The others in the order of their last comparison. This runs at each tick, so it stops at the first
+        # that is not due and does not go through all of them.
         for partition, compared_us in self.compared_us.items():
-            if len(found) >= most or now_us - compared_us < SCRUB_US:
+            if len(found) >= limit or now_us - compared_us < SCRUB_US:
                 break
             if partition not in self.comparisons and partition not in self.recheck:
                 found.append(partition)
@@ -143,11 +145,11 @@
         sources = (
             self.node.placement.sources(partition) if filling else self.node.placement.sets(partition)[0]
         )
-        there = {replica.disk_id for replica in self.node.placement.replicas}
-        quiet = frozenset(
+        placed = {replica.disk_id for replica in self.node.placement.replicas}
+        not_awaited = frozenset(
             replica.disk_id
             for replica in sources
-            if replica.disk_id not in there or now_us < self.silent_until_us.get(replica.disk_id, now_us)
+            if replica.disk_id not in placed or now_us < self.silent_until_us.get(replica.disk_id, now_us)
         )
         comparison = self.comparisons[partition] = PartitionComparison(
             partition,
@@ -156,29 +158,35 @@
             sources,
             filling,
             now_us,
-            quiet,
-            asked_us=now_us,
+            not_awaited,
+            requested_us=now_us,
         )
-        comparison.moved_us = now_us
+        comparison.progress_us = now_us
         self._request_checksums(comparison)
         if not comparison.others:
             self._classify(now_us, comparison)
 
     def _request_checksums(self, comparison: PartitionComparison, disk_id: str = "") -> None:
-        """Of this one, or of all who have not told of all buckets."""
+        """Send this replica's checksums to the given disk, or to all that have not covered every bucket."""
         checksums = self.node.store.checksums_of(comparison.partition)
         for replica in comparison.others:
-            if not comparison.is_whole(replica.disk_id) and disk_id in ("", replica.disk_id):
-                had = sum(1 << number for number in comparison.covered(replica.disk_id))
+            if not comparison.covers_all(replica.disk_id) and disk_id in ("", replica.disk_id):
+                answered_buckets = sum(1 << number for number in comparison.covered(replica.disk_id))
                 self.node.out.append(
                     Send(
                         replica.name,
-                        Compare(comparison.epoch, replica.disk_id, comparison.partition, checksums, had),
+                        Compare(
+                            comparison.epoch,
+                            replica.disk_id,
+                            comparison.partition,
+                            checksums,
+                            answered_buckets,
+                        ),
                     )
                 )
 
     def on_compare(self, name: str, message: Compare) -> None:
-        """Another replica compares: tell it where this one differs."""
+        """Answer another replica's comparison with the buckets that differ here."""
         if not self.node.serves(message.disk_id, message.epoch):
             return
         same: list[int] = []
@@ -189,7 +197,7 @@
         ):
             if own == other:
                 same.append(number)
-            elif count < DIGESTS_LIMIT and not message.had >> number & 1:
+            elif count < DIGESTS_LIMIT and not message.answered_buckets >> number & 1:
                 digests[number] = self.node.store.digests_of(message.partition * BUCKETS + number)
                 count += len(digests[number])
         self.node.reply(
@@ -197,7 +205,7 @@
         )
 
     def on_compared(self, now_us: int, message: Compared) -> None:
-        """The answer of another replica."""
+        """Handle another replica's answer to `Compare`."""
         comparison = self.comparisons.get(message.partition)
         if (
             comparison is None
@@ -207,20 +215,20 @@
             return
         before = len(comparison.covered(message.disk_id))
         comparison.receive(message.disk_id, message.same, message.digests)
-        if not comparison.judged and len(comparison.covered(message.disk_id)) > before:
-            comparison.moved_us = now_us
-            self._request_checksums(comparison, message.disk_id)  # for what that answer had no room for
+        if not comparison.classified and len(comparison.covered(message.disk_id)) > before:
+            comparison.progress_us = now_us
+            self._request_checksums(comparison, message.disk_id)  # for the buckets that did not fit
         self._advance(now_us, comparison)
 
     def _advance(self, now_us: int, comparison: PartitionComparison) -> None:
-        if not comparison.judged:
+        if not comparison.classified:
             if comparison.is_ready(now_us):
                 self._classify(now_us, comparison)
-            elif now_us - comparison.asked_us > ASK_AGAIN_US:
-                comparison.asked_us = now_us
+            elif now_us - comparison.requested_us > RESEND_US:
+                comparison.requested_us = now_us
                 self._request_checksums(comparison)
             return
-        if comparison.unfetched and now_us - comparison.asked_us > ASK_AGAIN_US:
+        if comparison.unfetched and now_us - comparison.requested_us > RESEND_US:
             self._fetch(now_us, comparison)
         if not comparison.unfetched and not comparison.rounds:
             self._finish(now_us, comparison)
@@ -233,24 +241,26 @@
             }
             for n in {n for digests in comparison.digests.values() for n in digests}
         }
-        whole = comparison.whole()
+        complete_disks = comparison.complete_disks()
         for replica in comparison.others:
-            if replica.disk_id not in whole and replica.disk_id not in comparison.quiet:
+            if replica.disk_id not in complete_disks and replica.disk_id not in comparison.not_awaited:
                 self.silent_until_us[replica.disk_id] = now_us + SILENT_US
-        found = comparison.judge(own, self.undecided.get(comparison.partition, {}))
-        self.undecided[comparison.partition] = found.noted
-        if comparison.lacked >= BEHIND_RECORDS:
-            self.behind.add(comparison.partition)  # until they are here
+        found = comparison.classify(own, self.undecided.get(comparison.partition, {}))
+        self.undecided[comparison.partition] = found.deferred
+        if comparison.missing_count >= BEHIND_RECORDS:
+            self.behind.add(comparison.partition)  # until they are fetched
         for key in found.undecided[:ROUNDS_LIMIT]:
             self._settle(now_us, comparison, key)
         if len(found.undecided) > ROUNDS_LIMIT:
-            comparison.rounds += 1  # never: the partition is looked at again until there are few
-            comparison.moved_us = now_us - GIVE_UP_US + ROUND_PAUSE_US
+            # Keeps this comparison from finishing: it is given up after ROUND_PAUSE_US and the partition is
+            # compared again, until few enough keys are undecided.
+            comparison.rounds += 1
+            comparison.progress_us = now_us - GIVE_UP_US + ROUND_PAUSE_US
         self._fetch(now_us, comparison)
         self._advance(now_us, comparison)
 
     def _settle(self, now_us: int, comparison: PartitionComparison, key: bytes) -> None:
-        """Have what a register holds held by a majority, whatever it is."""
+        """Have a majority accept the register's record unchanged, whatever it is."""
 
         def done(result: Result) -> None:
             if not result.failure:
@@ -258,10 +268,10 @@
 
         comparison.rounds += 1
         self.allowance -= 1
-        self.node.proposer.change(now_us, key, lambda there: None, done, now_us + GIVE_UP_US)
+        self.node.proposer.change(now_us, key, lambda current: None, done, now_us + GIVE_UP_US)
 
     def _fetch(self, now_us: int, comparison: PartitionComparison) -> None:
-        comparison.asked_us = now_us
+        comparison.requested_us = now_us
         if self.allowance <= 0:
             return
         by_disk: dict[str, list[bytes]] = {}
@@ -276,25 +286,25 @@
                 )
 
     def on_fetch(self, name: str, message: Fetch) -> None:
-        """Another replica lacks these records."""
+        """Send another replica the records that it lacks."""
         if self.node.serves(message.disk_id, message.epoch):
-            items, gone = self.node.store.items(message.keys, FETCH_BYTES)
-            fetched = Fetched(message.epoch, self.node.disk_id, message.partition, items, gone)
+            items, missing = self.node.store.items(message.keys, FETCH_BYTES)
+            fetched = Fetched(message.epoch, self.node.disk_id, message.partition, items, missing)
             self.node.reply(name, fetched)
 
     def on_fetched(self, now_us: int, message: Fetched) -> None:
-        """Records that this replica lacked."""
+        """Adopt records that this replica lacked, and fetch the remaining ones."""
         comparison = self.comparisons.get(message.partition)
-        if comparison is None or not comparison.judged or message.epoch != self.node.placement.epoch:
+        if comparison is None or not comparison.classified or message.epoch != self.node.placement.epoch:
             return
         if message.items or message.gone:
-            comparison.moved_us = now_us
+            comparison.progress_us = now_us
         for item in message.items:
             missing = comparison.unfetched.get(item[0])
             if missing is not None and missing.disk_id == message.disk_id:
                 del comparison.unfetched[missing.key]
                 self._take_over(now_us, comparison, missing, item)
-        for key in message.gone:  # it is over
+        for key in message.gone:  # expired at the source
             comparison.unfetched.pop(key, None)
         if comparison.unfetched:
             self._fetch(now_us, comparison)
@@ -304,10 +314,10 @@
         self, now_us: int, comparison: PartitionComparison, missing: MissingRecord, item: Item
     ) -> None:
         key, ballot, value = item
-        if ballot != missing.ballot:  # somebody is changing it: the newer one may never be chosen
+        if ballot != missing.ballot:  # being changed: the newer value may never be chosen
             self._settle(now_us, comparison, key)
             return
-        line = self.node.store.adopt_chosen(key, ballot, value, self.node.clock.agreed_us, missing.mend)
+        line = self.node.store.adopt_chosen(key, ballot, value, self.node.clock.agreed_us, missing.is_damaged)
         if line:
             self.node.saving.append(line)
             self.mended += 1
@@ -316,12 +326,13 @@
         self.comparisons.pop(comparison.partition, None)
         self.compared_us.pop(comparison.partition, None)
         self.compared_us[comparison.partition] = now_us
-        found = comparison.lacked if not comparison.filling else 0
+        differences = comparison.missing_count if not comparison.filling else 0
         partition = comparison.partition
-        # What it found is here now. Where two comparisons in a row find something, more keeps missing.
-        _set_member(self.behind, partition, bool(found) and partition in self.lacking)
-        _set_member(self.lacking, partition, bool(found))
-        _set_member(self.recheck, partition, bool(found) or bool(self.undecided.get(partition)))
+        # What this comparison found is here now. If the one before found something too, records keep going
+        # missing, and the partition counts as behind.
+        _set_member(self.behind, partition, bool(differences) and partition in self.incomplete)
+        _set_member(self.incomplete, partition, bool(differences))
+        _set_member(self.recheck, partition, bool(differences) or bool(self.undecided.get(partition)))
         if comparison.filling:
             self.filled.add(comparison.partition)
             if len(self.filled) == len(self.node.partitions):
--- a/badgergap/replication/replica.py
+++ b/badgergap/replication/replica.py
@@ -1,7 +1,8 @@
-"""One member's node of the replication: its replica, its proposals, repair, and the leader's duties. Pure.
+"""One member's node of the replication: its replica, proposer, repair and leader duties. Does no I/O.
 
-The driver (`service.py`, or a simulation) hands in what happened with the time of a monotonic clock, and
-carries out `take()`. What the group agrees on (placement, clock) comes in by `on_placement` and `on_tick`.
+The driver (`service.py`, or a simulation) passes in events with the time of a monotonic clock, and carries
+out the actions that `take()` returns. What the group agrees on (placement, clock) arrives through
+`on_placement` and `on_tick`.
 """
 
 from __future__ import annotations
@@ -41,13 +42,13 @@
 from badgergap.replication.repair import PartitionRepair
 
 REPORT_US = 500_000
-CLAIM_QUERY_US = 1_500_000  # for the gateway of a claim to say what became of it
-SILENT = "silent"  # what is made of a gateway that does not say it
+CLAIM_QUERY_US = 1_500_000  # timeout of a query to the gateway that made a claim
+SILENT = "silent"  # the result of a claim query that times out
 
 
 @dataclass(eq=False)
 class ClaimQuery:
-    """A question to the gateway of a claim; `on_answer` is called once, with its answer or `SILENT`."""
+    """A query to the gateway that made a claim; `on_answer` is called once, with its answer or `SILENT`."""
 
     on_answer: Callable[[str], None]
     name: str
@@ -55,20 +56,23 @@
 
 
 class ReplicaNode:
-    """Everything that one member does for replication.
+    """The replication node of one member.
 
     `broken` is why its disk stores nothing, `unsupported` what a later program version has written that this
     one cannot read; both are empty in normal operation. While either is set, the node answers no proposer.
     """
 
-    # Tests put classes in their place that lack a guard.
+    # Tests substitute classes that lack one of the safety rules.
     store_class: type[AcceptorStore] = AcceptorStore
     proposer_class: type[Proposer] = Proposer
 
     def __init__(
         self, options: Options, disk_id: str, lines: Iterable[bytes], now_us: int, rng: random.Random
     ) -> None:
-        """`lines`: what the log holds. Raises MsgspecError for lines of a later program version."""
+        """Load the node's state from `lines`, the content of its log.
+
+        Raises MsgspecError for lines that a later program version has written.
+        """
         self.options = options
         self.disk_id = disk_id
         self.now_us = now_us
@@ -77,7 +81,7 @@
         self.clock = GroupClock()
         self.placement = Placement()
         self.number = 0  # of the placement in the group's log
-        self.partitions: tuple[int, ...] = ()  # that this replica holds, or held before the move under way
+        self.partitions: tuple[int, ...] = ()  # that this replica holds, or held before the current move
         self.proposer = self.proposer_class(self.incarnation, self._send_to, rng)
         self.claims = ClaimRegistry(self.incarnation, rng)
         self.claim_queries: dict[int, ClaimQuery] = {}
@@ -88,16 +92,16 @@
         self.report_summary: tuple[int, messages.ReportSummary] | None = None  # of the leader, and when
         self.broken = ""
         self.unsupported = ""
-        # What the driver is to do
+        # Pending actions for the driver
         self.out: list[Action] = []
         self.saving: list[bytes] = []
         self.token = 0  # of the newest save
-        self.durable = 0  # the newest save that is
-        self.entered = 0  # the save before which nothing may be said, of this epoch and this reserve
+        self.durable_token = 0  # of the newest durable save
+        self.entered = 0  # token of the save of this epoch and reserve, which must precede any reply
         self.reserved = self.store.reserve
 
     def take(self) -> list[Action]:
-        """What is to be done by now, in this order."""
+        """Return the pending actions, in the order in which they must be carried out."""
         out, self.out = self.out, []
         if self.saving:
             self.token += 1
@@ -105,10 +109,10 @@
             self.saving = []
         return out
 
-    # What the group says
+    # Decisions of the group
 
     def on_placement(self, now_us: int, number: int, data: bytes) -> None:
-        """The group has agreed on a placement; what it says of an older epoch is ignored."""
+        """Apply a placement that the group has agreed on; one of an older epoch is ignored."""
         if number <= self.number or self.unsupported:
             return
         try:
@@ -131,7 +135,7 @@
         before = set(self.partitions)
         self._find_partitions()
         self.repair.on_epoch(before)
-        self.proposer.place(now_us, placement)
+        self.proposer.on_placement(now_us, placement)
         self._announce(placement)
 
     def _announce(self, placement: Placement) -> None:
@@ -145,14 +149,14 @@
             self.out.append(Alert(f"copies: {lost}: keys that are not found there are in doubt"))
 
     def _enter_epoch(self) -> None:
-        """Nothing may be said in an epoch before it is on disk that it was entered."""
+        """Enter the placement's epoch. No reply may be sent in it before this is on disk."""
         line = self.store.enter_epoch(self.placement.epoch)
         if line:
             self.saving.append(line)
             self.entered = self.token + 1
 
     def _find_partitions(self) -> None:
-        """Those of this replica, in a new epoch or with a new disk."""
+        """Recompute the partitions of this replica, in a new epoch or with a new disk."""
         self.partitions = tuple(
             partition
             for partition in range(self.placement.partitions)
@@ -160,7 +164,7 @@
         )
 
     def on_tick(self, now_us: int, number: int, data: bytes) -> None:
-        """The group has agreed on a tick of its clock."""
+        """Apply a tick of the group's clock, and drop the records that have expired by it."""
         own = self.leader.has_proposed("time", number)
         try:
             self.clock.on_tick(now_us, number, data, own)
@@ -170,13 +174,13 @@
         self.store.expire(self.clock.agreed_us)
 
     def on_leader(self, now_us: int, leader: str, leads: bool, members: Collection[str]) -> None:
-        """Who leads the group now, whether it is this member, and who is in it."""
+        """Record the group's leader, whether it is this member, and the group's members."""
         self.leader.on_leader(now_us, leader, leads, members)
 
-    # What idempotent requests and operators want
+    # For idempotent requests and operators
 
     def group_us(self) -> int:
-        """The group's time, as far as this member knows it."""
+        """Return the group's time by this member's copy of the clock."""
         return self.clock.now_us(self.now_us)
 
     def change(
@@ -188,33 +192,33 @@
         within_us: int,
         prepared: PreparedBallot | None = None,
     ) -> Operation:
-        """Change a key's register; `done` is called once, `within_us` from now at the latest."""
+        """Change a key's register. `done` is called exactly once, at the latest `within_us` from now."""
         self.now_us = now_us
         return self.proposer.change(now_us, key, change, done, now_us + within_us, prepared)
 
     def may_have_lost_records(self, key: bytes) -> bool:
-        """Whether records of this key may have been lost for good."""
-        # No member's clock is behind the agreed time: by this one a hole is never over too soon.
+        """Return whether records of this key may have been lost for good."""
+        # No member's clock is behind the agreed time, so judged by it a hole never ends too early.
         return self.placement.may_have_lost_records(
             partition_of(key, self.placement.partitions), self.clock.agreed_us
         )
 
     def query_claim(self, now_us: int, record: Record, on_answer: Callable[[str], None]) -> None:
-        """Ask the gateway of a claim what became of it: a `ClaimState`, or `SILENT` if it does not say."""
+        """Query the gateway of a claim for its state: a `ClaimState`, or `SILENT` if it does not answer."""
         self.proposer.number += 1
         number = self.proposer.number
         self.claim_queries[number] = ClaimQuery(on_answer, record.owner, now_us + CLAIM_QUERY_US)
         self.out.append(Send(record.owner, QueryClaim(number, record.incarnation, record.claim)))
 
     def query_reports(self) -> None:
-        """Ask the leader what it knows of all replicas; `report_summary` has it then."""
+        """Request the reports of all replicas from the leader; its answer is stored in `report_summary`."""
         if self.leader.name:
             self.out.append(Send(self.leader.name, messages.QueryReports()))
 
-    # What happens
+    # Events
 
     def tick(self, now_us: int) -> None:
-        """Time has passed."""
+        """Handle timeouts and do periodic work."""
         self.now_us = now_us
         self.proposer.tick(now_us)
         for number, query in list(self.claim_queries.items()):
@@ -222,7 +226,7 @@
                 del self.claim_queries[number]
                 query.on_answer(SILENT)
         if not self.frozen_snapshots.is_frozen(now_us):
-            self._release_held()
+            self._accept_delayed()
         self.frozen_snapshots.expire(now_us)
         self.repair.tick(now_us)
         if now_us >= self.report_us:
@@ -231,23 +235,23 @@
         self.leader.tick(now_us)
 
     def on_saved(self, now_us: int, token: int) -> None:
-        """All saves up to this one are durable."""
+        """Record that all saves up to this token are durable."""
         self.now_us = now_us
-        self.durable = token
+        self.durable_token = token
 
     def on_failed(self, why: str) -> None:
-        """The disk has refused: nothing is kept here until the folder is opened anew."""
+        """Handle a disk failure: nothing is stored here until `reopen`."""
         self.broken = why
         self.out.append(Alert(f"copies: this member keeps nothing: {why}"))
 
     def reopen(self, disk_id: str, lines: Iterable[bytes]) -> None:
-        """The folder was opened anew, after its disk had failed. Raises MsgspecError, as at the start."""
+        """Restart from the reopened log after a disk failure. Raises MsgspecError as the constructor does."""
         self.store = self.store_class(lines, self.options.bounds, self.options.partitions)
         self.disk_id = disk_id
         self.broken = ""
         self.saving = []
-        self.frozen_snapshots.take_held()  # their proposers ask again
-        self.durable = self.token
+        self.frozen_snapshots.take_delayed()  # dropped: their proposers send again
+        self.durable_token = self.token
         self.entered = 0
         self.reserved = self.store.reserve
         self._find_partitions()
@@ -255,14 +259,14 @@
         self._enter_epoch()
 
     def receive(self, now_us: int, name: str, message: Message) -> None:
-        """A message of another member, or of this one to itself."""
+        """Handle a message of another member, or of this one to itself."""
         self.now_us = now_us
         match message:
             case Prepare():
                 self._on_prepare(name, message)
             case Accept():
                 if message.disk_id == self.disk_id and self.frozen_snapshots.is_frozen(now_us):
-                    self.frozen_snapshots.held.append((name, message))
+                    self.frozen_snapshots.delayed_accepts.append((name, message))
                 else:
                     self._on_accept(name, message)
             case Promised():
@@ -309,7 +313,7 @@
     # The replica
 
     def serves(self, disk_id: str, epoch: int) -> bool:
-        """Whether a message to that disk, in that epoch, is to be answered."""
+        """Return whether this node may answer a message for that disk in that epoch."""
         return (
             disk_id == self.disk_id and epoch == self.store.epoch and not self.broken and not self.unsupported
         )
@@ -317,14 +321,17 @@
     def _save(self, lines: Iterable[bytes]) -> None:
         self.saving += lines
         if self.store.reserve != self.reserved:
-            # What is promised under the new reserve, by this message or the next, rests on it.
+            # Promises under the new reserve, to this message or later ones, depend on this save.
             self.reserved = self.store.reserve
             self.entered = self.token + 1
 
-    def reply(self, name: str, message: Message, rests: bool = True) -> None:
-        """Send once what the message rests on is on disk. Not `rests`: it rests on the epoch alone."""
-        after = self.token + bool(self.saving) if rests else self.entered
-        self.out.append(Send(name, message, after if after > self.durable else 0))
+    def reply(self, name: str, message: Message, waits_for_saves: bool = True) -> None:
+        """Send a message once the state that it depends on is on disk.
+
+        Without `waits_for_saves`, it depends only on the epoch and the reserve.
+        """
+        after = self.token + bool(self.saving) if waits_for_saves else self.entered
+        self.out.append(Send(name, message, after if after > self.durable_token else 0))
 
     def _on_prepare(self, name: str, message: Prepare) -> None:
         if message.disk_id != self.disk_id or self.broken or self.unsupported:
@@ -344,7 +351,7 @@
             reply.value,
             reply.promised,
         )
-        # What is there may have been accepted just now, and not be on disk yet.
+        # The accepted value in the reply may not be on disk yet.
         self.reply(name, promised, bool(reply.lines_to_save) or reply.accepted > acceptor.NO_BALLOT)
 
     def _on_accept(self, name: str, message: Accept) -> None:
@@ -364,11 +371,11 @@
             reply.promised,
             reply.no_capacity,
         )
-        # What was accepted before may still be on its way to the disk: this waits for all that is.
+        # A repeated message's value may still be on its way to the disk, so wait for all pending saves.
         self.reply(name, accepted, reply.ok)
 
     def report(self, now_us: int) -> None:
-        """Tell the leader how this replica stands."""
+        """Send this replica's report to the leader."""
         if not self.leader.name:
             return
         report = Report(
@@ -384,19 +391,20 @@
             self.repair.scrubbed_ago_us(now_us),
             self.repair.mended,
         )
-        self.reply(self.leader.name, report)  # a partition counts as filled once it is on disk here
+        # Sent after all pending saves: a partition counts as filled once its records are on disk here.
+        self.reply(self.leader.name, report)
 
     def _send_to(self, replica: Replica, message: Prepare | Accept) -> None:
         self.out.append(Send(replica.name, message))
 
-    # Snapshots of one instant
+    # Point-in-time snapshots
 
-    def _release_held(self) -> None:
-        for name, message in self.frozen_snapshots.take_held():
+    def _accept_delayed(self) -> None:
+        for name, message in self.frozen_snapshots.take_delayed():
             self._on_accept(name, message)
 
     def _on_snapshot(self, now_us: int, name: str, message: Message) -> None:
-        """A message of a member that takes a snapshot; its answers are the driver's to hand on."""
+        """Handle a request of a member that takes a snapshot; the driver handles the answers to those."""
         match message:
             case messages.Freeze():
                 is_served = self.serves(message.disk_id, message.epoch)
@@ -405,7 +413,7 @@
             case messages.Unfreeze():
                 is_known = message.disk_id == self.disk_id and self.frozen_snapshots.unfreeze(message.id)
                 if is_known and not self.frozen_snapshots.is_frozen(now_us):
-                    self._release_held()
+                    self._accept_delayed()
             case messages.Page():
                 snapshot = self.frozen_snapshots.by_id.get(message.id)
                 if snapshot is not None and message.disk_id == self.disk_id:
--- a/tests/compatibility/test_replication_bytes.py
+++ b/tests/compatibility/test_replication_bytes.py
@@ -64,7 +64,7 @@
         "98a1620203a273349405060708c2940a0b0c0dc3",
     ),
     (
-        replication_messages.Compare(epoch=2, disk_id="s3", partition=4, checksums=(5,), had=6),
+        replication_messages.Compare(epoch=2, disk_id="s3", partition=4, checksums=(5,), answered_buckets=6),
         "96a16302a2733304910506",
     ),
     (
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -1,4 +1,4 @@
-"""Each guard of copies taken out in turn, and the schedule and seed that find it."""
+"""The safety rules of replication, each with code that breaks it and a schedule and seed that detect this."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
 from badgergap.replication.placement import Placement, Replica
 from badgergap.replication.proposer import Operation, PreparedBallot, Result
 from tests.consensus.simulation import Violation
-from tests.replication.simulation import SCHEDULES, Disk, Node, Watch, Watched, World
+from tests.replication.simulation import SCHEDULES, Disk, Node, RecordingNode, RecordingProposer, World
 
 
 class PromisesNothing(AcceptorStore):
+    """Forgets each promise right after it is given."""
+
     def prepare(self, key: bytes, ballot: Ballot) -> Reply:
         reply = super().prepare(key, ballot)
         self.promises.pop(key, None)
@@ -29,7 +31,7 @@
 
 
 class ForgetsPromises(AcceptorStore):
-    """A seat that starts takes nothing for promised."""
+    """A restarted replica treats no ballot as promised."""
 
     @property
     def floor(self) -> Ballot:
@@ -41,17 +43,21 @@
 
 
 class AdoptsAnything(PartitionComparison):
-    """What any seat holds is taken for chosen."""
+    """Treats a record that any replica holds as chosen."""
+
+    def classify(
+        self, own: dict[int, dict[bytes, tuple[Ballot, int]]], seen_before: dict[bytes, Ballot]
+    ) -> Findings:
+        findings = super().classify(own, seen_before)
+        findings.undecided.clear()
+        findings.deferred.clear()
+        self.missing_count = len(findings.missing)
+        return findings
 
-    def judge(self, own: dict[int, dict[bytes, tuple[Ballot, int]]], seen: dict[bytes, Ballot]) -> Findings:
-        found = super().judge(own, seen)
-        found.undecided.clear()
-        found.noted.clear()
-        self.lacked = len(found.missing)
-        return found
 
+class AnyEpoch(RecordingNode):
+    """Answers proposers of every epoch."""
 
-class AnyEpoch(Watch):
     def _on_prepare(self, name: str, message: Prepare) -> None:
         super()._on_prepare(name, msgspec.structs.replace(message, epoch=self.store.epoch))
 
@@ -59,13 +65,15 @@
         super()._on_accept(name, msgspec.structs.replace(message, epoch=self.store.epoch))
 
 
-class SaysBeforeItIsWritten(Watch):
-    def reply(self, name: str, message: Message, rests: bool = True) -> None:
+class RepliesBeforeSaving(RecordingNode):
+    """Sends replies before the state that they depend on is on disk."""
+
+    def reply(self, name: str, message: Message, waits_for_saves: bool = True) -> None:
         self.out.append(Send(name, message))
 
 
-class NoWriteBack(Watched):
-    """What a look sees at one seat is relied on."""
+class NoWriteBack(RecordingProposer):
+    """Returns a record that was read from one replica without writing it back to a majority."""
 
     def on_promised(self, now_us: int, message: Promised) -> None:
         operation = self.operations.get(message.operation)
@@ -86,8 +94,8 @@
                 )
 
 
-class GripsTwice(Watched):
-    """A change goes on from one that others may have come behind."""
+class SkipsPrepare(RecordingProposer):
+    """Uses a new ballot without a prepare phase, although other proposers may have come in between."""
 
     def _accept(self, now_us: int, operation: Operation, new_record: Record, prior: Ballot) -> None:
         if prior != operation.ballot or operation.ballot[3]:
@@ -95,8 +103,8 @@
         super()._accept(now_us, operation, new_record, prior)
 
 
-class SendsAtOnce(IdempotentRequest):
-    """The record is written beside the request, and not before it."""
+class SendsBeforeStoring(IdempotentRequest):
+    """Sends the request while its record is being stored, instead of afterwards."""
 
     def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
         self.out += 1
@@ -104,7 +112,9 @@
         super().launch(endpoint, lambda may: None)
 
 
-class GivesBeforeItIsKept(IdempotentRequest):
+class AnswersBeforeStoring(IdempotentRequest):
+    """Returns the answer before it is stored."""
+
     def answered(self, status: int, headers: idempotency_record.Fields, body: bytes) -> None:
         if self.running and self.record is not None:
             given = idempotency_record.done(self.record, status, headers, body)
@@ -115,21 +125,21 @@
 
 
 class SilentIsNever(IdempotentRequest):
-    """A gateway that says nothing is taken to have run nothing."""
+    """Treats a gateway that does not answer as one that never sent the request."""
 
     def _on_claim_state(self, there: Record, state: str) -> None:
         super()._on_claim_state(there, "never" if state in ("silent", "gone") else state)
 
 
-class NeverMeansFree(IdempotentRequest):
-    """What has been sent is called free, if no answer came."""
+class FreesSentClaims(IdempotentRequest):
+    """Reports a request that was sent as never run."""
 
     def attempt_over(self, may_have_run: bool) -> None:
         super().attempt_over(False)
 
 
-class SameIdentity(World):
-    """A wiped disk comes back as what it was."""
+class KeepsDiskId(World):
+    """A wiped disk keeps its identity."""
 
     def wipe(self, node: Node) -> None:
         self.crash(node)
@@ -137,7 +147,7 @@
 
 
 @contextmanager
-def put(owner: object, name: str, to: object) -> Iterator[None]:
+def patched(owner: object, name: str, to: object) -> Iterator[None]:
     before = getattr(owner, name)
     setattr(owner, name, to)
     try:
@@ -146,21 +156,21 @@
         setattr(owner, name, before)
 
 
-def new_set_alone(self: Placement, partition: int) -> tuple[tuple[Replica, ...], ...]:
+def new_set_only(self: Placement, partition: int) -> tuple[tuple[Replica, ...], ...]:
     return (placement.replicas_of(self.replicas, self.copies, partition),)
 
 
-def no_holes(self: Placement, partition: int, now_us: int) -> bool:
+def never_lost(self: Placement, partition: int, now_us: int) -> bool:
     return False
 
 
-def held(*_: object) -> bool:
+def always_held(*_: object) -> bool:
     return True
 
 
 def run_in_doubt(*given: object) -> Decision:
-    found = judge(*given)  # type: ignore[arg-type]
-    return Decision.RUN if found is Decision.DOUBT else found
+    decision = judge(*given)  # type: ignore[arg-type]
+    return Decision.RUN if decision is Decision.DOUBT else decision
 
 
 def follows_doubt(before: Record | None, after: Record) -> bool:
@@ -172,8 +182,8 @@
 judge, follows = idempotency_record.judge, idempotency_record.follows
 
 
-def keeper_of(**classes: object) -> type[Watch]:
-    return type("Lacking", (Watch,), classes)
+def node_with(**classes: object) -> type[RecordingNode]:
+    return type("NodeWithFault", (RecordingNode,), classes)
 
 
 @dataclass(frozen=True)
@@ -181,50 +191,61 @@
     name: str
     schedule: str
     seed: int
-    replica_node: type[Watch] = Watch
+    replica_node: type[RecordingNode] = RecordingNode
     once: type[IdempotentRequest] = IdempotentRequest
     world: type[World] = World
     patches: tuple[tuple[object, str, object], ...] = ()
 
-    def found(self, seed: int | None = None) -> str:
-        """What the schedule finds without it; nothing if all is well."""
+    def violation(self, seed: int | None = None) -> str:
+        """Return the violation that the schedule detects without the rule; empty if there is none."""
         schedule = SCHEDULES[self.schedule]
         at = self.seed if seed is None else seed
         try:
             with ExitStack() as stack:
                 for patch in self.patches:
-                    stack.enter_context(put(*patch))
+                    stack.enter_context(patched(*patch))
                 schedule(at, replica_node=self.replica_node, once=self.once, kind=self.world)
-        except Violation as found:
-            return str(found)
+        except Violation as violation:
+            return str(violation)
         return ""
 
 
 GUARDS = [
-    Guard("nothing goes to a box before its record is kept", "crossing", 2, once=SendsAtOnce),
-    Guard("an answer is given once it is kept", "crossing", 35, once=GivesBeforeItIsKept),
-    Guard("a gateway that is silent may have run it", "crossing", 11, once=SilentIsNever),
-    Guard("what was sent is not called free", "anything", 4, once=NeverMeansFree),
+    Guard("a request is sent only after its record is stored", "crossing", 2, once=SendsBeforeStoring),
+    Guard("an answer is returned only after it is stored", "crossing", 35, once=AnswersBeforeStoring),
+    Guard("a gateway that does not answer may have run the request", "crossing", 11, once=SilentIsNever),
+    Guard("a claim that was sent is not freed", "anything", 4, once=FreesSentClaims),
     Guard(
-        "what is in doubt is not run anew",
+        "a request in doubt is not run again",
         "crossing",
         5,
         patches=((idempotency_record, "judge", run_in_doubt), (idempotency_record, "follows", follows_doubt)),
     ),
-    Guard("a promise is kept", "crossing", 0, keeper_of(store_class=PromisesNothing)),
-    Guard("a promise is kept over a restart", "anything", 390, keeper_of(store_class=ForgetsPromises)),
-    Guard("a step is behind no other's round", "crossing", 16, keeper_of(proposer_class=GripsTwice)),
-    Guard("what is seen at one seat is written back", "anything", 4, keeper_of(proposer_class=NoWriteBack)),
-    Guard("what is said is on disk", "anything", 51, SaysBeforeItIsWritten),
+    Guard("a promise is kept", "crossing", 0, node_with(store_class=PromisesNothing)),
+    Guard("a promise is kept across a restart", "anything", 390, node_with(store_class=ForgetsPromises)),
+    Guard(
+        "only the next step skips the prepare phase", "crossing", 16, node_with(proposer_class=SkipsPrepare)
+    ),
+    Guard(
+        "a record read at one replica is written back", "anything", 4, node_with(proposer_class=NoWriteBack)
+    ),
+    Guard("a reply waits until its state is on disk", "anything", 51, RepliesBeforeSaving),
     Guard("an old epoch is refused", "joins", 1, AnyEpoch),
-    Guard("both sets agree while seats move", "ruin", 2, patches=((Placement, "sets", new_set_alone),)),
-    Guard("a new seat is filled before it counts", "ruin", 2, patches=((placement, "_is_held", held),)),
+    Guard("both sets accept while replicas move", "ruin", 2, patches=((Placement, "sets", new_set_only),)),
+    Guard(
+        "a new replica is filled before it counts", "ruin", 2, patches=((placement, "_is_held", always_held),)
+    ),
     Guard(
-        "what is not chosen is settled",
+        "a record that is not chosen is settled",
         "anything",
         64,
         patches=((repair, "PartitionComparison", AdoptsAnything),),
     ),
-    Guard("a wiped disk is another", "moves", 148, world=SameIdentity),
-    Guard("what was lost is in doubt", "ruin", 2, patches=((Placement, "may_have_lost_records", no_holes),)),
+    Guard("a wiped disk gets a new identity", "moves", 148, world=KeepsDiskId),
+    Guard(
+        "a key that may be lost is in doubt",
+        "ruin",
+        2,
+        patches=((Placement, "may_have_lost_records", never_lost),),
+    ),
 ]
--- a/tests/replication/history.py
+++ b/tests/replication/history.py
@@ -1,8 +1,8 @@
-"""Whether what was seen of one register can have happened in one order: a small checker of linearizability.
+"""A small linearizability checker: whether the observed steps of one register fit into one order.
 
-A `Step` takes the register from one value to another, somewhere between two times. One that is known to have
-been made must have its place; one whose end is not known may have none. The search goes through the orders
-that the times allow, and remembers where it has been (Wing and Gong, with Lowe's memory).
+A `Step` takes the register from one value to another at some point between two times. A step that is known to
+have been made must be part of the order; one without a known end may be left out. The search tries the orders
+that the times allow and skips states that it has visited (the algorithm of Wing and Gong with Lowe's cache).
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    saw: object
-    left: object
+    before: object
+    after: object
     began: int
-    ended: int = NEVER  # when it was known to be made; NEVER: it may not have been
+    ended: int = NEVER  # when it was known to be made; NEVER: it may not have been made
     who: str = ""
 
 
-def order_of(steps: list[Step], first: object = None) -> list[Step] | None:
-    """An order that explains them, or None: there is none."""
+def find_order(steps: list[Step], first: object = None) -> list[Step] | None:
+    """Return an order that explains all steps, or None."""
     steps = sorted(steps, key=lambda step: step.began)
-    must = frozenset(n for n, step in enumerate(steps) if step.ended != NEVER)
-    been: set[tuple[frozenset[int], object]] = set()
-    # Each: what is placed so far, the register's value, the order.
+    required = frozenset(n for n, step in enumerate(steps) if step.ended != NEVER)
+    visited: set[tuple[frozenset[int], object]] = set()
+    # Entries: the steps placed so far, the register's value, the order.
     stack: list[tuple[frozenset[int], object, tuple[int, ...]]] = [(frozenset(), first, ())]
     while stack:
         placed, value, order = stack.pop()
-        if must <= placed:
+        if required <= placed:
             return [steps[n] for n in order]
-        if (placed, value) in been:
+        if (placed, value) in visited:
             continue
-        been.add((placed, value))
-        # Nothing may come behind what was over before it began.
-        horizon = min(steps[n].ended for n in must - placed)
+        visited.add((placed, value))
+        # The next step must have begun before any required step that is not placed yet ended.
+        horizon = min(steps[n].ended for n in required - placed)
         for n, step in enumerate(steps):
             if step.began > horizon:
                 break
-            if n not in placed and step.saw == value:
-                stack.append((placed | {n}, step.left, (*order, n)))
+            if n not in placed and step.before == value:
+                stack.append((placed | {n}, step.after, (*order, n)))
     return None
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -1,8 +1,10 @@
-"""Members that keep copies, in simulated time: the real keepers on a network, disks and clocks that fail by a
-seed; clients that repeat elsewhere; boxes with ledgers.
+"""Replica nodes in simulated time.
 
-The group's agreement is a log that all members read, some later than others, and one of them leads: that it
-is so is what `tests/consensus` shows. The first thing found wrong raises `Violation` with seed and time.
+The real `ReplicaNode`s run on a network, disks and clocks that fail as the seed determines, with clients that
+repeat requests at other gateways and endpoints that record each effect.
+
+The group's agreement is modelled as a log that all members read, some later than others, with one leader;
+`tests/consensus` tests that agreement itself. The first violated rule raises `Violation` with seed and time.
 """
 
 from __future__ import annotations
@@ -23,7 +25,7 @@
 from badgergap.replication.proposer import Change, Done, Operation, PreparedBallot, Proposer, Result
 from badgergap.replication.replica import ReplicaNode
 from tests.consensus.simulation import MS, S, Timed, Violation
-from tests.replication.history import NEVER, Step, order_of
+from tests.replication.history import NEVER, Step, find_order
 
 TICK_US = 25 * MS
 LEASE_US = 2_400 * MS
@@ -32,16 +34,18 @@
 KEEP_US = 600 * S
 
 
-class Watched(Proposer):
-    """Shows the checks what each change saw and what it left."""
+class RecordingProposer(Proposer):
+    """A proposer that reports to the checks which record each change read and which one it left."""
 
-    tried: Callable[[Operation, list[tuple[Record | None, Record | None]], int, Result | None], None]
+    on_change_ended: Callable[
+        [Operation, list[tuple[Record | None, Record | None]], int, Result | None], None
+    ]
     now: Callable[[], int]
 
     def __init__(self, *given: object) -> None:
         super().__init__(*given)  # type: ignore[arg-type]
-        # What is under way: its change, what it saw and wanted, since when.
-        self.tries: dict[int, tuple[Operation, list[tuple[Record | None, Record | None]], int]] = {}
+        # By number, the changes under way: (operation, records read and proposed, time of the start).
+        self.under_way: dict[int, tuple[Operation, list[tuple[Record | None, Record | None]], int]] = {}
 
     def change(
         self,
@@ -61,32 +65,32 @@
             return wanted
 
         def over(result: Result) -> None:
-            self.tried(operation, seen, began, result)
+            self.on_change_ended(operation, seen, began, result)
             done(result)
 
         operation = super().change(now_us, key, watched, over, until_us, prepared)
-        self.tries[operation.number] = (operation, seen, began)
+        self.under_way[operation.number] = (operation, seen, began)
         return operation
 
     def _finish(self, operation: Operation, result: Result) -> None:
-        self.tries.pop(operation.number, None)
+        self.under_way.pop(operation.number, None)
         super()._finish(operation, result)
 
 
-class Watch(ReplicaNode):
-    """A keeper with such a proposer. Tests put ones in its place that lack a guard."""
+class RecordingNode(ReplicaNode):
+    """A replica node with such a proposer. Tests substitute subclasses that lack a safety rule."""
 
-    proposer_class = Watched
+    proposer_class = RecordingProposer
 
 
 class Disk:
     def __init__(self) -> None:
         self.durable: list[bytes] = []
         self.waiting: list[Save] = []
-        self.lies = False
+        self.loses_writes = False
 
-    def crash(self, chance: random.Random) -> None:
-        for save in self.waiting[: chance.randrange(len(self.waiting) + 1)]:
+    def crash(self, rng: random.Random) -> None:
+        for save in self.waiting[: rng.randrange(len(self.waiting) + 1)]:
             self.durable += save.lines
         self.waiting.clear()
 
@@ -99,85 +103,86 @@
     offset_us: int
     disk_id: str
     disk: Disk = field(default_factory=Disk)
-    replica_node: Watch | None = None
+    replica_node: RecordingNode | None = None
     once: type[IdempotentRequest] = IdempotentRequest
     incarnation: int = 0
-    stopped_until: int = 0
+    paused_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)
     held: list[Send] = field(default_factory=list)
-    applied: int = 0  # of the group's log
-    in_touch_us: int = 0  # when it last was; what its lease goes by
+    applied: int = 0  # entries of the group's log
+    majority_reached_us: int = 0  # when it last reached a majority; its lease counts from then
     slow_disk: bool = False
     broken: bool = False
-    removed: bool = False  # from the group; its process and disk are as they were
-    lags_until: int = 0  # in reading the group's log, though it has a lease
+    removed: bool = False  # from the group; its process and disk stay as they are
+    lags_until: int = 0  # until when it does not read the group's log, though it has a lease
 
 
 @dataclass
-class Asked:
-    """One request of a client, and what came of it."""
+class ClientRequest:
+    """One request of a client, and its outcome."""
 
     key: bytes
     node: str
     at: int
     ended: int = NEVER
-    how: str = ""  # "given", "own" or the `End`
+    # "given": a stored answer, "own": an answer of the gateway, "left", "refused", or the name of an `End`.
+    how: str = ""
     body: bytes = b""
 
 
 @dataclass
-class Box:
+class Endpoint:
     name: str
     number: int
     fault: str = ""  # "silent", "full"
 
 
 class Client:
-    """One key: asks, and repeats elsewhere until it has an answer, or has had enough."""
+    """Sends requests with one key to random gateways, until it has an answer or used all its attempts."""
 
-    def __init__(self, world: World, key: bytes, wants: int) -> None:
-        self.world, self.key, self.wants = world, key, wants
-        self.tries = 0
+    def __init__(self, world: World, key: bytes, max_attempts: int) -> None:
+        self.world, self.key, self.max_attempts = world, key, max_attempts
+        self.attempts = 0
 
     def ask(self) -> None:
         world = self.world
-        self.tries += 1
+        self.attempts += 1
         node = world.random.choice(list(world.nodes.values()))
         Run(world, node, self.key, self.ended).begin()
 
-    def ended(self, asked: Asked) -> None:
+    def ended(self, asked: ClientRequest) -> None:
         again = asked.how != "given" or self.world.random.random() < 0.3
-        if again and self.tries < self.wants:
+        if again and self.attempts < self.max_attempts:
             self.world.after(self.world.random.randrange(10 * MS, 900 * MS), self.ask)
 
 
 class Run:
-    """A request at a gateway, and the decisions that pick its boxes, as far as they matter here."""
+    """A request at a gateway: the `Runner` of an `IdempotentRequest`, with a simple choice of endpoints."""
 
-    def __init__(self, world: World, node: Node, key: bytes, ended: Callable[[Asked], None]) -> None:
+    def __init__(self, world: World, node: Node, key: bytes, ended: Callable[[ClientRequest], None]) -> None:
         self.world, self.node, self.ended = world, node, ended
-        self.asked = Asked(key, node.name, world.now)
+        self.asked = ClientRequest(key, node.name, world.now)
         self.incarnation = node.incarnation
         self.only: tuple[int, ...] | None = None
         self.attempts = 0
-        self.turn = 0  # of the decisions: what an earlier one was told counts no more
+        self.turn = 0  # the number of the current run; events of an earlier one are ignored
         self.over = False
         world.asked.append(self.asked)
         replica_node = node.replica_node
         world.after(PATIENCE_US, lambda: self.finish("left"))
-        if replica_node is None or node.stopped_until > world.now or not world.may_act(node):
+        if replica_node is None or node.paused_until > world.now or not world.may_act(node):
             world.after(MS, lambda: self.finish("refused"))
             return
-        request = RequestSpec(
+        spec = RequestSpec(
             key,
             digest_of(b"POST", b"/", b"", key),
             "",
             key.hex(),
             world.keep_us,
-            Repeats(60 * S, True) if world.boxes_know else Repeats(),
+            Repeats(60 * S, True) if world.endpoints_deduplicate else Repeats(),
         )
         until = world.local(node) + PATIENCE_US - 20 * MS
-        self.once = node.once(replica_node, self, request, lambda: world.local(node), until)
+        self.once = node.once(replica_node, self, spec, lambda: world.local(node), until)
 
     def begin(self) -> None:
         if not self.over and hasattr(self, "once"):
@@ -211,7 +216,7 @@
         node, incarnation = self.node, self.incarnation
         self.world.after(delay_us, lambda: self.world.do(node, incarnation, lambda replica_node: what()))
 
-    # Decisions
+    # Attempts at endpoints
 
     def later(self, delay_us: int, what: Callable[[], None]) -> None:
         turn = self.turn
@@ -220,15 +225,17 @@
     def attempt(self) -> None:
         world = self.world
         self.attempts += 1
-        boxes = [box for box in world.boxes if self.only is None or box.number in self.only]
-        if self.attempts > 3 or not boxes:
+        endpoints = [
+            endpoint for endpoint in world.endpoints if self.only is None or endpoint.number in self.only
+        ]
+        if self.attempts > 3 or not endpoints:
             self.give_up()
             return
-        box = world.random.choice(boxes)
+        endpoint = world.random.choice(endpoints)
         turn = self.turn
-        self.once.launch(box.number, lambda may: self.go(turn, box, may))
+        self.once.launch(endpoint.number, lambda may: self.go(turn, endpoint, may))
 
-    def go(self, turn: int, box: Box, may: bool) -> None:
+    def go(self, turn: int, endpoint: Endpoint, may: bool) -> None:
         world = self.world
         if not may:
             return
@@ -237,21 +244,22 @@
             if turn == self.turn:
                 self.give_up()
             return
-        if box.fault == "full" or world.random.random() < 0.1:
-            self.later(world.random.randrange(500, 5 * MS), partial(self.back, box, "full"))
+        if endpoint.fault == "full" or world.random.random() < 0.1:
+            self.later(world.random.randrange(500, 5 * MS), partial(self.on_result, endpoint, "full"))
             return
-        reaches = box.fault != "silent" and world.random.random() < 0.9
-        if reaches:
+        arrives = endpoint.fault != "silent" and world.random.random() < 0.9
+        if arrives:
             key, claim = self.asked.key, self.once.claim
             delay = world.random.randrange(200, 30 * MS)
-            world.after(delay, lambda: world.effect(box, key, claim))
-        told = reaches and world.random.random() < 0.85
-        how = "answer" if told else "lost"
+            world.after(delay, lambda: world.effect(endpoint, key, claim))
+        answered = arrives and world.random.random() < 0.85
+        how = "answer" if answered else "lost"
         self.later(
-            world.random.randrange(30 * MS, 80 * MS if told else 900 * MS), partial(self.back, box, how)
+            world.random.randrange(30 * MS, 80 * MS if answered else 900 * MS),
+            partial(self.on_result, endpoint, how),
         )
 
-    def back(self, box: Box, how: str) -> None:
+    def on_result(self, endpoint: Endpoint, how: str) -> None:
         if how == "answer":
             body = self.world.answer_of(self.asked.key)
             self.once.answered(200, (), body)
@@ -261,7 +269,7 @@
             self.attempt()
         else:
             self.once.attempt_over(True)
-            if self.world.boxes_know and self.world.random.random() < 0.5:
+            if self.world.endpoints_deduplicate and self.world.random.random() < 0.5:
                 self.attempt()
             else:
                 self.give_up()
@@ -277,8 +285,8 @@
         seed: int,
         nodes: int = 5,
         copies: int = 3,
-        boxes_know: bool = False,
-        replica_node: type[Watch] = Watch,
+        endpoints_deduplicate: bool = False,
+        replica_node: type[RecordingNode] = RecordingNode,
         once: type[IdempotentRequest] = IdempotentRequest,
         keep_us: int = KEEP_US,
         zones: int = 3,
@@ -287,21 +295,26 @@
     ) -> None:
         super().__init__()
         self.seed, self.random = seed, random.Random(seed)
-        self.kind, self.copies, self.boxes_know, self.keep_us = replica_node, copies, boxes_know, keep_us
+        self.kind, self.copies, self.endpoints_deduplicate, self.keep_us = (
+            replica_node,
+            copies,
+            endpoints_deduplicate,
+            keep_us,
+        )
         self.checked, self.partitions = checked, partitions
         self.log: list[tuple[str, int, bytes]] = []
         self.numbers: dict[str, int] = defaultdict(int)
         self.leader = ""
         self.cuts: set[tuple[str, str]] = set()
-        self.loss, self.slow_us, self.twice = 0.0, 4 * MS, 0.0
+        self.loss_rate, self.max_delay_us, self.duplicate_rate = 0.0, 4 * MS, 0.0
         self.ids = itertools.count(1)
-        self.boxes = [Box(f"box-{n}", n + 1) for n in range(3)]
+        self.endpoints = [Endpoint(f"endpoint-{n}", n + 1) for n in range(3)]
         self.effects: dict[bytes, list[tuple[int, str]]] = defaultdict(list)
         self.dropped = 0
-        self.asked: list[Asked] = []
+        self.asked: list[ClientRequest] = []
         self.steps: dict[bytes, list[Step]] = defaultdict(list)
-        self.lost_majority = False  # more was lost at once than is promised to hold
-        self.forgets = False  # records are over before all is
+        self.lost_majority = False  # more disks were lost at once than the guarantees allow
+        self.records_expire = False  # records expire before the schedule ends
         self.messages = 0
         self.nodes = {
             f"n{n}": Node(
@@ -316,7 +329,7 @@
         }
         for node in self.nodes.values():
             self.boot(node)
-        self.after(0, self.lead)
+        self.after(0, self.elect_leader)
 
     def fail(self, text: str) -> None:
         raise Violation(f"seed {self.seed}, at {self.now / S:.2f} s: {text}")
@@ -325,7 +338,7 @@
 
     def boot(self, node: Node) -> None:
         node.incarnation += 1
-        node.held, node.stopped_until, node.applied, node.broken = [], 0, 0, False
+        node.held, node.paused_until, node.applied, node.broken = [], 0, 0, False
         replica_node = node.replica_node = self.kind(
             Options(
                 node.name,
@@ -342,8 +355,8 @@
             random.Random(self.random.random()),
         )
         incarnation, watch = node.incarnation, replica_node.proposer
-        assert isinstance(watch, Watched)
-        watch.tried = self.operation_over
+        assert isinstance(watch, RecordingProposer)
+        watch.on_change_ended = self.operation_over
         watch.now = lambda: self.now
         self.settle(node)
         self.tick(node, incarnation)
@@ -355,15 +368,15 @@
     def tick(self, node: Node, incarnation: int) -> None:
         if node.replica_node is None or node.incarnation != incarnation:
             return
-        if node.stopped_until <= self.now:
+        if node.paused_until <= self.now:
             self.read_log(node)
         self.do(node, incarnation, lambda replica_node: replica_node.tick(self.local(node)))
         self.after(TICK_US + self.random.randrange(4 * MS), lambda: self.tick(node, incarnation))
 
-    def do(self, node: Node, incarnation: int, what: Callable[[Watch], None]) -> None:
+    def do(self, node: Node, incarnation: int, what: Callable[[RecordingNode], None]) -> None:
         if node.replica_node is None or node.incarnation != incarnation:
             return
-        if node.stopped_until > self.now:
+        if node.paused_until > self.now:
             node.inbox.append(lambda: self.do(node, incarnation, what))
             return
         node.replica_node.now_us = self.local(node)
@@ -381,7 +394,7 @@
                         self.after(self.random.randrange(MS, most), lambda: self.flush(node, incarnation))
                     node.disk.waiting.append(action)
                 case Send():
-                    if action.after > replica_node.durable:
+                    if action.after > replica_node.durable_token:
                         node.held.append(action)
                     else:
                         self.send(node, action)
@@ -393,7 +406,7 @@
     def flush(self, node: Node, incarnation: int) -> None:
         if node.replica_node is None or node.incarnation != incarnation or not node.disk.waiting:
             return
-        if node.stopped_until > self.now:
+        if node.paused_until > self.now:
             node.inbox.append(lambda: self.flush(node, incarnation))
             return
         saves, node.disk.waiting = node.disk.waiting, []
@@ -403,7 +416,7 @@
             self.settle(node)
             return
         for save in saves:
-            if not (node.disk.lies and self.random.random() < 0.3):
+            if not (node.disk.loses_writes and self.random.random() < 0.3):
                 node.disk.durable += save.lines
         token = saves[-1].token
         node.replica_node.on_saved(self.local(node), token)
@@ -418,10 +431,10 @@
         self.messages += 1
         if to is None or (to is not node and (node.name, to.name) in self.cuts):
             return
-        if to is not node and self.random.random() < self.loss:
+        if to is not node and self.random.random() < self.loss_rate:
             return
-        for _ in range(2 if to is not node and self.random.random() < self.twice else 1):
-            delay = self.random.randrange(100, max(200, self.slow_us)) if to is not node else 10
+        for _ in range(2 if to is not node and self.random.random() < self.duplicate_rate else 1):
+            delay = self.random.randrange(100, max(200, self.max_delay_us)) if to is not node else 10
             self.after(delay, partial(self.deliver, to, to.incarnation, node.name, send))
 
     def deliver(self, to: Node, incarnation: int, name: str, send: Send) -> None:
@@ -431,13 +444,13 @@
 
     # The group
 
-    def in_touch(self, node: Node) -> bool:
-        """Whether it reaches a majority of the members."""
-        if node.replica_node is None or node.stopped_until > self.now or node.removed:
+    def reaches_majority(self, node: Node) -> bool:
+        """Return whether a node reaches a majority of the members."""
+        if node.replica_node is None or node.paused_until > self.now or node.removed:
             return False
         reached = sum(
             other.replica_node is not None
-            and other.stopped_until <= self.now
+            and other.paused_until <= self.now
             and (node.name, other.name) not in self.cuts
             and (other.name, node.name) not in self.cuts
             for other in self.nodes.values()
@@ -446,24 +459,24 @@
         return 2 * reached > sum(not other.removed for other in self.nodes.values())
 
     def may_act(self, node: Node) -> bool:
-        return self.now - node.in_touch_us < LEASE_US and not node.removed
+        return self.now - node.majority_reached_us < LEASE_US and not node.removed
 
-    def lead(self) -> None:
+    def elect_leader(self) -> None:
         led = self.nodes.get(self.leader)
-        if led is None or not self.in_touch(led):
-            able = [node for node in self.nodes.values() if self.in_touch(node)]
+        if led is None or not self.reaches_majority(led):
+            able = [node for node in self.nodes.values() if self.reaches_majority(node)]
             self.leader = self.random.choice(able).name if able else ""
-        self.after(300 * MS, self.lead)
+        self.after(300 * MS, self.elect_leader)
 
     def read_log(self, node: Node) -> None:
-        if not self.in_touch(node):
+        if not self.reaches_majority(node):
             return
-        node.in_touch_us = self.now
+        node.majority_reached_us = self.now
         if node.lags_until > self.now:
             return
         replica_node = node.replica_node
         assert replica_node is not None
-        # Some read it later than others.
+        # Some members read the log later than others.
         upto = len(self.log) if self.random.random() < 0.8 else node.applied
         for kind, number, data in self.log[node.applied : upto]:
             if kind == "time":
@@ -474,10 +487,10 @@
         members = [each.name for each in self.nodes.values() if not each.removed]
         replica_node.on_leader(self.local(node), self.leader, self.leader == node.name, members)
 
-    # Boxes
+    # Endpoints
 
-    def effect(self, box: Box, key: bytes, claim: str) -> None:
-        if self.boxes_know and self.effects[key]:
+    def effect(self, endpoint: Endpoint, key: bytes, claim: str) -> None:
+        if self.endpoints_deduplicate and self.effects[key]:
             self.dropped += 1
             if self.now - self.effects[key][0][0] < 60 * S:
                 return
@@ -490,7 +503,7 @@
     def answer_of(self, key: bytes) -> bytes:
         return b"%b/%d" % (key.hex().encode(), len(self.effects[key]))
 
-    # What is seen
+    # Observations
 
     def operation_over(
         self,
@@ -499,15 +512,15 @@
         began: int,
         result: Result | None,
     ) -> None:
-        """What a change may have made of its register, and what it did; `result` None: its process died."""
+        """Record the steps that a change has made, or may have. `result` None: its process died."""
         if not self.checked:
             return
         steps = self.steps[operation.key]
-        moves = [(_short(there), _short(left)) for there, left in seen]
+        moves = [(_encoded(there), _encoded(left)) for there, left in seen]
         made = result is not None and result.failure is None
         steps += [Step(s, t, began) for s, t in dict.fromkeys(moves[: len(moves) - made]) if s != t]
         if result is not None and made:
-            left = _short(result.record)
+            left = _encoded(result.record)
             saw = moves[-1][0] if moves and moves[-1][1] == left else left
             steps.append(Step(saw, left, began, self.now))
 
@@ -516,8 +529,8 @@
     def crash(self, node: Node) -> None:
         if node.replica_node is not None:
             watch = node.replica_node.proposer
-            assert isinstance(watch, Watched)
-            for operation, seen, began in watch.tries.values():
+            assert isinstance(watch, RecordingProposer)
+            for operation, seen, began in watch.under_way.values():
                 self.operation_over(operation, seen, began, None)
             node.replica_node = None
             node.incarnation += 1
@@ -528,13 +541,13 @@
         self.crash(node)
         node.disk, node.disk_id = Disk(), f"h{next(self.ids)}"
 
-    def stop(self, node: Node, for_us: int) -> None:
-        node.stopped_until = max(node.stopped_until, self.now + for_us)
+    def pause(self, node: Node, for_us: int) -> None:
+        node.paused_until = max(node.paused_until, self.now + for_us)
         incarnation = node.incarnation
-        self.after(for_us + 1, lambda: self.go_on(node, incarnation))
+        self.after(for_us + 1, lambda: self.resume(node, incarnation))
 
-    def go_on(self, node: Node, incarnation: int) -> None:
-        if node.incarnation != incarnation or node.stopped_until > self.now:
+    def resume(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.paused_until > self.now:
             return
         inbox, node.inbox = node.inbox, []
         for what in inbox:
@@ -548,7 +561,7 @@
         self.after(for_us, partial(self.cuts.difference_update, pairs))
 
 
-def _short(record: Record | None) -> object:
+def _encoded(record: Record | None) -> object:
     return None if record is None else records.encode(record)
 
 
@@ -556,54 +569,54 @@
 
 
 def anything(world: World) -> None:
-    """Faults of all kinds by chance, on a network that loses, delays and repeats."""
-    chance = world.random
-    world.loss, world.twice = chance.choice(((0.0, 0.0), (0.02, 0.02), (0.15, 0.1)))
-    world.slow_us = chance.choice((4 * MS, 30 * MS, 120 * MS))
-    for _ in range(chance.randrange(4, 12)):
-        trouble(world)
-        for _ in range(chance.randrange(3)):
+    """Random faults of all kinds, on a network that loses, delays and duplicates messages."""
+    rng = world.random
+    world.loss_rate, world.duplicate_rate = rng.choice(((0.0, 0.0), (0.02, 0.02), (0.15, 0.1)))
+    world.max_delay_us = rng.choice((4 * MS, 30 * MS, 120 * MS))
+    for _ in range(rng.randrange(4, 12)):
+        inject_faults(world)
+        for _ in range(rng.randrange(3)):
             ask(world)
-        world.run(world.now + chance.randrange(20 * MS, 1500 * MS))
+        world.run(world.now + rng.randrange(20 * MS, 1500 * MS))
 
 
-def trouble(world: World) -> None:
-    chance = world.random
-    node = chance.choice(list(world.nodes.values()))
-    lasts = chance.randrange(200 * MS, 6 * S)
-    match chance.randrange(12):
+def inject_faults(world: World) -> None:
+    rng = world.random
+    node = rng.choice(list(world.nodes.values()))
+    lasts = rng.randrange(200 * MS, 6 * S)
+    match rng.randrange(12):
         case 0 | 1:
-            world.cut(node, lasts, both=chance.random() < 0.7)
+            world.cut(node, lasts, both=rng.random() < 0.7)
         case 2 | 3:
-            world.stop(node, chance.choice((lasts, 10 * S)))
+            world.pause(node, rng.choice((lasts, 10 * S)))
         case 4 | 5:
             world.crash(node)
-            world.after(chance.randrange(50 * MS, 3 * S), partial(world.boot_if_down, node))
+            world.after(rng.randrange(50 * MS, 3 * S), partial(world.boot_if_down, node))
         case 6:
-            for each in list(world.nodes.values())[: chance.choice((2, 3, 9))]:
+            for each in list(world.nodes.values())[: rng.choice((2, 3, 9))]:
                 world.crash(each)
-                world.after(chance.randrange(50 * MS, S), partial(world.boot_if_down, each))
+                world.after(rng.randrange(50 * MS, S), partial(world.boot_if_down, each))
         case 7:
             node.slow_disk = not node.slow_disk
         case 8 | 9:
-            lose(world, node)
+            lose_disk(world, node)
         case 10:
             node.broken = True
-            world.after(lasts, partial(mend, world, node))
+            world.after(lasts, partial(reopen_disk, world, node))
         case 11:
-            box = chance.choice(world.boxes)
-            box.fault = chance.choice(("", "silent", "full"))
+            endpoint = rng.choice(world.endpoints)
+            endpoint.fault = rng.choice(("", "silent", "full"))
 
 
-def lose(world: World, node: Node) -> None:
-    """The machine goes with its disk, unless another one's copies are not whole yet: one at a time."""
-    if whole(world) or world.lost_majority:
+def lose_disk(world: World, node: Node) -> None:
+    """Lose a member's disk, unless copies are still being restored: only one may be lost at a time."""
+    if is_fully_replicated(world) or world.lost_majority:
         world.wipe(node)
         world.after(world.random.randrange(50 * MS, 2 * S), partial(world.boot_if_down, node))
 
 
-def mend(world: World, node: Node) -> None:
-    """A disk that refused is opened anew."""
+def reopen_disk(world: World, node: Node) -> None:
+    """Reopen a disk that has failed."""
     if node.broken:
         node.broken = False
         if node.replica_node is not None and node.replica_node.broken:
@@ -612,8 +625,8 @@
             world.settle(node)
 
 
-def whole(world: World) -> bool:
-    """Whether every seat is held, by disks that have read what they should: what a further loss leaves."""
+def is_fully_replicated(world: World) -> bool:
+    """Return whether every placed replica is complete on its current disk, so that one more may be lost."""
     placements = [
         node.replica_node.placement for node in world.nodes.values() if node.replica_node is not None
     ]
@@ -622,11 +635,11 @@
     newest = max(placements, key=lambda placement: placement.epoch)
     held = {replica.name: replica.disk_id for replica in newest.replicas}
     there = held == {node.name: node.disk_id for node in world.nodes.values() if not node.removed}
-    return newest.epoch > 0 and newest.before is None and there and in_step(world)
+    return newest.epoch > 0 and newest.before is None and there and replicas_agree(world)
 
 
-def in_step(world: World) -> bool:
-    """Whether all copies of each part are alike."""
+def replicas_agree(world: World) -> bool:
+    """Return whether all copies of each partition are equal and no repair is under way."""
     for node in world.nodes.values():
         if (
             node.replica_node is None
@@ -636,202 +649,203 @@
         ):
             return False
     for partition in range(PARTITIONS):
-        keepers = [node.replica_node for node in world.nodes.values() if node.replica_node is not None]
-        checksums = {k.store.checksums_of(partition) for k in keepers if partition in k.partitions}
+        replica_nodes = [node.replica_node for node in world.nodes.values() if node.replica_node is not None]
+        checksums = {k.store.checksums_of(partition) for k in replica_nodes if partition in k.partitions}
         if len(checksums) > 1:
             return False
     return True
 
 
 def ask(world: World, key: bytes | None = None) -> None:
-    chance = world.random
+    rng = world.random
     if key is None:
         old = sorted({asked.key for asked in world.asked})
-        fresh = bytes([chance.randrange(256), chance.randrange(256)]) + len(world.asked).to_bytes(4, "big")
-        key = fresh if not old or chance.random() < 0.7 else chance.choice(old)
-    for _ in range(2 if chance.random() < 0.3 else 1):
-        Client(world, key, chance.randrange(1, 6)).ask()
+        fresh = bytes([rng.randrange(256), rng.randrange(256)]) + len(world.asked).to_bytes(4, "big")
+        key = fresh if not old or rng.random() < 0.7 else rng.choice(old)
+    for _ in range(2 if rng.random() < 0.3 else 1):
+        Client(world, key, rng.randrange(1, 6)).ask()
 
 
 def crossing(world: World) -> None:
-    """Repetitions at several gateways at once, and the one that runs it dies, stops or is cut off."""
-    chance = world.random
-    world.slow_us = chance.choice((4 * MS, 30 * MS))
+    """Concurrent repetitions at several gateways, while the one that runs the request fails.
+
+    It crashes, is paused or is cut off from the others.
+    """
+    rng = world.random
+    world.max_delay_us = rng.choice((4 * MS, 30 * MS))
     for _ in range(3):
         ask(world)
-        world.run(world.now + chance.randrange(60 * MS))
+        world.run(world.now + rng.randrange(60 * MS))
         key = world.asked[-1].key
         node = world.nodes[world.asked[-1].node]
-        match chance.randrange(4):
+        match rng.randrange(4):
             case 0:
                 world.crash(node)
-                world.after(chance.randrange(100 * MS, 4 * S), partial(world.boot_if_down, node))
+                world.after(rng.randrange(100 * MS, 4 * S), partial(world.boot_if_down, node))
             case 1:
-                world.stop(node, chance.randrange(S, 8 * S))
+                world.pause(node, rng.randrange(S, 8 * S))
             case 2:
-                world.cut(node, chance.randrange(S, 6 * S))
-        for _ in range(chance.randrange(1, 4)):
+                world.cut(node, rng.randrange(S, 6 * S))
+        for _ in range(rng.randrange(1, 4)):
             ask(world, key)
-            world.run(world.now + chance.randrange(200 * MS))
-        world.run(world.now + chance.randrange(2 * S))
+            world.run(world.now + rng.randrange(200 * MS))
+        world.run(world.now + rng.randrange(2 * S))
 
 
 def moves(world: World) -> None:
-    """Disks lost one after the other while keys are written, with members cut off and away as seats move."""
-    chance = world.random
+    """Disks lost one after another during writes, with members paused or cut off while replicas move."""
+    rng = world.random
     for _ in range(3):
-        for _ in range(chance.randrange(1, 4)):
+        for _ in range(rng.randrange(1, 4)):
             ask(world)
-        world.run(world.now + chance.randrange(200 * MS))
-        away = chance.choice(list(world.nodes.values()))
-        chance.choice((world.stop, world.cut))(away, chance.randrange(S, 6 * S))
-        node = chance.choice([each for each in world.nodes.values() if each is not away])
-        lose(world, node)
-        for _ in range(chance.randrange(1, 4)):
+        world.run(world.now + rng.randrange(200 * MS))
+        away = rng.choice(list(world.nodes.values()))
+        rng.choice((world.pause, world.cut))(away, rng.randrange(S, 6 * S))
+        node = rng.choice([each for each in world.nodes.values() if each is not away])
+        lose_disk(world, node)
+        for _ in range(rng.randrange(1, 4)):
             ask(world)
-            world.run(world.now + chance.randrange(800 * MS))
-        if chance.random() < 0.5:
+            world.run(world.now + rng.randrange(800 * MS))
+        if rng.random() < 0.5:
             world.crash(node)
-            world.after(chance.randrange(100 * MS, S), partial(world.boot_if_down, node))
-        world.run(world.now + chance.randrange(3 * S))
+            world.after(rng.randrange(100 * MS, S), partial(world.boot_if_down, node))
+        world.run(world.now + rng.randrange(3 * S))
 
 
 def shifts(world: World) -> None:
-    """Members taken out of the group and let in again with what they held, some late to hear of it."""
-    chance = world.random
+    """Members removed from the group and added again with their data, some of which read the log late."""
+    rng = world.random
     for _ in range(4):
         for node in world.nodes.values():
-            if chance.random() < 0.5:
-                node.lags_until = world.now + chance.randrange(2 * S)
+            if rng.random() < 0.5:
+                node.lags_until = world.now + rng.randrange(2 * S)
         out = [node for node in world.nodes.values() if node.removed]
-        if out and chance.random() < 0.6:
-            chance.choice(out).removed = False
-        elif len(out) < 2 and whole(world):  # else the group refuses it
-            chance.choice([node for node in world.nodes.values() if not node.removed]).removed = True
+        if out and rng.random() < 0.6:
+            rng.choice(out).removed = False
+        elif len(out) < 2 and is_fully_replicated(world):  # else the group refuses it
+            rng.choice([node for node in world.nodes.values() if not node.removed]).removed = True
         for _ in range(6):
-            ask(world, None if chance.random() < 0.5 else bytes([chance.randrange(256), chance.randrange(4)]))
-            world.run(world.now + chance.randrange(400 * MS))
-        if chance.random() < 0.5:
-            node = chance.choice(list(world.nodes.values()))
-            chance.choice((world.stop, world.cut))(node, chance.randrange(S, 4 * S))
-        world.run(world.now + chance.randrange(2 * S))
+            ask(world, None if rng.random() < 0.5 else bytes([rng.randrange(256), rng.randrange(4)]))
+            world.run(world.now + rng.randrange(400 * MS))
+        if rng.random() < 0.5:
+            node = rng.choice(list(world.nodes.values()))
+            rng.choice((world.pause, world.cut))(node, rng.randrange(S, 4 * S))
+        world.run(world.now + rng.randrange(2 * S))
     for node in world.nodes.values():
         node.removed = False
 
 
 def joins(world: World) -> None:
-    """Two members come back at once and take the majority of a part, of which one gateway has not heard."""
-    chance = world.random
+    """Two members rejoin at once and form a majority of a partition, which one gateway learns late."""
+    rng = world.random
     for _ in range(2):
-        pair = chance.sample(list(world.nodes.values()), 2)
+        pair = rng.sample(list(world.nodes.values()), 2)
         for node in pair:
             settle(world)
             node.removed = True
         settle(world)
-        late = chance.choice([node for node in world.nodes.values() if not node.removed])
+        late = rng.choice([node for node in world.nodes.values() if not node.removed])
         late.lags_until = world.now + 2 * S
         for node in pair:
             node.removed = False
-        world.run(world.now + chance.randrange(200 * MS, 1500 * MS))
+        world.run(world.now + rng.randrange(200 * MS, 1500 * MS))
         for n in range(8):
-            key = bytes([n * 32, chance.randrange(256), world.now % 251])
-            for node in (late, chance.choice(list(world.nodes.values()))):
+            key = bytes([n * 32, rng.randrange(256), world.now % 251])
+            for node in (late, rng.choice(list(world.nodes.values()))):
                 Run(world, node, key, lambda asked: None).begin()
-                world.run(world.now + chance.randrange(30 * MS))
+                world.run(world.now + rng.randrange(30 * MS))
         world.run(world.now + 2 * S)
 
 
 def expires(world: World) -> None:
-    """Keys that are over in the midst of repetitions, at members that are late to hear of the time."""
-    chance = world.random
-    world.forgets, world.checked = True, False
+    """Keys that expire amid repetitions, at members that read the group's clock late."""
+    rng = world.random
+    world.records_expire, world.checked = True, False
     for _ in range(12):
         for node in world.nodes.values():
-            if chance.random() < 0.2:
-                node.lags_until = world.now + chance.randrange(2 * S)
+            if rng.random() < 0.2:
+                node.lags_until = world.now + rng.randrange(2 * S)
         for n in range(5):
-            ask(world, bytes([51 * n, chance.randrange(2)]))
-            world.run(world.now + chance.randrange(400 * MS))
-        if chance.random() < 0.4:
-            trouble(world)
-        world.run(world.now + chance.randrange(4 * S))
+            ask(world, bytes([51 * n, rng.randrange(2)]))
+            world.run(world.now + rng.randrange(400 * MS))
+        if rng.random() < 0.4:
+            inject_faults(world)
+        world.run(world.now + rng.randrange(4 * S))
 
 
 def settle(world: World) -> None:
     for _ in range(20):
         world.run(world.now + 300 * MS)
-        if whole(world):
+        if is_fully_replicated(world):
             return
 
 
 def ruin(world: World) -> None:
-    """Two machines with their disks at once: what was kept is given or in doubt, and never run anew."""
-    chance = world.random
+    """Two members lose their disks at once: a stored answer is returned or in doubt, and never run again."""
+    rng = world.random
     placed = next(n.replica_node.placement for n in world.nodes.values() if n.replica_node is not None)
-    partition = chance.randrange(PARTITIONS)
+    partition = rng.randrange(PARTITIONS)
     holders = [world.nodes[replica.name] for replica in placed.sets(partition)[0]]
-    blind = holders.pop(chance.randrange(3)) if chance.random() < 0.7 else None
-    if blind is not None:  # what is written now, the third one knows nothing of
+    blind = holders.pop(rng.randrange(3)) if rng.random() < 0.7 else None
+    if blind is not None:  # the third replica does not receive what is written now
         world.cut(blind, 3 * S)
-    for n in range(chance.randrange(3, 8)):
+    for n in range(rng.randrange(3, 8)):
         ask(
             world,
-            bytes([partition * 256 // PARTITIONS + chance.randrange(256 // PARTITIONS), n])
-            if n % 2
-            else None,
+            bytes([partition * 256 // PARTITIONS + rng.randrange(256 // PARTITIONS), n]) if n % 2 else None,
         )
-    world.run(world.now + chance.randrange(300 * MS, 2 * S))
+    world.run(world.now + rng.randrange(300 * MS, 2 * S))
     world.lost_majority = True
-    for node in holders if blind is not None else chance.sample(list(world.nodes.values()), 2):
+    for node in holders if blind is not None else rng.sample(list(world.nodes.values()), 2):
         world.wipe(node)
-        world.after(chance.randrange(50 * MS, 2 * S), partial(world.boot_if_down, node))
+        world.after(rng.randrange(50 * MS, 2 * S), partial(world.boot_if_down, node))
     for _ in range(6):
         ask(world)
-        ask(world, chance.choice(world.asked).key)
-        world.run(world.now + chance.randrange(6 * S))
+        ask(world, rng.choice(world.asked).key)
+        world.run(world.now + rng.randrange(6 * S))
 
 
 @dataclass(frozen=True)
 class Schedule:
     name: str
-    trouble: Callable[[World], None]
+    inject_faults: Callable[[World], None]
 
     def __call__(
         self, seed: int, nodes: int = 5, copies: int = 3, kind: type[World] = World, **given: object
     ) -> World:
         knows = seed % 3 == 0 and self.name != "expires"
-        world = kind(seed, nodes, copies, boxes_know=knows, **given)  # type: ignore[arg-type]
+        world = kind(seed, nodes, copies, endpoints_deduplicate=knows, **given)  # type: ignore[arg-type]
         world.run(6 * S)
-        self.trouble(world)
-        calm(world)
+        self.inject_faults(world)
+        stop_faults(world)
         finish(world)
         return world
 
 
-def calm(world: World) -> None:
-    world.loss = world.twice = 0.0
-    world.slow_us = 4 * MS
+def stop_faults(world: World) -> None:
+    world.loss_rate = world.duplicate_rate = 0.0
+    world.max_delay_us = 4 * MS
     world.cuts.clear()
-    world.run(world.now + 12 * S)  # whoever was stopped goes on by itself
+    world.run(world.now + 12 * S)  # paused members resume by themselves
     for node in world.nodes.values():
-        node.slow_disk = node.disk.lies = False
-        mend(world, node)
+        node.slow_disk = node.disk.loses_writes = False
+        reopen_disk(world, node)
         world.boot_if_down(node)
-    for box in world.boxes:
-        box.fault = ""
+    for endpoint in world.endpoints:
+        endpoint.fault = ""
     for _ in range(30):
         world.run(world.now + 3 * S)
-        if whole(world):
+        if is_fully_replicated(world):
             break
     else:
-        world.fail("the copies are not whole after a long calm")
+        world.fail("the copies are not complete long after the last fault")
 
 
 def finish(world: World) -> None:
-    """Every key asked for once more: what was given is given again, and nothing runs twice."""
+    """Request every key again: an answer that was returned is returned again, and nothing runs twice."""
     given: dict[bytes, bytes] = {}
-    if world.forgets:
-        return  # what could be wrong is an effect that runs again too soon
+    if world.records_expire:
+        return  # the only possible violation, an effect that runs again too early, is checked in `effect`
     for asked in sorted(world.asked, key=lambda asked: asked.ended):
         if asked.how == "given" and given.setdefault(asked.key, asked.body) != asked.body:
             world.fail(f"{asked.key.hex()} was given {given[asked.key]!r}, and then {asked.body!r}")
@@ -844,16 +858,16 @@
     world.run(world.now + 6 * S)
     for asked in [run.asked for run in runs]:
         if asked.how not in ("given", "own", "DOUBT", "UNDER_WAY"):
-            world.fail(f"{asked.key.hex()} at {asked.node} ends as {asked.how} in a calm")
+            world.fail(f"{asked.key.hex()} at {asked.node} ends as {asked.how} without a fault")
         if asked.key in known and not world.lost_majority and asked.how != "given":
             world.fail(f"{asked.key.hex()} was given before, and at {asked.node} is {asked.how}")
         if asked.how == "given" and given.setdefault(asked.key, asked.body) != asked.body:
             world.fail(f"{asked.key.hex()} was given {given[asked.key]!r}, and now {asked.body!r}")
     if world.checked and not world.lost_majority:
         for node in world.nodes.values():
-            world.crash(node)  # what is under way is told of
+            world.crash(node)  # records the changes that are under way
         for key, steps in world.steps.items():
-            if order_of(steps) is None:
+            if find_order(steps) is None:
                 world.fail(f"no order explains what was seen of {key.hex()}: {steps}")
 
 
