--- a/tests/replication/test_schedules.py
+++ b/tests/replication/test_schedules.py
@@ -105,7 +105,7 @@
     assert lost.replica_node.store.records == count
     seen = world.messages
     world.run(world.now + 10 * S)
-    assert world.messages - seen < 1500, "no further comparisons after the fill"
+    assert world.messages - seen < 1500, "too many messages after the fill"
 
 
 def test_at_the_bound_a_new_key_is_refused_and_nothing_is_dropped() -> None:
