--- a/badgergap/replication/status.py
+++ b/badgergap/replication/status.py
@@ -35,7 +35,8 @@
         "parts": {str(copies): count for copies, count in sorted(counts.items())},
         "under_copied": sum(count for copies, count in counts.items() if copies < placement.copies),
         "lost": sum(
-            placement.is_hole(partition, node.clock.agreed_us) for partition in range(placement.partitions)
+            placement.may_have_lost_records(partition, node.clock.agreed_us)
+            for partition in range(placement.partitions)
         ),
         "promised": max((report.records for report in reports.values()), default=0),
         "in_doubt": max((report.doubt for report in reports.values()), default=0),
@@ -68,7 +69,7 @@
         found.append("seats are moving: new ones are being filled")
     behind: set[int] = set()
     for report in reports.values():
-        behind |= messages.unbits(report.behind)
+        behind |= messages.decode_partitions(report.behind)
     if behind:
         found.append(f"{len(behind)} parts lack something at one of their seats, and are being mended")
     if not placement.epoch:
@@ -91,7 +92,7 @@
         **description,
         "records": report.records,
         "bytes": report.size,
-        "behind": len(messages.unbits(report.behind)),
+        "behind": len(messages.decode_partitions(report.behind)),
         "scrubbed_s": report.scrubbed_us // 1_000_000 if report.scrubbed_us >= 0 else -1,
         "mended": report.mended,
     }
