--- a/badgergap/cli/route.py
+++ b/badgergap/cli/route.py
@@ -6,7 +6,7 @@
 from urllib.parse import urlsplit
 
 from badgergap.proxy.lifecycle.config import ConfigError
-from badgergap.routes import BadPath, Table, Target, read_host, read_target
+from badgergap.routes import PathError, Table, Target, read_host, read_target
 from badgergap.site import Site, read_site
 from badgergap.site.schema import RouteTable
 from badgergap.site.web import MAIN, to_route
@@ -45,7 +45,7 @@
         target = read_target(url.partition("#")[0].encode("latin-1"))
         authority = headers.get(b"host", target.authority or urlsplit(url).netloc.encode("latin-1"))
         return read_host(authority) if authority else "", target
-    except (BadPath, UnicodeEncodeError, ValueError) as error:
+    except (PathError, UnicodeEncodeError, ValueError) as error:
         raise ConfigError(f"{url!r}: the client would hear 400, {error}") from None
 
 
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -18,7 +18,7 @@
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Launch, RequestSpec
 from badgergap.proxy.upstream.exchange import Answer
-from badgergap.routes import BadPath, read_host, read_target
+from badgergap.routes import PathError, read_host, read_target
 
 READS = (b"GET", b"HEAD", b"OPTIONS")
 
@@ -48,7 +48,7 @@
             target = read_target(turn.target)
             host_as_said = target.authority or turn.host
             host = read_host(host_as_said) if host_as_said else ""
-        except BadPath as bad:
+        except PathError as bad:
             turn.keep_alive = False  # what it asks cannot be read: no trust in what follows either
             return plain_text(400, str(bad))
         plan = self.plan
--- a/badgergap/routes/path.py
+++ b/badgergap/routes/path.py
@@ -29,7 +29,7 @@
 HOST_LIMIT = 255
 
 
-class BadPath(ValueError):
+class PathError(ValueError):
     """A target or host that is malformed, or that two readers would read in two ways."""
 
 
@@ -43,12 +43,12 @@
 
 
 def read_target(raw: bytes) -> Target:
-    """The target of a request in origin form or absolute form. Raises BadPath."""
+    """The target of a request in origin form or absolute form. Raises PathError."""
     authority = b""
     if not raw.startswith(b"/"):
         absolute = ABSOLUTE.fullmatch(raw)
         if absolute is None or not absolute[1]:
-            raise BadPath("the target is neither a path nor an http URL")
+            raise PathError("the target is neither a path nor an http URL")
         authority, raw = absolute[1], absolute[2] or b"/"
         if not raw.startswith(b"/"):
             raw = b"/" + raw
@@ -56,14 +56,14 @@
     if PLAIN.fullmatch(path) is None:
         path = normalise(path)
     if QUERY.fullmatch(query) is None:
-        raise BadPath("odd bytes in the query")
+        raise PathError("odd bytes in the query")
     return Target(path, mark + query, authority)
 
 
 def normalise(path: bytes) -> bytes:
-    """The normal form of a path that begins with a slash. Raises BadPath."""
+    """The normal form of a path that begins with a slash. Raises PathError."""
     if PATH.fullmatch(path) is None:
-        raise BadPath("odd bytes in the path")
+        raise PathError("odd bytes in the path")
     path = ESCAPE.sub(_escape, path)
     kept: list[bytes] = []
     segments = path.split(b"/")[1:]
@@ -71,7 +71,7 @@
         bare = segment.partition(b";")[0]
         if bare in (b".", b".."):
             if bare != segment:
-                raise BadPath("a dot segment with parameters")
+                raise PathError("a dot segment with parameters")
             if bare == b"..":
                 del kept[-1:]
         elif segment:
@@ -84,34 +84,34 @@
 def _escape(found: re.Match[bytes]) -> bytes:
     digits = found[1]
     if digits is None:
-        raise BadPath("a percent sign without two hexadecimal digits")
+        raise PathError("a percent sign without two hexadecimal digits")
     value = int(digits, 16)
     if value in UNRESERVED:
         return bytes((value,))
     if value < 0x20 or value in b"\x7f/\\":
-        raise BadPath("a slash, a backslash or a control character in disguise")
+        raise PathError("a slash, a backslash or a control character in disguise")
     return b"%" + digits.upper()
 
 
 def read_host(raw: bytes) -> str:
-    """The host of `Host` or an authority, in lower case, with no port and no final dot. Raises BadPath."""
+    """The host of `Host` or an authority, in lower case, with no port and no final dot. Raises PathError."""
     try:
         text = raw.decode("ascii").lower()
     except UnicodeDecodeError:
-        raise BadPath("odd bytes in the host") from None
+        raise PathError("odd bytes in the host") from None
     if text.startswith("["):
         inner, bracket, port = text[1:].partition("]")
         if not bracket or (port and not _is_port(port)):
-            raise BadPath("the host is malformed")
+            raise PathError("the host is malformed")
         try:
             return f"[{ipaddress.IPv6Address(inner)}]"
         except ValueError:
-            raise BadPath("the host is malformed") from None
+            raise PathError("the host is malformed") from None
     host, colon, port = text.partition(":")
     if colon and not _is_port(":" + port):
-        raise BadPath("the host is malformed")
+        raise PathError("the host is malformed")
     if not host or len(host) > HOST_LIMIT or NAMED.fullmatch(host) is None:
-        raise BadPath("the host is malformed")
+        raise PathError("the host is malformed")
     return host.removesuffix(".")
 
 
--- a/badgergap/routes/table.py
+++ b/badgergap/routes/table.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from badgergap.routes.path import BadPath, normalise
+from badgergap.routes.path import PathError, normalise
 
 ANY_HOST = ""
 SAID_LIMIT = 5  # routes that came close that are told
@@ -42,12 +42,12 @@
     put_before: bytes = b""
 
     def __post_init__(self) -> None:
-        """Raises BadPath for a path that no request in its normal form has."""
+        """Raises PathError for a path that no request in its normal form has."""
         for what, path in (("path", self.path), ("take_off", self.take_off), ("put_before", self.put_before)):
             if path and (not path.startswith(b"/") or normalise(path) != path or b";" in path):
-                raise BadPath(f"{what} {path.decode('latin-1')!r} is not in its normal form")
+                raise PathError(f"{what} {path.decode('latin-1')!r} is not in its normal form")
         if self.take_off and not is_below(self.path, self.take_off):
-            raise BadPath("take_off is not the beginning of the route's path")
+            raise PathError("take_off is not the beginning of the route's path")
 
     def rewritten(self, path: bytes) -> bytes:
         """The path that a box gets."""
--- a/badgergap/site/web.py
+++ b/badgergap/site/web.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgergap.routes import BadPath, Route, Table, read_host
+from badgergap.routes import PathError, Route, Table, read_host
 from badgergap.site.schema import Address, RouteTable, Site
 
 REPEATABLE, UNSAFE = "+repeatable", "+unsafe"  # further entries of one class, by what a repeat would do
@@ -59,7 +59,7 @@
         found += [(f"{at}.{key}", why) for key, why in _of_route(table, classes, pools)]
         try:
             routes.append(to_route(table))
-        except BadPath as error:
+        except PathError as error:
             found.append((at, str(error)))
     return found
 
@@ -113,7 +113,7 @@
             name = table.host.removeprefix("*.")
             if read_host(name.encode()) != name:
                 found.append(("host", "is not in its normal form: lower case, with no port"))
-        except (BadPath, UnicodeEncodeError):
+        except (PathError, UnicodeEncodeError):
             found.append(("host", 'allowed: a name such as "store.example" or "*.example"'))
     return found
 
@@ -123,7 +123,7 @@
 
 
 def to_route(table: RouteTable) -> Route:
-    """Raises BadPath."""
+    """Raises PathError."""
     exact = table.path is not None
     path = (table.path if exact else table.prefix) or "/"
     try:
@@ -141,4 +141,4 @@
             put_before=(table.put_before or "").encode("ascii"),
         )
     except UnicodeEncodeError:
-        raise BadPath("paths are written in ASCII, with %XX for the rest") from None
+        raise PathError("paths are written in ASCII, with %XX for the rest") from None
--- a/tests/routes/test_path.py
+++ b/tests/routes/test_path.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.routes import BadPath, normalise, read_host, read_target
+from badgergap.routes import PathError, normalise, read_host, read_target
 
 SAME = "/ /a /a/ /a/b.c /a/b;x=1/c /%C3%A9 /a%3Fb /a,b/@!$&'()*+=: /.well-known/x /a..b /...".split()
 SPELT = {
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("raw", REFUSED)
 def test_a_target_that_two_readers_read_in_two_ways_is_refused(raw: str) -> None:
-    with pytest.raises(BadPath):
+    with pytest.raises(PathError):
         read_target(raw.encode("latin-1"))
 
 
@@ -110,5 +110,5 @@
         b"\xff",
         b"a,b",
     ):
-        with pytest.raises(BadPath):
+        with pytest.raises(PathError):
             read_host(raw)
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgergap.routes import BadPath, Route, Table
+from badgergap.routes import PathError, Route, Table
 from badgergap.routes.table import is_below
 
 GET, POST = b"GET", b"POST"
@@ -146,5 +146,5 @@
         {"take_off": b"/b", "path": b"/a"},
         {"put_before": b"//"},
     ):
-        with pytest.raises(BadPath):
+        with pytest.raises(PathError):
             Route("r", **wrong)  # type: ignore[arg-type]
