--- a/badgergap/cli/route.py
+++ b/badgergap/cli/route.py
@@ -29,7 +29,7 @@
         found = next(each for each in site.routes if each.name == match.route.name)
         sent = match.route.rewritten(target.path).decode("latin-1")
         lines.append(f'route "{match.route.name}": {_leads_to(found, site)}; the box gets {sent}')
-    lines += [f'not "{near.route.name}": {near.why}' for near in match.near]
+    lines += [f'not "{near.route.name}": {near.reason}' for near in match.near_misses]
     return "\n".join(lines), match.route is not None
 
 
--- a/badgergap/routes/__init__.py
+++ b/badgergap/routes/__init__.py
@@ -1,15 +1,15 @@
 """Which route a request takes: pure, with no I/O and no clock."""
 
 from badgergap.routes.path import PathError, Target, normalise, read_host, read_target
-from badgergap.routes.table import Match, Near, Route, Table
+from badgergap.routes.table import Match, Route, Table, UnmatchedRoute
 
 __all__ = [
     "Match",
-    "Near",
     "PathError",
     "Route",
     "Table",
     "Target",
+    "UnmatchedRoute",
     "normalise",
     "read_host",
     "read_target",
--- a/badgergap/routes/table.py
+++ b/badgergap/routes/table.py
@@ -78,17 +78,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Near:
+class UnmatchedRoute:
     """A route that came close, and why it was not taken."""
 
     route: Route
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Match:
     route: Route | None
-    near: tuple[Near, ...] = ()
+    near_misses: tuple[UnmatchedRoute, ...] = ()
 
 
 @dataclass(slots=True)
@@ -140,21 +140,23 @@
     def explain(self, host: str, path: bytes, method: bytes, headers: Mapping[bytes, bytes]) -> Match:
         """The route taken, and those that came close, nearest first, each with the reason."""
         taken = self.match(host, path, method, headers)
-        near: list[Near] = []
+        near_misses: list[UnmatchedRoute] = []
         for route in self._fitting(host, path):
             if route is taken:
                 continue
             why = route.why_not(method, headers)
-            near.append(Near(route, why or f'"{taken.name if taken else ""}" comes before it'))
-        fitting = {near_by.route.name for near_by in near}
+            near_misses.append(
+                UnmatchedRoute(route, why or f'"{taken.name if taken else ""}" comes before it')
+            )
+        fitting = {near.route.name for near in near_misses}
         for route in self.routes:
             if route is not taken and route.name not in fitting:
                 why = _why_unfit(route, host, path)
                 if why:
-                    near.append(Near(route, why))
-        return Match(taken, tuple(near[:SAID_LIMIT]))
+                    near_misses.append(UnmatchedRoute(route, why))
+        return Match(taken, tuple(near_misses[:SAID_LIMIT]))
 
-    def never(self) -> tuple[Near, ...]:
+    def never(self) -> tuple[UnmatchedRoute, ...]:
         """Routes that can never be taken, each with the reason."""
         found = []
         for place, route in enumerate(self.routes):
@@ -169,10 +171,12 @@
             earlier = [other for _, _, other in sorted(same, key=lambda item: item[:2])]
             whole = next((other for other in earlier if not other.methods), None)
             if whole is not None:
-                found.append(Near(route, f'"{whole.name}" comes before it and takes all that it would'))
+                found.append(
+                    UnmatchedRoute(route, f'"{whole.name}" comes before it and takes all that it would')
+                )
             elif route.methods and route.methods <= {m for other in earlier for m in other.methods}:
                 names = ", ".join(f'"{other.name}"' for other in earlier)
-                found.append(Near(route, f"{names} come before it and take all that it would"))
+                found.append(UnmatchedRoute(route, f"{names} come before it and take all that it would"))
         return tuple(found)
 
     def _fitting(self, host: str, path: bytes) -> Iterator[Route]:
--- a/badgergap/site/web.py
+++ b/badgergap/site/web.py
@@ -89,7 +89,7 @@
 def never(site: Site) -> list[str]:
     """A line for each route that no request can ever take."""
     table = Table(map(to_route, site.routes))
-    return [f'route "{near.route.name}" can never match: {near.why}' for near in table.never()]
+    return [f'route "{near.route.name}" can never match: {near.reason}' for near in table.never()]
 
 
 def _of_route(table: RouteTable, classes: set[str], pools: set[str]) -> list[tuple[str, str]]:
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -116,19 +116,17 @@
         )
     )
     assert [near.route.name for near in table.never()] == ["twin", "both"]
-    assert '"a"' in table.never()[0].why
+    assert '"a"' in table.never()[0].reason
 
 
 def test_routes_that_came_close_say_why_not() -> None:
     match = Table(ROUTES).explain("any", b"/web/x", GET, {})
     assert match.route is not None and match.route.name == "pages"
-    why = {near.route.name: near.why for near in match.near}
+    why = {near.route.name: near.reason for near in match.near_misses}
     assert why["posts"] == "its methods are POST" and "x-beta is missing" in why["beta"]
     assert '"pages" comes before it' in why["all"] and why["admin"].startswith("its path is /web/admin")
-    assert (
-        "its host is"
-        in {n.route.name: n.why for n in Table(ROUTES[6:7]).explain("other", b"/", GET, {}).near}["store"]
-    )
+    others = Table(ROUTES[6:7]).explain("other", b"/", GET, {}).near_misses
+    assert "its host is" in {near.route.name: near.reason for near in others}["store"]
 
 
 def test_what_a_box_gets_is_the_normal_form_with_the_prefix_swapped() -> None:
