--- a/badgergap/cli/route.py
+++ b/badgergap/cli/route.py
@@ -27,7 +27,7 @@
         lines.append("no route: the client hears " + _instead(table, host, target.path, method))
     else:
         found = next(each for each in site.routes if each.name == match.route.name)
-        sent = match.route.rewritten(target.path).decode("latin-1")
+        sent = match.route.rewrite(target.path).decode("latin-1")
         lines.append(f'route "{match.route.name}": {_leads_to(found, site)}; the box gets {sent}')
     lines += [f'not "{near.route.name}": {near.reason}' for near in match.near_misses]
     return "\n".join(lines), match.route is not None
@@ -50,7 +50,7 @@
 
 
 def _instead(table: Table, host: str, path: bytes, method: str) -> str:
-    methods = table.methods(host, path)
+    methods = table.allowed_methods(host, path)
     if methods and method.upper().encode() not in methods:
         return f"405, allowed here: {', '.join(sorted(m.decode() for m in methods))}"
     return "404"
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -68,7 +68,7 @@
         turn.way = Way(
             proxy,
             klass,
-            route.rewritten(target.path),
+            route.rewrite(target.path),
             target.query,
             host_as_said,
             to.answer_us,
@@ -85,7 +85,7 @@
         return None
 
     def _unrouted(self, host: str, path: bytes, method: bytes) -> Answer:
-        methods = self.plan.table.methods(host, path)
+        methods = self.plan.table.allowed_methods(host, path)
         if methods and method not in methods:
             return plain_text(405, "no route takes this method here", (b"allow", b", ".join(sorted(methods))))
         return plain_text(404, "no route leads here")
--- a/badgergap/routes/table.py
+++ b/badgergap/routes/table.py
@@ -38,24 +38,28 @@
     host: str = ANY_HOST
     methods: frozenset[bytes] = frozenset()
     headers: tuple[tuple[bytes, bytes], ...] = ()
-    take_off: bytes = b""
-    put_before: bytes = b""
+    strip_prefix: bytes = b""
+    add_prefix: bytes = b""
 
     def __post_init__(self) -> None:
         """Raises PathError for a path that no request in its normal form has."""
-        for what, path in (("path", self.path), ("take_off", self.take_off), ("put_before", self.put_before)):
+        for what, path in (
+            ("path", self.path),
+            ("take_off", self.strip_prefix),
+            ("put_before", self.add_prefix),
+        ):
             if path and (not path.startswith(b"/") or normalise(path) != path or b";" in path):
                 raise PathError(f"{what} {path.decode('latin-1')!r} is not in its normal form")
-        if self.take_off and not is_below(self.path, self.take_off):
+        if self.strip_prefix and not is_below(self.path, self.strip_prefix):
             raise PathError("take_off is not the beginning of the route's path")
 
-    def rewritten(self, path: bytes) -> bytes:
+    def rewrite(self, path: bytes) -> bytes:
         """The path that a box gets."""
-        if self.take_off:
-            path = _cut(path, self.take_off)
-        return self.put_before.rstrip(b"/") + path if self.put_before else path
+        if self.strip_prefix:
+            path = _cut(path, self.strip_prefix)
+        return self.add_prefix.rstrip(b"/") + path if self.add_prefix else path
 
-    def holds(self, method: bytes, headers: Mapping[bytes, bytes]) -> bool:
+    def matches(self, method: bytes, headers: Mapping[bytes, bytes]) -> bool:
         if self.methods and method not in self.methods:
             return False
         for name, wanted in self.headers:
@@ -64,7 +68,7 @@
                 return False
         return True
 
-    def why_not(self, method: bytes, headers: Mapping[bytes, bytes]) -> str:
+    def mismatch_reason(self, method: bytes, headers: Mapping[bytes, bytes]) -> str:
         """What of a route whose host and path fit does not hold."""
         if self.methods and method not in self.methods:
             return f"its methods are {', '.join(sorted(m.decode('latin-1') for m in self.methods))}"
@@ -133,7 +137,7 @@
         root = hosts.get(ANY_HOST)
         return _find(root, segments, path, method, headers) if root is not None else None
 
-    def methods(self, host: str, path: bytes) -> frozenset[bytes]:
+    def allowed_methods(self, host: str, path: bytes) -> frozenset[bytes]:
         """Those of routes whose host and path fit: what 405 tells. Empty: there is none."""
         return frozenset(m for route in self._fitting(host, path) for m in route.methods)
 
@@ -144,19 +148,19 @@
         for route in self._fitting(host, path):
             if route is taken:
                 continue
-            why = route.why_not(method, headers)
+            why = route.mismatch_reason(method, headers)
             near_misses.append(
                 UnmatchedRoute(route, why or f'"{taken.name if taken else ""}" comes before it')
             )
         fitting = {near.route.name for near in near_misses}
         for route in self.routes:
             if route is not taken and route.name not in fitting:
-                why = _why_unfit(route, host, path)
-                if why:
-                    near_misses.append(UnmatchedRoute(route, why))
+                reason = _host_or_path_mismatch(route, host, path)
+                if reason:
+                    near_misses.append(UnmatchedRoute(route, reason))
         return Match(taken, tuple(near_misses[:SAID_LIMIT]))
 
-    def never(self) -> tuple[UnmatchedRoute, ...]:
+    def unreachable(self) -> tuple[UnmatchedRoute, ...]:
         """Routes that can never be taken, each with the reason."""
         found = []
         for place, route in enumerate(self.routes):
@@ -258,16 +262,16 @@
         if node.exact:
             slash = path.endswith(b"/")
             for route in node.exact:
-                if route.path.endswith(b"/") == slash and route.holds(method, headers):
+                if route.path.endswith(b"/") == slash and route.matches(method, headers):
                     return route
     for node in reversed(nodes):
         for route in node.below:
-            if route.holds(method, headers):
+            if route.matches(method, headers):
                 return route
     return None
 
 
-def _why_unfit(route: Route, host: str, path: bytes) -> str:
+def _host_or_path_mismatch(route: Route, host: str, path: bytes) -> str:
     """Why a route is out, if only its host or only its path is."""
     if route.host.startswith("*."):
         host_fits = host.endswith(route.host[1:]) and host != route.host[2:]
--- a/badgergap/site/web.py
+++ b/badgergap/site/web.py
@@ -89,7 +89,7 @@
 def never(site: Site) -> list[str]:
     """A line for each route that no request can ever take."""
     table = Table(map(to_route, site.routes))
-    return [f'route "{near.route.name}" can never match: {near.reason}' for near in table.never()]
+    return [f'route "{near.route.name}" can never match: {near.reason}' for near in table.unreachable()]
 
 
 def _of_route(table: RouteTable, classes: set[str], pools: set[str]) -> list[tuple[str, str]]:
@@ -137,8 +137,8 @@
                 (name.lower().encode("ascii"), value.encode("latin-1"))
                 for name, value in sorted(table.headers.items())
             ),
-            take_off=(table.take_off or "").encode("ascii"),
-            put_before=(table.put_before or "").encode("ascii"),
+            strip_prefix=(table.take_off or "").encode("ascii"),
+            add_prefix=(table.put_before or "").encode("ascii"),
         )
     except UnicodeEncodeError:
         raise PathError("paths are written in ASCII, with %XX for the rest") from None
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -49,7 +49,7 @@
         found = table.match(host, path, method, headers)
         assert found is not None and found.name == taken, (host, path, method, found)
     assert Table(ROUTES[1:2]).match("any", b"/", GET, {}) is None
-    assert Table(ROUTES).methods("store.example", b"/api") == frozenset({GET})
+    assert Table(ROUTES).allowed_methods("store.example", b"/api") == frozenset({GET})
 
 
 def plainly(
@@ -61,7 +61,7 @@
         suffix = route.host[1:] if route.host.startswith("*") else ""
         by_host = not route.host or route.host == host or (bool(suffix) and host.endswith(suffix))
         by_path = path == route.path if route.exact else is_below(path, route.path)
-        if by_host and by_path and route.holds(method, headers):
+        if by_host and by_path and route.matches(method, headers):
             rank = (
                 2 if not route.host else bool(suffix),
                 -len(suffix),
@@ -94,7 +94,7 @@
 ) -> None:
     routes = tuple(Route(f"r{n}", r.path, r.exact, r.host, r.methods, r.headers) for n, r in enumerate(drawn))
     table = Table(routes)
-    never = {near.route.name for near in table.never()}
+    never = {near.route.name for near in table.unreachable()}
     for host, path, method, headers in asks:
         found = table.match(host, path, method, headers)
         assert (found.name if found else "") == plainly(routes, host, path, method, headers)
@@ -115,8 +115,8 @@
             Route("exact", b"/x", exact=True),
         )
     )
-    assert [near.route.name for near in table.never()] == ["twin", "both"]
-    assert '"a"' in table.never()[0].reason
+    assert [near.route.name for near in table.unreachable()] == ["twin", "both"]
+    assert '"a"' in table.unreachable()[0].reason
 
 
 def test_routes_that_came_close_say_why_not() -> None:
@@ -130,19 +130,19 @@
 
 
 def test_what_a_box_gets_is_the_normal_form_with_the_prefix_swapped() -> None:
-    for take_off, put_before, path, sent in (
+    for strip_prefix, add_prefix, path, sent in (
         (b"/web", b"", b"/web/a", b"/a"),
         (b"/web", b"", b"/web", b"/"),
         (b"/web", b"/v2/", b"/web;x=1/a/", b"/v2/a/"),
         (b"", b"/v2", b"/web/a", b"/v2/web/a"),
         (b"", b"", b"/web/a", b"/web/a"),
     ):
-        assert Route("r", b"/web", take_off=take_off, put_before=put_before).rewritten(path) == sent
+        assert Route("r", b"/web", strip_prefix=strip_prefix, add_prefix=add_prefix).rewrite(path) == sent
     for wrong in (
         {"path": b"/a/../b"},
         {"path": b"a"},
-        {"take_off": b"/b", "path": b"/a"},
-        {"put_before": b"//"},
+        {"strip_prefix": b"/b", "path": b"/a"},
+        {"add_prefix": b"//"},
     ):
         with pytest.raises(PathError):
             Route("r", **wrong)  # type: ignore[arg-type]
