--- a/badgergap/routes/table.py
+++ b/badgergap/routes/table.py
@@ -148,9 +148,9 @@
         for route in self._fitting(host, path):
             if route is taken:
                 continue
-            why = route.mismatch_reason(method, headers)
+            reason = route.mismatch_reason(method, headers)
             near_misses.append(
-                UnmatchedRoute(route, why or f'"{taken.name if taken else ""}" comes before it')
+                UnmatchedRoute(route, reason or f'"{taken.name if taken else ""}" comes before it')
             )
         fitting = {near.route.name for near in near_misses}
         for route in self.routes:
