--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -40,7 +40,7 @@
 Process = asyncio.subprocess.Process
 
 
-class Box(Server):
+class FakeEndpoint(Server):
     """A host that answers at once, or once it is let, and notes what it ran."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
 class Site:
     folder: Path
     path: Path
-    boxes: list[Box]
+    boxes: list[FakeEndpoint]
     registry: Registry
     port: int
     children: list[Process] = field(default_factory=list)
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def site(tmp_path: Path, boxes: int = 2) -> AsyncIterator[Site]:
-    hosts, registry = [Box() for _ in range(boxes)], Registry()
+    hosts, registry = [FakeEndpoint() for _ in range(boxes)], Registry()
     for each in (*hosts, registry):
         await each.start()
     folder = tmp_path / "tmp"
@@ -238,11 +238,11 @@
             it.path.write_text(json.dumps(raw))
             old, _ = await it.start()
             client = await it.client()
-            for box in it.boxes:
-                box.go.clear()
-                box.says = b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+            for endpoint in it.boxes:
+                endpoint.go.clear()
+                endpoint.says = b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
             client.send(ask("buy"))
-            while not any(box.at for box in it.boxes):
+            while not any(endpoint.at for endpoint in it.boxes):
                 await asyncio.sleep(0.005)
             _, address = await it.start()
             old.send_signal(signal.SIGTERM)
@@ -251,12 +251,12 @@
                 client.writer.close()
                 # The old process ends once nobody is owed anything: it has seen the end.
                 assert await old.wait() == 0
-            for box in it.boxes:
-                box.go.set()
+            for endpoint in it.boxes:
+                endpoint.go.set()
             if not leaves:
                 assert (await client.answer())[0] == 503
                 assert await old.wait() == 0
-            assert sum(len(box.at) for box in it.boxes) == (1 if leaves else 2)
+            assert sum(len(endpoint.at) for endpoint in it.boxes) == (1 if leaves else 2)
 
     run(test())
 
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -11,7 +11,7 @@
 
 from badgergap.proxy.lifecycle import lame_duck as rules
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
-from tests.hot_restart.test_coordinator import Box
+from tests.hot_restart.test_coordinator import FakeEndpoint
 from tests.proxy.commands.test_commands import call, opened
 from tests.proxy.test_bodies import gateway_for
 from tests.sockets import Client, ask, gateway, run
@@ -107,8 +107,8 @@
     draw = random.Random(11)
 
     async def test() -> None:
-        box = Box()
-        async with gateway_for(box) as it, opened(it) as address:
+        endpoint = FakeEndpoint()
+        async with gateway_for(endpoint) as it, opened(it) as address:
             clients = [await it.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(ask()))[0] == 200
@@ -127,7 +127,7 @@
                 return number, status
 
             for number, status in await asyncio.gather(*map(cross, clients)):
-                assert box.ran[number] == (status == 200) and status in (0, 200, 503)
+                assert endpoint.ran[number] == (status == 200) and status in (0, 200, 503)
             assert not it.downstream.connections and not it.proxy.open_requests
 
     run(test())
