--- a/badgergap/__init__.py
+++ b/badgergap/__init__.py
@@ -1,4 +1,4 @@
-"""badgergap: the decisions of a load-balancing proxy for fleets of HTTP servers."""
+"""badgergap: a load-balancing HTTP gateway; this module exports the balancer and its settings."""
 
 from badgergap.balancing.actions import (
     Action,
--- a/badgergap/__main__.py
+++ b/badgergap/__main__.py
@@ -1,4 +1,4 @@
-"""The platform's gateway: ROUTER_* variables and the file behind them, nothing else."""
+"""Runs the gateway with the settings of the ROUTER_* environment variables and the file that they name."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import signal
 import sys
 
-early: list[int] = []  # SIGHUPs that came before the gateway could heed them
+early_hangups: list[int] = []  # SIGHUPs received before the event loop handles them
 
 
 def main() -> int:
     """Run the gateway; return its exit code."""
-    # Before all else, which takes its time: until somebody heeds it, the signal would end the process.
-    signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
+    # First of all, as the imports below take a while: an unhandled SIGHUP would end the process.
+    signal.signal(signal.SIGHUP, lambda number, frame: early_hangups.append(number))
 
-    # What the imports make stays: the collector would search it again and again.
+    # The objects that the imports create are never freed; collections would scan them in vain.
     gc.disable()
 
     import os
@@ -34,7 +34,7 @@
         from badgergap.hot_restart.coordinator import coordinator_from_environment
 
         succeed = partial(coordinator_from_environment, os.environ)
-    return run(config, partial(reload_config, os.environ), hung_up=early, succeed=succeed)
+    return run(config, partial(reload_config, os.environ), hung_up=early_hangups, succeed=succeed)
 
 
 if __name__ == "__main__":
--- a/badgergap/hot_restart/__init__.py
+++ b/badgergap/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""One process takes over from another on its machine: listeners, clients, and what it knows."""
+"""Hot restart: a new process takes over listeners, clients and learned state from one on the same machine."""
--- a/badgergap/hot_restart/channel.py
+++ b/badgergap/hot_restart/channel.py
@@ -1,7 +1,7 @@
-"""The link between two processes of one gateway: messages and descriptors over a Unix socket.
+"""The link between two processes of one gateway: messages and file descriptors over a Unix socket.
 
-Nothing here blocks. The link is closed once the other process leaves more than `PENDING_LIMIT` bytes
-unread.
+All I/O is non-blocking. The link is closed when more than `PENDING_LIMIT` bytes wait to be sent because the
+other process does not read them.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-PENDING_LIMIT = 2 * FRAME_LIMIT  # bytes that wait to be sent
+PENDING_LIMIT = 2 * FRAME_LIMIT  # bytes queued for sending
 READ_SIZE = 256 * 1024
 FLUSH_POLL_S = 0.005
-DESCRIPTORS_PER_READ = 64  # a message brings one at the most
+DESCRIPTORS_PER_READ = 64  # a message carries at most one
 DESCRIPTOR_SIZE = array.array("i").itemsize
-DESCRIPTOR_FLAG = "fd"  # the key of a message that a descriptor belongs to
+DESCRIPTOR_FLAG = "fd"  # the key that marks a message sent with a descriptor
 
-# A message and the socket whose descriptor came with it, which the receiver has to close.
+# Receives a message and the socket that was sent with it; the receiver owns the socket and closes it.
 OnMessage = Callable[[Message, "socket.socket | None"], None]
 
 
@@ -42,27 +42,30 @@
         on_message: OnMessage,
         on_lost: Callable[[], None],
     ) -> None:
-        """Owns `sock`, which must not block. `on_lost` is called once, when the link has ended."""
+        """Take ownership of `sock`, which must be non-blocking.
+
+        `on_lost` is called once, when the link is closed by either side.
+        """
         self.sock = sock
         self.loop = loop
         self.on_message = on_message
         self.on_lost = on_lost
         self.decoder = FrameDecoder()
-        self.received_sockets: deque[socket.socket] = deque()  # their message is not complete yet
-        self.outgoing: deque[tuple[memoryview, int | None]] = deque()  # bytes, and the descriptor with them
+        self.received_sockets: deque[socket.socket] = deque()  # whose messages are still incomplete
+        self.outgoing: deque[tuple[memoryview, int | None]] = deque()  # bytes and their descriptor
         self.pending_bytes = 0
         self.open = True
         loop.add_reader(sock.fileno(), self.read)
 
     def send(self, message: Message, descriptor: int | None = None) -> bool:
-        """Send a message with a copy of a descriptor; the caller keeps its own.
+        """Send a message and, if given, a duplicate of `descriptor`, which stays the caller's.
 
-        False: the link has ended, or this process has no descriptor to spare; nothing was sent.
+        Return False if the link is closed, also by this call, or if the descriptor cannot be duplicated.
         """
         return self.send_json(encode(message), descriptor)
 
     def send_json(self, raw: JsonObject, descriptor: int | None = None) -> bool:
-        """As `send`, of a message in its form on the wire."""
+        """Send a message that is already in its wire form; otherwise like `send`."""
         if not self.open:
             return False
         copy = None
@@ -76,26 +79,29 @@
         self.outgoing.append((memoryview(data), copy))
         self.pending_bytes += len(data)
         if self.pending_bytes > PENDING_LIMIT:
-            log.warning("another process of this gateway does not read what it is told")
+            log.warning("another process of this gateway does not read its messages: closing the link")
             self.close()
             return False
         self.write()
         return self.open
 
     def write(self) -> None:
-        """Send as much as the socket takes now, and the rest when it is writable."""
+        """Send as much as the socket accepts now; send the rest when it becomes writable."""
         try:
             while self.outgoing:
                 self._write_first()
         except BlockingIOError:
             self.loop.add_writer(self.sock.fileno(), self.write)
         except OSError as error:
-            self.close(f"it cannot be told anything: {error.strerror}")
+            self.close(f"sending to it failed: {error.strerror}")
         else:
             self.loop.remove_writer(self.sock.fileno())
 
     def _write_first(self) -> None:
-        """Raises BlockingIOError, or another OSError for a link that has ended."""
+        """Send the first chunk of the queue, or a part of it.
+
+        Raises BlockingIOError if the socket accepts nothing now, another OSError if the link is broken.
+        """
         data, descriptor = self.outgoing[0]
         ancillary = []
         if descriptor is not None:
@@ -109,28 +115,28 @@
             self.outgoing.popleft()
 
     def read(self) -> None:
-        """Hand on what has arrived; close the link if it has ended or cannot be read."""
+        """Deliver the messages that have arrived; close the link at its end or on an error."""
         try:
             ancillary_size = socket.CMSG_SPACE(DESCRIPTORS_PER_READ * DESCRIPTOR_SIZE)
             data, ancillary, flags, _ = self.sock.recvmsg(READ_SIZE, ancillary_size, socket.MSG_CMSG_CLOEXEC)
         except BlockingIOError:
             return
         except OSError as error:
-            self.close(f"it cannot be heard: {error.strerror}")
+            self.close(f"receiving from it failed: {error.strerror}")
             return
-        self._keep_sockets(ancillary)
+        self._queue_sockets(ancillary)
         if not data:
             self.close("it has ended")
             return
         try:
             if flags & socket.MSG_CTRUNC:
-                raise DescriptorsLostError("descriptors were lost on the way")
+                raise DescriptorsLostError("the kernel dropped descriptors that came with a message")
             for raw in self.decoder.feed(data):
                 self._deliver(raw)
         except HotRestartError as error:
             self.close(str(error))
 
-    def _keep_sockets(self, ancillary: list[tuple[int, int, bytes]]) -> None:
+    def _queue_sockets(self, ancillary: list[tuple[int, int, bytes]]) -> None:
         for level, kind, raw in ancillary:
             if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
                 descriptors = array.array("i")
@@ -146,12 +152,12 @@
             sock.close()
 
     async def flush(self) -> None:
-        """Wait until all is sent, or the link has ended."""
+        """Wait until all queued messages are sent or the link is closed."""
         while self.open and self.outgoing:
             await asyncio.sleep(FLUSH_POLL_S)
 
     def close(self, reason: str = "") -> None:
-        """End the link, and close the descriptors that it still holds. `reason`: for the log."""
+        """Close the link and the descriptors that it still holds; log `reason` unless it is empty."""
         if not self.open:
             return
         self.open = False
@@ -171,7 +177,7 @@
 
 
 def descriptor_of(transport: Any) -> int:
-    """The descriptor of an asyncio transport's socket."""
+    """Return the descriptor of an asyncio transport's socket."""
     sock: Any = transport.get_extra_info("socket")
     number: int = sock.fileno()
     return number
--- a/badgergap/hot_restart/errors.py
+++ b/badgergap/hot_restart/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between two processes of one gateway."""
+"""Errors of the hot-restart protocol."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class HotRestartError(BadgergapError, ValueError):
-    """The other process sent something that a process of this gateway would not send."""
+    """The other process violated the protocol."""
 
 
 class FrameError(HotRestartError):
-    """The bytes on the link are no frame of this protocol; nothing after them can be read."""
+    """The bytes on the link are not a valid frame; the rest of the stream cannot be decoded."""
 
 
 class DescriptorsLostError(HotRestartError):
@@ -18,4 +18,4 @@
 
 
 class StateTransferError(HotRestartError):
-    """A transferred state is of another gateway, or lacks what a process cannot start without."""
+    """A transferred state belongs to another gateway, or lacks a field that is required to start."""
--- a/badgergap/hot_restart/learned_state_import.py
+++ b/badgergap/hot_restart/learned_state_import.py
@@ -1,4 +1,4 @@
-"""Restoring what the predecessor's balancers had learned, pool by pool."""
+"""Restores the learned state of the predecessor's balancers, pool by pool."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 log = logging.getLogger(__name__)
 
-ENDPOINTS_TIMEOUT_S = 5.0  # for each pool that had endpoints to have some again
+ENDPOINTS_TIMEOUT_S = 5.0  # how long to wait for each pool that had endpoints to list some again
 ENDPOINTS_POLL_S = 0.02
 
 
 class LearnedStateImport:
-    """Restores each pool's balancer once, as soon as the pool has endpoints and before it has used any."""
+    """Restores each pool's balancer once, after the pool lists endpoints and before it uses any of them."""
 
     def __init__(self, state: TransferredState, proxies: Callable[[], Mapping[str, Proxy]]) -> None:
-        """`proxies`: of the pools that there are by now, by name."""
+        """`proxies` returns the proxies of the pools that exist at the time of the call, by pool name."""
         self.state = state
         self.proxies = proxies
         self.restored: set[Proxy] = set()
 
     def restore(self) -> None:
-        """Restore the pools that can be restored now; the others are left for a later call."""
+        """Restore the pools that are ready; the others are left for a later call."""
         for name, proxy in self.proxies().items():
             snapshot = self.state.learned_state if name == MAIN else self.state.pools.get(name)
-            servers = proxy.balancer.endpoints.values()
-            is_in_use = any(server.used for server in servers)
-            if proxy in self.restored or snapshot is None or not servers or is_in_use:
+            endpoints = proxy.balancer.endpoints.values()
+            is_in_use = any(endpoint.used for endpoint in endpoints)
+            if proxy in self.restored or snapshot is None or not endpoints or is_in_use:
                 continue
             self.restored.add(proxy)
             self._restore_pool(proxy, snapshot)
@@ -40,22 +40,22 @@
     def _restore_pool(self, proxy: Proxy, snapshot: JsonObject) -> None:
         classes = self.state.request_classes
         if classes and classes != proxy.latest_config.names.classes:
-            log.warning("what was learnt is not taken over: the classes are others")
+            log.warning("learned state was not restored: the request classes differ")
             return
         try:
             proxy.balancer.restore(proxy.clock.now_us(), snapshot)
         except ValueError as error:
-            log.warning("what was learnt could not be taken over: %s", error)
+            log.warning("learned state could not be restored: %s", error)
 
     async def wait_for_endpoints(self) -> None:
-        """Until each pool that had endpoints has some again, or `ENDPOINTS_TIMEOUT_S` is over."""
+        """Wait until each pool that had endpoints lists some again, at most `ENDPOINTS_TIMEOUT_S`."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + ENDPOINTS_TIMEOUT_S
         while self._empty_pools() and loop.time() < deadline:
             await asyncio.sleep(ENDPOINTS_POLL_S)
         empty = self._empty_pools()
         if empty:
-            log.warning("no hosts are known yet in: %s", ", ".join(empty))
+            log.warning("no endpoints are listed yet in these pools: %s", ", ".join(empty))
 
     def _empty_pools(self) -> list[str]:
         proxies = self.proxies()
--- a/badgergap/hot_restart/listeners.py
+++ b/badgergap/hot_restart/listeners.py
@@ -1,4 +1,4 @@
-"""What a component must offer for its listeners and clients to go over to another process."""
+"""The interface of components whose listeners and clients can be transferred to another process."""
 
 from __future__ import annotations
 
@@ -6,30 +6,36 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Protocol, runtime_checkable
 
-# Send a copy of a client's descriptor to the successor. False: the connection stays in this process.
+# Sends a duplicate of a client's descriptor to the successor; returns False if the connection stays here.
 ExportDescriptor = Callable[[int], bool]
 
 
 @runtime_checkable
 class TransferableComponent(Protocol):
-    """A component that listens.
+    """A component with listeners of its own.
 
-    `import_listeners` is called before the component starts, the rest between its start and its close.
+    `import_listeners` is called before the component starts; the other methods are called after its start and
+    before its close.
     """
 
-    transfer_name: str  # the same in both processes
+    transfer_name: str  # identifies the component; the same in both processes
 
     def export_listeners(self) -> Mapping[str, int]:
-        """Descriptors of the sockets that the successor needs, by names unique among all components."""
+        """Return the descriptors of the sockets to transfer, by names unique among all components."""
 
-    def import_listeners(self, found: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]) -> None:
-        """Take out of `found` the sockets to go on with. `ready` is awaited before any client is accepted."""
+    def import_listeners(
+        self, listeners: dict[str, socket.socket], ready: Callable[[], Awaitable[None]]
+    ) -> None:
+        """Remove from `listeners` the sockets that this component will use.
+
+        `ready` must be awaited before the first client is accepted.
+        """
 
     def release_clients(self, export: ExportDescriptor) -> None:
-        """Accept nothing more; export each client's connection once nothing of it is in this process."""
+        """Stop accepting; export each client's connection once this process holds no data of it."""
 
     def reclaim_clients(self) -> None:
-        """The successor is gone: accept again."""
+        """Accept clients again, after the successor is lost."""
 
     def adopt_client(self, sock: socket.socket) -> None:
-        """Go on with a client's connection that the predecessor exported; the socket does not block."""
+        """Serve a client's connection that the predecessor exported; `sock` is non-blocking."""
--- a/badgergap/hot_restart/messages.py
+++ b/badgergap/hot_restart/messages.py
@@ -1,8 +1,7 @@
-"""The messages between two processes of one gateway, and their form on the wire. Pure, no I/O.
+"""The messages between two processes of one gateway, and their wire form. Pure, no I/O.
 
-The new process is the successor of the old one, its predecessor. `encode` and `decode` alone know the JSON
-keys, which are the protocol's: processes of different releases talk to each other, so the keys never
-change.
+The new process is the successor, the old one its predecessor. Only `encode` and `decode` use the JSON keys of
+messages. The keys never change, because the two processes may be of different releases.
 """
 
 from __future__ import annotations
@@ -15,21 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestState:
-    """Successor: asks for the state before it starts. No identity: what it sent cannot be read as one."""
+    """From the successor, before it starts: requests the state.
+
+    `identity` is None if the identity in the message is malformed.
+    """
 
     identity: GatewayIdentity | None
 
 
 @dataclass(frozen=True, slots=True)
 class ExportListener:
-    """Predecessor: a component's socket, which comes as the message's descriptor."""
+    """From the predecessor: a component's listening socket, sent as the message's descriptor."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ExportState:
-    """Predecessor: its state; the descriptor is the listening socket for clients."""
+    """From the predecessor: its state. The descriptor is the main listening socket, if there is one."""
 
     state: TransferredState
     identity: GatewayIdentity
@@ -37,31 +39,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedState:
-    """An exported state as it came; whether it can be used depends on the gateway (`read_state`)."""
+    """An exported state as received; `read_state` checks whether this gateway can use it."""
 
     raw: JsonObject
 
 
 @dataclass(frozen=True, slots=True)
 class ExportClient:
-    """Predecessor: a client's connection as the descriptor. No component: one of the main listener's."""
+    """From the predecessor: a client's connection, sent as the descriptor.
+
+    `component` is None for a connection of the main listener.
+    """
 
     component: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class TakeClients:
-    """Successor: it accepts clients from now on."""
+    """From the successor: it accepts clients from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndPredecessor:
-    """Successor: the predecessor is to drain and end."""
+    """From the successor: requests that the predecessor drains and exits."""
 
 
 @dataclass(frozen=True, slots=True)
 class ManualDrainChanged:
-    """Either: an operator has drained an endpoint, or reinstated it."""
+    """From either process: an operator drained or reinstated an endpoint."""
 
     endpoint: str
     by: str
@@ -70,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LameDuckChanged:
-    """Either: an operator has made the gateway send its clients away, or take them again."""
+    """From either process: an operator put the gateway into the lame-duck state, or ended that state."""
 
     lame: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCounts:
-    """Predecessor: the connections that it and the processes before it still hold."""
+    """From the predecessor: the connections that it and older processes still hold."""
 
     clients: int = 0
     endpoints: int = 0
@@ -85,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownMessage:
-    """Something that this release does not know."""
+    """A message that this release does not support."""
 
     raw: JsonObject
 
@@ -106,7 +111,7 @@
 
 
 def encode(message: Message) -> JsonObject:
-    """The JSON object that stands for a message."""
+    """Return the wire form of a message."""
     match message:
         case RequestState(identity):
             return {"ask": identity.to_json() if identity is not None else None}
@@ -131,7 +136,7 @@
 
 
 def decode(raw: JsonObject) -> Message:
-    """The message that a JSON object stands for; keys beside those that name it are ignored."""
+    """Return the message of a JSON object; keys that its type does not define are ignored."""
     match raw:
         case {"listener": name}:
             return ExportListener(str(name))
@@ -156,7 +161,7 @@
 
 
 def decode_identity(raw: object) -> GatewayIdentity | None:
-    """None for anything but an identity."""
+    """Return the identity in a `RequestState` message, or None if it is malformed."""
     match raw:
         case {"gateway": str(name), "listen": [], **rest} if not rest:
             return GatewayIdentity(name, None)
--- a/badgergap/hot_restart/rendezvous.py
+++ b/badgergap/hot_restart/rendezvous.py
@@ -1,4 +1,4 @@
-"""Where processes of one gateway find each other: a Unix socket in a folder of one user's own."""
+"""The Unix socket where processes of one gateway find each other, in a folder of the user's own."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 SOCKET_NAME = "badgergap.sock"
-PATH_LIMIT = 100  # bytes of a path that a Unix socket takes, with some to spare
+PATH_LIMIT = 100  # bytes; a margin below the kernel's limit for the path of a Unix socket
 BACKLOG = 4
 WRITABLE_BY_OTHERS = stat.S_IWGRP | stat.S_IWOTH
 PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
@@ -21,7 +21,7 @@
     """The socket that the serving process listens on and its successor connects to."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises OSError for a folder that others could put a socket into."""
+        """Use the socket in `folder`. Raises OSError if another user could create a socket there."""
         status = folder.stat()
         is_own = status.st_uid == os.geteuid() and not status.st_mode & WRITABLE_BY_OTHERS
         if not stat.S_ISDIR(status.st_mode) or not is_own:
@@ -30,7 +30,7 @@
         self.path = folder / SOCKET_NAME
 
     def listen(self) -> socket.socket:
-        """Listen in place of the process that did before. Raises OSError."""
+        """Listen, replacing the socket of the previous process. Raises OSError."""
         sock = socket.socket(socket.AF_UNIX)
         try:
             with suppress(FileNotFoundError):
@@ -45,10 +45,10 @@
         return sock
 
     def connect(self) -> socket.socket:
-        """Raises OSError where nobody listens, or a process of another user."""
+        """Connect to the serving process. Raises OSError if none listens or it belongs to another user."""
         sock = socket.socket(socket.AF_UNIX)
         try:
-            sock.setblocking(False)  # a full backlog counts as nobody listening
+            sock.setblocking(False)  # with a full backlog, connecting fails as if no process listened
             self._with_address(sock.connect)
             check_peer(sock)
         except OSError:
@@ -57,7 +57,7 @@
         return sock
 
     def _with_address(self, use: Callable[[str], None]) -> None:
-        """Call `use` with an address of the socket that is short enough for the kernel."""
+        """Call `use` with a path of the socket that is within the kernel's length limit."""
         if len(os.fsencode(self.path)) <= PATH_LIMIT:
             use(str(self.path))
             return
@@ -69,8 +69,8 @@
 
 
 def check_peer(sock: socket.socket) -> None:
-    """Raises OSError if the process at the other end is another user's."""
+    """Raises OSError if the peer process runs as another user."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
     if uid != os.geteuid():
-        raise OSError(None, f"the other end is of user {uid}")
+        raise OSError(None, f"the peer process runs as user {uid}")
--- a/badgergap/hot_restart/state_transfer.py
+++ b/badgergap/hot_restart/state_transfer.py
@@ -1,12 +1,11 @@
-"""The state that a process exports for its successor, and how it is read back. Pure, no I/O.
-
-1. A state names its gateway and the address that it serves. The state of another gateway is rejected.
-2. Each field that cannot be read is left out by itself and listed in `missing`: a state without the
-   balancer's learned state still has the manual drains. A state without an endpoint list or a clock offset
-   is rejected.
-3. Both processes run on one machine and read one monotonic clock. The state carries the offset of the
-   gateway's clock from it, so that its times mean the same to both even if the wall clock was set in
-   between.
+"""The state that a process exports to its successor: its fields, writing and reading. Pure, no I/O.
+
+1. A state contains the name of its gateway and the address that it serves. The state of another gateway is
+   rejected.
+2. A malformed field is left out on its own and listed in `missing`; for example, the manual drains are used
+   even if the learned state is malformed. A state without a valid endpoint list or clock offset is rejected.
+3. Both processes run on one machine and read the same monotonic clock. The state carries the offset of the
+   gateway's clock from it, so that timestamps keep their meaning even if the wall clock is set in between.
 """
 
 from __future__ import annotations
@@ -28,33 +27,33 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """By what two processes recognise each other as one gateway."""
+    """Identifies a gateway; two processes with equal identities belong to one gateway."""
 
     name: str
     listen: Address | None
 
     def to_json(self) -> JsonObject:
-        """As it stands in messages."""
+        """Return the identity's form in messages."""
         return {"gateway": self.name, "listen": list(self.listen or ())}
 
 
 @dataclass(frozen=True, slots=True)
 class TransferredState:
-    """What a process exports for its successor."""
+    """The state that a process exports to its successor."""
 
-    clock_offset_ns: int  # of the gateway's clock from the monotonic one
-    endpoint_list: JsonObject  # in discovery's form
+    clock_offset_ns: int  # offset of the gateway's clock from the monotonic clock
+    endpoint_list: JsonObject  # in the form that service discovery returns
     drains: tuple[ManualDrain, ...] = ()
-    lame_duck_age_s: float | None = None  # for how long clients have been sent away; None: they are not
+    lame_duck_age_s: float | None = None  # since the lame-duck state began; None outside it
     learned_state: JsonObject | None = None  # the main balancer's snapshot
-    pools: dict[str, JsonObject] = field(default_factory=dict)  # snapshots of the further pools' balancers
-    request_classes: tuple[str, ...] = ()  # that the snapshots index; empty: not known
-    endpoint_counts: dict[str, int] = field(default_factory=dict)  # by pool
-    missing: tuple[str, ...] = field(default=(), compare=False)  # fields that could not be read, and why
+    pools: dict[str, JsonObject] = field(default_factory=dict)  # balancer snapshots of the other pools
+    request_classes: tuple[str, ...] = ()  # the snapshots refer to them by index; empty if unknown
+    endpoint_counts: dict[str, int] = field(default_factory=dict)  # number of endpoints by pool
+    missing: tuple[str, ...] = field(default=(), compare=False)  # malformed fields, with the reason
 
 
 def write_state(state: TransferredState, identity: GatewayIdentity) -> JsonObject:
-    """The message that carries a state. Its keys are the protocol's and stay as they are."""
+    """Return the message that carries a state. Its keys are part of the protocol and never change."""
     return {
         "will": identity.to_json(),
         "offset_ns": state.clock_offset_ns,
@@ -69,15 +68,15 @@
 
 
 def read_state(raw: JsonObject, identity: GatewayIdentity) -> TransferredState:
-    """Raises StateTransferError for a state that this gateway cannot start with."""
+    """Read a state from a message. Raises StateTransferError if this gateway cannot start with it."""
     if raw.get("will") != identity.to_json():
-        raise StateTransferError("of another gateway")
+        raise StateTransferError("the state belongs to another gateway")
     reader = StateReader(raw)
     clock_offset_ns, endpoint_list = reader.clock_offset_ns(), reader.endpoint_list()
     drains, lame_duck_age_s = reader.drains(), reader.lame_duck_age_s()
     learned_state, pools = reader.learned_state(), reader.pools()
     request_classes = reader.request_classes()
-    if request_classes is None:  # the snapshots index them: without the classes they mean nothing
+    if request_classes is None:  # the snapshots refer to them by index and are useless without them
         request_classes, learned_state, pools = (), None, {}
     return TransferredState(
         clock_offset_ns=clock_offset_ns,
@@ -93,90 +92,90 @@
 
 
 class StateReader:
-    """Reads the fields of a state one by one, and notes in `missing` those that it has to leave out."""
+    """Reads the fields of a state one by one, and lists malformed ones in `missing`."""
 
     def __init__(self, raw: JsonObject) -> None:
         self.raw = raw
         self.missing: list[str] = []
 
     def clock_offset_ns(self) -> int:
-        """Raises StateTransferError."""
+        """Return the clock offset. Raises StateTransferError if it is malformed."""
         offset_ns = self.raw.get("offset_ns")
         if not isinstance(offset_ns, int) or isinstance(offset_ns, bool):
-            raise StateTransferError("it tells no time")
+            raise StateTransferError("the state has no clock offset")
         return offset_ns
 
     def endpoint_list(self) -> JsonObject:
-        """Raises StateTransferError."""
+        """Return the endpoint list. Raises StateTransferError if it is malformed."""
         listed = self.raw.get("known")
         if not isinstance(listed, dict) or not isinstance(listed.get("endpoints"), list):
-            raise StateTransferError("it names no hosts")
+            raise StateTransferError("the state has no endpoint list")
         return listed
 
     def drains(self) -> tuple[ManualDrain, ...]:
-        """The manual drains; none if one cannot be read."""
+        """Return the manual drains, at most `DRAIN_LIMIT`; none if any is malformed."""
         try:
             return tuple(read_drain(item) for item in self.raw["drains"])[:DRAIN_LIMIT]
         except (KeyError, TypeError, ValueError) as error:
-            self.missing.append(f"hosts out by hand: {error!r}")
+            self.missing.append(f"manual drains: {error!r}")
             return ()
 
     def lame_duck_age_s(self) -> float | None:
-        """None where clients are not sent away."""
+        """Return the age of the lame-duck state, or None outside it or if the age is malformed."""
         age_s = self.raw.get("lame_s")
         if age_s is None:
             return None
         is_number = isinstance(age_s, int | float) and not isinstance(age_s, bool)
         if is_number and 0.0 <= age_s < LAME_DUCK_AGE_LIMIT_S:
-            return age_s  # type: ignore[no-any-return]  # as it is: an int stays one
-        self.missing.append("the drain of the gateway")
+            return age_s  # type: ignore[no-any-return]  # not converted: an int stays an int
+        self.missing.append("the lame-duck state")
         return None
 
     def learned_state(self) -> JsonObject | None:
-        """The main balancer's snapshot; its content is the balancer's to check."""
+        """Return the main balancer's snapshot, if any; the balancer checks its content."""
         snapshot = self.raw.get("learnt")
         if snapshot is None or isinstance(snapshot, dict):
             return snapshot
-        self.missing.append("what was learnt")
+        self.missing.append("the learned state")
         return None
 
     def pools(self) -> dict[str, JsonObject]:
-        """The snapshots of further pools."""
+        """Return the balancer snapshots of the other pools; none if any is malformed."""
         pools = self.raw.get("pools", {})
         if isinstance(pools, dict) and all(isinstance(snapshot, dict) for snapshot in pools.values()):
             return pools
-        self.missing.append("what was learnt in further pools")
+        self.missing.append("the learned state of the other pools")
         return {}
 
     def request_classes(self) -> tuple[str, ...] | None:
-        """None where they cannot be read; empty where an older process sent none."""
+        """Return the request classes: empty if an older release sent none, None if they are malformed."""
         classes = self.raw.get("classes", [])
         if isinstance(classes, list) and all(isinstance(name, str) for name in classes):
             return tuple(classes)
-        self.missing.append("what was learnt, as its classes cannot be read")
+        self.missing.append("the learned state: its request classes are malformed")
         return None
 
     def endpoint_counts(self) -> dict[str, int]:
-        """By pool."""
+        """Return the number of endpoints by pool; empty if malformed."""
         counts = self.raw.get("hosts", {})
         if isinstance(counts, dict) and all(type(count) is int for count in counts.values()):
             return counts
-        self.missing.append("how many hosts there were")
+        self.missing.append("the numbers of endpoints")
         return {}
 
 
 def read_drain(raw: Any) -> ManualDrain:
-    """Raises ValueError or TypeError."""
+    """Read a manual drain. Raises ValueError or TypeError if it is malformed."""
     name, by, at_us, action = raw
     if not (isinstance(name, str) and name and isinstance(by, str) and isinstance(action, str)):
-        raise TypeError("no text")
+        raise TypeError("the name, author or action is not a string, or the name is empty")
     if isinstance(at_us, bool) or not isinstance(at_us, int):
-        raise TypeError("no time")
+        raise TypeError("the time is not an integer")
     return ManualDrain(name, by, at_us, action)
 
 
 def export_endpoint_list(entries: Iterable[Entry], names: Names, index: int) -> JsonObject:
-    """The endpoints in discovery's form, as `Config.known` holds them; without those that are gone."""
+    """Return the endpoints that are not gone, in the form of service discovery and `Config.known`."""
     return {
         "index": index,
         "snapshot": True,
