--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -1,22 +1,22 @@
-"""Who does what when one process of a gateway takes over from another, while both live.
-
-What goes over: the main listener and its clients, and those of each `TransferableComponent`. The rules
-below are the protocol. The old process is the predecessor, the new one its successor; a process is often
-both in turn.
-
-1. The successor asks for the state before it starts and waits `STATE_TIMEOUT_S` at the most. Without one it
-   starts as if alone, with the manual drains that the file beside the rendezvous names.
-2. Until the successor says that it takes clients, nothing changes for the predecessor: the successor may
-   ask and die.
-3. From then on the predecessor accepts nothing, sends endpoints that are warming up nothing, and exports
-   each client's connection once nothing is open on it, so that no byte of it is in either process.
-4. A manual drain, its end, or a lame-duck command at either goes to the other before it is answered.
-5. If the successor is lost, the predecessor takes clients again, unless it is ending. If the predecessor is
-   lost, the successor goes on.
-6. Where an operator file sets the predecessor's standby time, the successor ends it after that; a successor
-   that is told to end before that ends the predecessor too.
-7. The connections that the predecessor still holds count against the successor's limits; they are reported
-   every `CONNECTION_COUNTS_S`, those of still older processes among them.
+"""Coordinates a hot restart: one process of a gateway takes over from another while both run.
+
+The main listener and its clients are transferred, and those of each `TransferableComponent`. The old process
+is the predecessor, the new one its successor; over time a process is usually both. The protocol:
+
+1. The successor requests the state before it starts and waits at most `STATE_TIMEOUT_S` for it. Without a
+   state it starts as a single process, with the manual drains from the file beside the rendezvous socket.
+2. Nothing changes for the predecessor until the successor announces that it takes the clients; a successor
+   may fail before that.
+3. From then on the predecessor accepts no connection and sends no request to endpoints that are warming up.
+   It exports each client's connection once no request is open on it, so that neither process holds any
+   unprocessed byte of it.
+4. A manual drain, its end or a lame-duck command is forwarded to the other process before it is answered.
+5. If the successor is lost, the predecessor takes clients again, unless it is shutting down. If the
+   predecessor is lost, the successor continues.
+6. If the operator file sets a standby time, the successor ends the predecessor after that time, or earlier if
+   it shuts down itself.
+7. The connections that the predecessor still holds count against the successor's limits. The predecessor
+   reports their number every `CONNECTION_COUNTS_S`, including those of even older processes.
 """
 
 from __future__ import annotations
@@ -61,14 +61,17 @@
 
 STATE_TIMEOUT_S = 2.0
 CONNECTION_COUNTS_S = 0.1
-FLUSH_TIMEOUT_S = 0.5  # for the successor to read the last exported connections
-SUCCESSORS_LIMIT = 4  # that ask at a time
-LISTENERS_LIMIT = 32  # that are taken over from one process
-OTHER_DESCRIPTORS = 24  # of another process beside connections: loop, log, discovery, second address
+FLUSH_TIMEOUT_S = 0.5  # for sending the last exported connections to the successor
+CANDIDATES_LIMIT = 4  # processes connected to the rendezvous socket at a time
+LISTENERS_LIMIT = 32  # component listeners accepted from the predecessor
+OTHER_DESCRIPTORS = 24  # of the predecessor beside connections: loop, log, discovery, second address
 
 
 def coordinator_from_environment(environ: Mapping[str, str], config: Config) -> HotRestartCoordinator | None:
-    """None where there is no second address, no listener, or no $TMPDIR of this user's own."""
+    """Create the coordinator of a gateway that is configured by environment variables.
+
+    Return None without a second address, a listener, or a $TMPDIR that only this user can write to.
+    """
     folder = environ.get("TMPDIR")
     if config.console is None or config.listen is None or not folder:
         return None
@@ -81,7 +84,7 @@
 
 
 class HotRestartCoordinator:
-    """One process's side of the protocol, towards its predecessor and towards its successors."""
+    """Runs the protocol for one process, with its predecessor and its successor."""
 
     def __init__(
         self,
@@ -90,53 +93,53 @@
         drain_store: DrainStore | None = None,
         standby_s: float | None = None,
     ) -> None:
-        """`drain_store`: keeps manual drains where nothing else does.
+        """`drain_store` stores manual drains; None if another component stores them.
 
-        `standby_s`: when the predecessor is ended; None: an operator ends it.
+        `standby_s`: how long after taking clients the predecessor is ended; None: an operator ends it.
         """
         self.rendezvous = rendezvous
         self.config = config
         self.identity = GatewayIdentity(config.name, config.listen)
-        # On the wire a gateway without a listener asks with no address, but its state has an empty one.
+        # Without a listener, a state request carries no address but the state itself an empty one.
         self.state_identity = GatewayIdentity(config.name, config.listen or ("", 0))
         self.drain_store = drain_store
         self.standby_s = standby_s
         self.loop = asyncio.get_running_loop()
-        self.drain_writer = ThreadPoolExecutor(1)  # one save after the other
-        self.components: dict[str, TransferableComponent] = {}
-        self.rooms: Sequence[Component] = ()
+        self.drain_writer = ThreadPoolExecutor(1)  # one thread: saves run one at a time, in order
+        self.transferable: dict[str, TransferableComponent] = {}
+        self.components: Sequence[Component] = ()
         self.proxy: Proxy
         self.downstream: Downstream
         self.serving = False
         self.ending = False
-        self.origin: Link | None = None  # of the message that is being handled; it is not sent back there
-        # The predecessor
+        self.origin: Link | None = None  # of the message being handled; changes are not sent back to it
+        # Towards the predecessor
         self.predecessor: Link | None = None
         self.state: TransferredState | None = None
-        self.state_received = asyncio.Event()  # or it is certain that none will come
+        self.state_received = asyncio.Event()  # also set when no state will come
         self.learned_state: LearnedStateImport | None = None
         self.listener: socket.socket | None = None  # the main listener
-        self.component_listeners: dict[str, socket.socket] = {}  # that no component has taken yet
-        self.counts = messages.ConnectionCounts()  # of the processes before this one
-        # Successors
+        self.component_listeners: dict[str, socket.socket] = {}  # received, not yet used by a component
+        self.counts = messages.ConnectionCounts()  # connections that older processes hold
+        # Towards successors
         self.rendezvous_socket: socket.socket | None = None
-        self.candidates: set[Link] = set()  # processes that may become the successor
-        self.successor: Link | None = None  # the one that takes clients
+        self.candidates: set[Link] = set()  # connected processes, one of which may become the successor
+        self.successor: Link | None = None  # the process that has taken the clients
 
     def proxies(self) -> Mapping[str, Proxy]:
-        """The proxy of each pool that there is by now; a room may have none yet."""
+        """Return the proxies of all pools by name; a component may not have created its own yet."""
         pools = {
             name: proxy
-            for room in self.rooms
-            if isinstance(room, PoolOwner)
-            for name, proxy in room.proxies().items()
+            for component in self.components
+            if isinstance(component, PoolOwner)
+            for name, proxy in component.proxies().items()
         }
         return {MAIN: self.proxy, **pools}
 
     # As the successor
 
     async def inherit(self) -> TransferredState | None:
-        """The state of the process that serves, or None where there is none to take over from."""
+        """Request and return the state of the serving process; None if there is no such process or state."""
         try:
             sock = self.rendezvous.connect()
         except OSError as error:
@@ -165,11 +168,11 @@
             log.warning("could not be taken over: %s", field)
 
     def on_predecessor_message(self, message: Message, sock: socket.socket | None) -> None:
-        """Handle a message of the predecessor; a socket that nobody takes is closed."""
+        """Handle a message from the predecessor; a socket that came with it is closed unless it is used."""
         match message:
             case messages.ExportListener(name):
-                has_room = len(self.component_listeners) < LISTENERS_LIMIT
-                if sock is not None and has_room and not self.state_received.is_set():
+                below_limit = len(self.component_listeners) < LISTENERS_LIMIT
+                if sock is not None and below_limit and not self.state_received.is_set():
                     self.component_listeners[name] = sock
                     return
             case messages.ReceivedState(raw):
@@ -184,11 +187,11 @@
             sock.close()
 
     def _import_state(self, raw: JsonObject, listener: socket.socket | None) -> bool:
-        """Whether the state could be read, and with it the listener was taken."""
+        """Read the state; return whether it is valid and `listener` was kept with it."""
         try:
             self.state = read_state(raw, self.state_identity)
         except StateTransferError as error:
-            log.warning("what another process hands over is not taken: %s", error)
+            log.warning("the state of another process of this gateway was rejected: %s", error)
             return False
         else:
             self.listener = listener
@@ -197,34 +200,36 @@
             self.state_received.set()
 
     def on_predecessor_lost(self) -> None:
-        """Its link has ended: what it held counts no more."""
+        """Handle the end of the predecessor's link; its connections no longer count against the limits."""
         self.state_received.set()
         self.predecessor = None
         if self.serving:
             self.update_counts(messages.ConnectionCounts())
 
     def close_unused_listeners(self) -> None:
-        """Those that no component has taken: their address may not be served any more."""
+        """Close the received listeners that no component uses; the settings may no longer contain them."""
         for name, sock in self.component_listeners.items():
-            log.info("%s is not listened on any more, as it was handed over", name)
+            log.info("closing the transferred listener %s, which no component uses", name)
             sock.close()
         self.component_listeners.clear()
 
-    def join(self, proxy: Proxy, downstream: Downstream, rooms: Sequence[Component] = ()) -> None:
-        """Before anything has started: restore the manual drains and a drain of the gateway."""
+    def join(self, proxy: Proxy, downstream: Downstream, components: Sequence[Component] = ()) -> None:
+        """Attach the gateway's parts before they start; restore manual drains and the lame-duck state."""
         self.proxy = proxy
         self.downstream = downstream
-        self.rooms = rooms
-        self.components = {
-            room.transfer_name: room for room in rooms if isinstance(room, TransferableComponent)
+        self.components = components
+        self.transferable = {
+            component.transfer_name: component
+            for component in components
+            if isinstance(component, TransferableComponent)
         }
         stored = self.drain_store.load() if self.drain_store is not None else []
         state = self.state
         if state is None:
             proxy.directory.registry.restore(stored)
         else:
-            for component in self.components.values():
-                component.import_listeners(self.component_listeners, self.ready)
+            for transferable in self.transferable.values():
+                transferable.import_listeners(self.component_listeners, self.ready)
             proxy.directory.registry.restore(state.drains)
             if state.lame_duck_age_s is not None:
                 downstream.enter_lame_duck(state.lame_duck_age_s)
@@ -232,18 +237,18 @@
         downstream.lame_duck_observers.append(self.on_lame_duck)
 
     def restore_learned_state(self) -> None:
-        """In pools that have endpoints by now and have not used them."""
+        """Restore learned state in the pools that list endpoints and have not used any."""
         if self.learned_state is not None:
             self.learned_state.restore()
 
     async def ready(self) -> None:
-        """Before clients are taken: wait for the endpoints of each pool that had some."""
+        """Wait until the pools list endpoints, then restore learned state; runs before clients are taken."""
         if self.learned_state is not None:
             await self.learned_state.wait_for_endpoints()
             self.learned_state.restore()
 
     def take(self) -> None:
-        """Clients are taken here from now on; the predecessor is told, and successors may ask."""
+        """Take clients from now on: notify the predecessor and listen for successors."""
         self.restore_learned_state()
         self.close_unused_listeners()
         self.serving = True
@@ -255,29 +260,29 @@
                 self.loop.call_later(self.standby_s, self.end_predecessor)
 
     def end_predecessor(self) -> None:
-        """This process has proved itself: the one before it may end."""
+        """Request that the predecessor, if there still is one, drains and exits."""
         if self.predecessor is not None:
             self.predecessor.send(messages.EndPredecessor())
 
     def _adopt_client(self, component_name: str | None, sock: socket.socket) -> None:
         sock.setblocking(False)
-        component = self.components.get(component_name) if component_name is not None else None
+        component = self.transferable.get(component_name) if component_name is not None else None
         if component is not None:
             component.adopt_client(sock)
             return
         TcpTransport(self.loop, sock, ClientConnection(self.downstream, adopted=True)).start()
 
     def update_counts(self, counts: messages.ConnectionCounts) -> None:
-        """What the processes before this one hold, which the limits here must leave room for."""
+        """Count the connections of older processes against the limits of this one."""
         self.counts = counts
-        others = OTHER_DESCRIPTORS if self.predecessor is not None else 0
-        self.downstream.connections_elsewhere = counts.clients + others
+        other_descriptors = OTHER_DESCRIPTORS if self.predecessor is not None else 0
+        self.downstream.connections_elsewhere = counts.clients + other_descriptors
         self.proxy.upstream.connections_elsewhere = counts.endpoints
 
     # As the predecessor
 
     def listen_for_successors(self) -> None:
-        """Open the rendezvous; without it this process cannot be taken over from."""
+        """Listen on the rendezvous socket; if that fails, no process can take over from this one."""
         try:
             self.rendezvous_socket = self.rendezvous.listen()
             self.loop.add_reader(self.rendezvous_socket.fileno(), self._accept_successor)
@@ -285,7 +290,7 @@
             log.warning("no other process can take over from this one: %s", error)
 
     def stop_listening_for_successors(self) -> None:
-        """Close the rendezvous, if it is open."""
+        """Close the rendezvous socket, if it is open."""
         if self.rendezvous_socket is not None:
             self.loop.remove_reader(self.rendezvous_socket.fileno())
             self.rendezvous_socket.close()
@@ -299,10 +304,10 @@
             return
         try:
             check_peer(sock)
-            if len(self.candidates) >= SUCCESSORS_LIMIT:
-                raise OSError(None, "too many processes ask for a will")
+            if len(self.candidates) >= CANDIDATES_LIMIT:
+                raise OSError(None, "too many processes request the state")
         except OSError as error:
-            log.warning("turned away at the place of hand-over: %s", error)
+            log.warning("rejected a connection to the rendezvous socket: %s", error)
             sock.close()
             return
         sock.setblocking(False)
@@ -316,16 +321,16 @@
         self.candidates.add(link)
 
     def on_successor_message(self, link: Link, message: Message, sock: socket.socket | None) -> None:
-        """Handle a message of a process that may become the successor, or is it."""
+        """Handle a message from the successor or a process that may become it."""
         if sock is not None:
-            sock.close()  # a successor exports nothing
+            sock.close()  # successors have no reason to send descriptors
         match message:
             case messages.RequestState(identity):
                 self._export_state(link, identity)
             case messages.TakeClients() if self.successor is None:
                 self.release_clients(link)
             case messages.EndPredecessor() if link is self.successor:
-                log.info("the process that took the clients ends this one")
+                log.info("shutting down at the request of the process that took the clients")
                 self.ending = True
                 os.kill(os.getpid(), signal.SIGTERM)
             case _:
@@ -335,9 +340,9 @@
         main_socket = self.downstream.socket
         has_ended = self.config.listen is not None and main_socket is None
         if identity != self.identity or self.successor is not None or has_ended or self.ending:
-            link.close("it is of another gateway, or too late")
+            link.close("its request for the state was rejected: it is of another gateway or too late")
             return
-        for component in self.components.values():
+        for component in self.transferable.values():
             for name, descriptor in component.export_listeners().items():
                 link.send(messages.ExportListener(name), descriptor)
         message = messages.ExportState(self.current_state(), self.state_identity)
@@ -345,8 +350,8 @@
         log.info("another process of this gateway has asked for what it needs")
 
     def current_state(self) -> TransferredState:
-        """What a successor needs to go on as this process would."""
-        proxy, lame = self.proxy, self.downstream.lame_duck
+        """Return the state that a successor needs to continue the work of this process."""
+        proxy, lame_duck = self.proxy, self.downstream.lame_duck
         platform = proxy.directory.registry.sources.get(PLATFORM)
         records = platform.records.values() if platform is not None else ()
         entries = [record.entry for record in records]
@@ -357,7 +362,7 @@
             clock_offset_ns=proxy.clock.offset_ns,
             endpoint_list=export_endpoint_list(entries, proxy.config.names, index),
             drains=tuple(proxy.directory.registry.drains.values()),
-            lame_duck_age_s=lame.age(self.loop.time()) if lame else None,
+            lame_duck_age_s=lame_duck.age(self.loop.time()) if lame_duck else None,
             learned_state=proxy.balancer.snapshot(),
             pools={name: pool.balancer.snapshot() for name, pool in proxies.items() if name != MAIN},
             request_classes=proxy.latest_config.names.classes,
@@ -365,7 +370,7 @@
         )
 
     def release_clients(self, successor: Link) -> None:
-        """Accept nothing more, and export each client's connection once it is quiet."""
+        """Stop accepting; export each client's connection to `successor` once no request is open on it."""
         log.info("another process of this gateway takes its clients")
         self.successor = successor
         self.stop_listening_for_successors()
@@ -373,24 +378,24 @@
             proxy.balancer.is_standby = True
             proxy.upstream.close_all_idle()
         self.downstream.hand_over(self._export_connection)
-        for name, component in self.components.items():
+        for name, component in self.transferable.items():
             component.release_clients(partial(self._export_descriptor, name))
         self._report_counts()
 
     def _export_connection(self, connection: ClientConnection) -> bool:
-        """False: the connection stays in this process."""
+        """Send a client's connection to the successor; return False if it stays in this process."""
         if self.successor is None or connection.transport is None:
             return False
         return self.successor.send(messages.ExportClient(), descriptor_of(connection.transport))
 
     def _export_descriptor(self, component: str, descriptor: int) -> bool:
-        """False: the connection stays in this process."""
+        """Send a client's connection to the successor; return False if it stays in this process."""
         if self.successor is None:
             return False
         return self.successor.send(messages.ExportClient(component), descriptor)
 
     def _report_counts(self) -> None:
-        """Report to the successor, again and again, what it has to leave room for."""
+        """Report the connections that count against the successor's limits, and schedule the next report."""
         if self.successor is None:
             return
         counts = messages.ConnectionCounts(
@@ -401,7 +406,7 @@
         self.loop.call_later(CONNECTION_COUNTS_S, self._report_counts)
 
     def on_successor_lost(self, link: Link) -> None:
-        """Its link has ended. If it had taken the clients, they are taken here again."""
+        """Handle the end of a link; if that process had taken the clients, take them here again."""
         self.candidates.discard(link)
         if link is not self.successor:
             return
@@ -413,25 +418,28 @@
             proxy.balancer.is_standby = False
         if self.config.listen is not None:
             self.downstream.resume_accepting()
-        for component in self.components.values():
+        for component in self.transferable.values():
             component.reclaim_clients()
         self.listen_for_successors()
 
-    # As either
+    # In both roles
 
     def on_shared_message(self, link: Link, message: Message) -> None:
-        """Handle what either may send; anything that is not understood is logged and ignored."""
+        """Handle a message that both processes may send; an unknown one is logged and ignored."""
         self.origin = link
         try:
             match message:
                 case messages.ManualDrainChanged():
                     self._apply_manual_drain(message)
-                case messages.LameDuckChanged(lame):
-                    (self.downstream.enter_lame_duck if lame else self.downstream.leave_lame_duck)()
+                case messages.LameDuckChanged(is_lame_duck):
+                    (self.downstream.enter_lame_duck if is_lame_duck else self.downstream.leave_lame_duck)()
                 case messages.ConnectionCounts() if link is self.predecessor:
                     self.update_counts(message)
                 case _:
-                    log.warning("not understood, from another process: %.200r", messages.encode(message))
+                    log.warning(
+                        "ignored an unknown message of another process: %.200r",
+                        messages.encode(message),
+                    )
         finally:
             self.origin = None
 
@@ -443,18 +451,18 @@
             else:
                 proxy.directory.undrain(change.endpoint, change.by)
         except EndpointRegistryError:
-            if change.drained:  # not listed here yet: it is drained as soon as it is
+            if change.drained:  # not listed here yet: drain it as soon as it is listed
                 drain = ManualDrain(change.endpoint, change.by, self.proxy.clock.now_us())
                 self.proxy.directory.registry.restore([drain])
 
     def _notify(self, message: Message) -> None:
-        """Tell the processes on both sides, but not the one that this came from."""
+        """Send a message to the predecessor and the successor, except the one that caused it."""
         for link in (self.predecessor, self.successor):
             if link is not None and link is not self.origin:
                 link.send(message)
 
     def on_manual_drain(self, name: str, by: str, drained: bool) -> None:
-        """An operator has drained or reinstated an endpoint here, or in the other process."""
+        """Forward and store a change of the manual drains, made here or at another process."""
         self._notify(messages.ManualDrainChanged(name, by, drained))
         if self.drain_store is not None:
             drains = list(self.proxy.directory.registry.drains.values())
@@ -464,20 +472,20 @@
         try:
             store.save(drains)
         except OSError as error:
-            log.warning("hosts out by hand are not kept: %s", error.strerror or error)
+            log.warning("manual drains could not be saved: %s", error.strerror or error)
 
-    def on_lame_duck(self, lame: bool) -> None:
-        """Clients are sent away here from now on, or taken again."""
-        self._notify(messages.LameDuckChanged(lame))
+    def on_lame_duck(self, is_lame_duck: bool) -> None:
+        """Forward the start or the end of the lame-duck state."""
+        self._notify(messages.LameDuckChanged(is_lame_duck))
 
     def end(self) -> None:
-        """This process was told to end. With a standby time its predecessor ends too."""
+        """Note that this process shuts down; with a standby time, end the predecessor too."""
         self.ending = True
         if self.standby_s is not None:
             self.end_predecessor()
 
     async def close(self) -> None:
-        """All requests are answered: end the links, after the successor has read the last clients."""
+        """Send the last exported connections, then close all links; runs when all requests are answered."""
         self.ending = True
         self.stop_listening_for_successors()
         self.close_unused_listeners()
