--- a/badgergap/routes/__init__.py
+++ b/badgergap/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: pure, with no I/O and no clock."""
+"""Matches requests to routes. Pure: no I/O and no clock."""
 
 from badgergap.routes.path import PathError, Target, normalise, read_host, read_target
 from badgergap.routes.table import Match, Route, Table, UnmatchedRoute
--- a/badgergap/routes/table.py
+++ b/badgergap/routes/table.py
@@ -1,15 +1,15 @@
-"""The routes of a site, compiled: what one request takes, what came close, what can never match. Pure.
+"""The routing table: matches requests to routes, explains mismatches, finds unreachable routes. Pure.
 
-The order of precedence, stated once. Of the routes whose conditions all hold, the request takes the one
+Of the routes whose conditions all match, a request takes the one with the highest precedence:
 
-1. with the more exact host: a full name before `*.suffix`, a longer suffix before a shorter, any host last;
-2. then with the more exact path: an exact path before a prefix, a longer prefix before a shorter;
-3. then with more headers named;
-4. then with methods named;
-5. then that comes first in the file.
+1. the most specific host: a full name before `*.suffix`, a longer suffix before a shorter one, any host last;
+2. then the most specific path: an exact path before a prefix, a longer prefix before a shorter one;
+3. then the most required headers;
+4. then a list of methods before none;
+5. then the first in the operator file.
 
-Hosts are one dictionary and paths one trie of segments for each, so that what a match costs grows with the
-length of the path and of the host, and not with the number of routes.
+Hosts are looked up in a dictionary, and paths in one trie of segments per host, so the cost of a match grows
+with the length of the path and the host, and not with the number of routes.
 """
 
 from __future__ import annotations
@@ -20,16 +20,18 @@
 from badgergap.routes.path import PathError, normalise
 
 ANY_HOST = ""
-SAID_LIMIT = 5  # routes that came close that are told
+NEAR_MISSES_LIMIT = 5  # of an explanation
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The conditions of a route. What it leads to is looked up under its name by whoever asks.
+    """The conditions of a route, and how it rewrites paths. Callers find its destination by its name.
 
-    `host`: a name, `*.suffix` (one label or more before the suffix), or empty for any. `path` in its normal
-    form; `exact`: that path alone, else everything below it as well, at segment borders. `methods`: empty for
-    any. `headers`: lower name and value that must be there; `*` for any value.
+    `host` is a name, `*.suffix` (for one or more labels before the suffix), or empty for any host. `path` is
+    in normal form; with `exact` only that path matches, otherwise also every path below it, by whole segments.
+    Empty `methods` match any method. `headers` are pairs of a name in lower case and its required value, or
+    `*` for any value. `strip_prefix` is removed from the path that the endpoint receives, and `add_prefix` is
+    then put before it.
     """
 
     name: str
@@ -42,7 +44,7 @@
     add_prefix: bytes = b""
 
     def __post_init__(self) -> None:
-        """Raises PathError for a path that no request in its normal form has."""
+        """Raises PathError for a path that is not in normal form and so cannot match any request."""
         for what, path in (
             ("path", self.path),
             ("take_off", self.strip_prefix),
@@ -54,36 +56,37 @@
             raise PathError("take_off is not the beginning of the route's path")
 
     def rewrite(self, path: bytes) -> bytes:
-        """The path that a box gets."""
+        """Return the path that the endpoint receives."""
         if self.strip_prefix:
-            path = _cut(path, self.strip_prefix)
+            path = _strip_segments(path, self.strip_prefix)
         return self.add_prefix.rstrip(b"/") + path if self.add_prefix else path
 
     def matches(self, method: bytes, headers: Mapping[bytes, bytes]) -> bool:
+        """Whether the method and the headers of a request match."""
         if self.methods and method not in self.methods:
             return False
-        for name, wanted in self.headers:
+        for name, required in self.headers:
             value = headers.get(name)
-            if value is None or (wanted != b"*" and value != wanted):
+            if value is None or (required != b"*" and value != required):
                 return False
         return True
 
     def mismatch_reason(self, method: bytes, headers: Mapping[bytes, bytes]) -> str:
-        """What of a route whose host and path fit does not hold."""
+        """Why a request whose host and path match does not match this route; empty if it does."""
         if self.methods and method not in self.methods:
             return f"its methods are {', '.join(sorted(m.decode('latin-1') for m in self.methods))}"
-        for name, wanted in self.headers:
+        for name, required in self.headers:
             shown, value = name.decode("latin-1"), headers.get(name)
             if value is None:
                 return f"the header {shown} is missing"
-            if wanted != b"*" and value != wanted:
-                return f"the header {shown} is not {wanted.decode('latin-1')!r}"
+            if required != b"*" and value != required:
+                return f"the header {shown} is not {required.decode('latin-1')!r}"
         return ""
 
 
 @dataclass(frozen=True, slots=True)
 class UnmatchedRoute:
-    """A route that came close, and why it was not taken."""
+    """A route that a request did not take or no request can take, and the reason."""
 
     route: Route
     reason: str
@@ -91,19 +94,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
+    """The route that a request takes, and those that nearly matched."""
+
     route: Route | None
     near_misses: tuple[UnmatchedRoute, ...] = ()
 
 
 @dataclass(slots=True)
 class _Node:
+    """A segment of the trie, with the routes whose path ends there."""
+
     children: dict[bytes, _Node] = field(default_factory=dict)
     exact: list[Route] = field(default_factory=list)
     below: list[Route] = field(default_factory=list)
 
 
 class Table:
-    """Routes, compiled. Raises nothing: what cannot be is refused by `Route` itself."""
+    """A set of routes, prepared for matching. Invalid routes are rejected by `Route` itself."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self.routes = tuple(routes)
@@ -121,7 +128,10 @@
             _sort(root)
 
     def match(self, host: str, path: bytes, method: bytes, headers: Mapping[bytes, bytes]) -> Route | None:
-        """`host` as `read_host` gives it, `path` as `read_target` does, headers by lower name."""
+        """Return the route that a request takes, or None.
+
+        `host` comes from `read_host` and `path` from `read_target`; `headers` have names in lower case.
+        """
         hosts, segments = self.hosts, _split(path)
         root = hosts.get(host) if host else None
         if root is not None:
@@ -138,63 +148,63 @@
         return _find(root, segments, path, method, headers) if root is not None else None
 
     def allowed_methods(self, host: str, path: bytes) -> frozenset[bytes]:
-        """Those of routes whose host and path fit: what 405 tells. Empty: there is none."""
-        return frozenset(m for route in self._fitting(host, path) for m in route.methods)
+        """Return the methods to list in a 405 response: those of the routes that match host and path."""
+        return frozenset(m for route in self._matching(host, path) for m in route.methods)
 
     def explain(self, host: str, path: bytes, method: bytes, headers: Mapping[bytes, bytes]) -> Match:
-        """The route taken, and those that came close, nearest first, each with the reason."""
+        """Return the route that a request takes, and near misses with reasons, the nearest first."""
         taken = self.match(host, path, method, headers)
         near_misses: list[UnmatchedRoute] = []
-        for route in self._fitting(host, path):
+        for route in self._matching(host, path):
             if route is taken:
                 continue
             reason = route.mismatch_reason(method, headers)
             near_misses.append(
                 UnmatchedRoute(route, reason or f'"{taken.name if taken else ""}" comes before it')
             )
-        fitting = {near.route.name for near in near_misses}
+        matching = {near.route.name for near in near_misses}
         for route in self.routes:
-            if route is not taken and route.name not in fitting:
+            if route is not taken and route.name not in matching:
                 reason = _host_or_path_mismatch(route, host, path)
                 if reason:
                     near_misses.append(UnmatchedRoute(route, reason))
-        return Match(taken, tuple(near_misses[:SAID_LIMIT]))
+        return Match(taken, tuple(near_misses[:NEAR_MISSES_LIMIT]))
 
     def unreachable(self) -> tuple[UnmatchedRoute, ...]:
-        """Routes that can never be taken, each with the reason."""
+        """Return the routes that no request can take, each with the reason."""
         found = []
-        for place, route in enumerate(self.routes):
+        for index, route in enumerate(self.routes):
             same = [
-                (_order(other), number, other)
+                (_precedence(other), number, other)
                 for number, other in enumerate(self.routes)
                 if other is not route
                 and (other.host, other.path, other.exact) == (route.host, route.path, route.exact)
-                and (_order(other), number) < (_order(route), place)
+                and (_precedence(other), number) < (_precedence(route), index)
                 and set(other.headers) <= set(route.headers)
             ]
             earlier = [other for _, _, other in sorted(same, key=lambda item: item[:2])]
-            whole = next((other for other in earlier if not other.methods), None)
-            if whole is not None:
+            covering = next((other for other in earlier if not other.methods), None)
+            if covering is not None:
                 found.append(
-                    UnmatchedRoute(route, f'"{whole.name}" comes before it and takes all that it would')
+                    UnmatchedRoute(route, f'"{covering.name}" comes before it and takes all that it would')
                 )
             elif route.methods and route.methods <= {m for other in earlier for m in other.methods}:
                 names = ", ".join(f'"{other.name}"' for other in earlier)
                 found.append(UnmatchedRoute(route, f"{names} come before it and take all that it would"))
         return tuple(found)
 
-    def _fitting(self, host: str, path: bytes) -> Iterator[Route]:
-        """Those whose host and path fit, in order of precedence."""
+    def _matching(self, host: str, path: bytes) -> Iterator[Route]:
+        """Yield the routes whose host and path match, in order of precedence."""
         for key in dict.fromkeys((host, *filter(self.suffixes.__contains__, _suffixes(host)), ANY_HOST)):
             root = self.hosts.get(key)
             if root is not None:
-                yield from _along(root, path)
+                yield from _routes_of_path(root, path)
 
 
 def is_below(path: bytes, prefix: bytes) -> bool:
-    """Whether a path is a prefix or lies below it, at a segment's border."""
-    bare = prefix.rstrip(b"/")
-    return path == bare or path.startswith(bare + b"/")
+    """Whether `path` equals `prefix` or lies below it, by whole segments."""
+    base = prefix.rstrip(b"/")
+    return path == base or path.startswith(base + b"/")
 
 
 def _segments(path: bytes) -> list[bytes]:
@@ -202,18 +212,18 @@
 
 
 def _sort(node: _Node) -> None:
-    node.exact.sort(key=_order)
-    node.below.sort(key=_order)  # stable: those alike stay in the file's order
+    node.exact.sort(key=_precedence)
+    node.below.sort(key=_precedence)  # stable: routes that compare equal stay in the order of the file
     for child in node.children.values():
         _sort(child)
 
 
-def _order(route: Route) -> tuple[int, bool]:
+def _precedence(route: Route) -> tuple[int, bool]:
     return -len(route.headers), not route.methods
 
 
 def _suffixes(host: str) -> Iterator[str]:
-    """`.b.c` and `.c` of `a.b.c`, longest first."""
+    """Yield `.b.c` and `.c` for `a.b.c`, longest first."""
     place = host.find(".")
     while place >= 0:
         yield host[place:]
@@ -221,7 +231,7 @@
 
 
 def _split(path: bytes) -> list[bytes]:
-    """A request's path as the trie's segments, with no parameters."""
+    """Split a request's path into segments of the trie, without their parameters."""
     if path == b"/":
         return []
     segments = path[1:].split(b"/")
@@ -232,8 +242,8 @@
     return segments
 
 
-def _along(root: _Node, path: bytes) -> Iterator[Route]:
-    """The routes whose path fits, the most exact first."""
+def _routes_of_path(root: _Node, path: bytes) -> Iterator[Route]:
+    """Yield the routes whose path matches, the most specific first."""
     nodes, segments = [root], _split(path)
     for segment in segments:
         child = nodes[-1].children.get(segment)
@@ -250,7 +260,10 @@
 def _find(
     root: _Node, segments: list[bytes], path: bytes, method: bytes, headers: Mapping[bytes, bytes]
 ) -> Route | None:
-    """The first of `_along` that holds, without the steps of a generator: this is done for each request."""
+    """Return the first of `_routes_of_path` that matches the request.
+
+    It runs for each request and avoids the cost of that generator.
+    """
     node, nodes = root, [root]
     for segment in segments:
         child = node.children.get(segment)
@@ -272,15 +285,15 @@
 
 
 def _host_or_path_mismatch(route: Route, host: str, path: bytes) -> str:
-    """Why a route is out, if only its host or only its path is."""
+    """Why a route does not match, if only its host or only a similar path differs; empty otherwise."""
     if route.host.startswith("*."):
-        host_fits = host.endswith(route.host[1:]) and host != route.host[2:]
+        host_matches = host.endswith(route.host[1:]) and host != route.host[2:]
     else:
-        host_fits = route.host in (ANY_HOST, host)
-    path_fits = path == route.path if route.exact else is_below(path, route.path)
-    if host_fits is path_fits:
+        host_matches = route.host in (ANY_HOST, host)
+    path_matches = path == route.path if route.exact else is_below(path, route.path)
+    if host_matches is path_matches:
         return ""
-    if path_fits:
+    if path_matches:
         return f"its host is {route.host}"
     shown = route.path.decode("latin-1")
     if not path.startswith(route.path.rstrip(b"/")[: max(2, len(route.path) // 2)]):
@@ -288,8 +301,8 @@
     return f"its path is exactly {shown}" if route.exact else f"its path is {shown} and what lies below"
 
 
-def _cut(path: bytes, prefix: bytes) -> bytes:
-    """A path without its first segments, as many as the prefix has; parameters do not hide a segment."""
+def _strip_segments(path: bytes, prefix: bytes) -> bytes:
+    """Remove as many leading segments from `path` as `prefix` has, along with their parameters."""
     for _ in _segments(prefix):
         place = path.find(b"/", 1)
         path = path[place:] if place > 0 else b"/"
