--- a/badgergap/routes/table.py
+++ b/badgergap/routes/table.py
@@ -28,10 +28,10 @@
     """The conditions of a route, and how it rewrites paths. Callers find its destination by its name.
 
     `host` is a name, `*.suffix` (for one or more labels before the suffix), or empty for any host. `path` is
-    in normal form; with `exact` only that path matches, otherwise also every path below it, by whole segments.
-    Empty `methods` match any method. `headers` are pairs of a name in lower case and its required value, or
-    `*` for any value. `strip_prefix` is removed from the path that the endpoint receives, and `add_prefix` is
-    then put before it.
+    in normal form; with `exact` only that path matches, otherwise every path below it as well, by whole
+    segments. Empty `methods` match any method. `headers` are pairs of a name in lower case and its required
+    value, or `*` for any value. `strip_prefix` is removed from the path that the endpoint receives, and
+    `add_prefix` is then put before it.
     """
 
     name: str
--- a/tests/routes/test_path.py
+++ b/tests/routes/test_path.py
@@ -1,4 +1,4 @@
-"""The normal form of targets and hosts: tables, and a property against a plain reading of RFC 3986."""
+"""The normal form of targets and hosts: by examples, and against a simple implementation of RFC 3986."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from badgergap.routes import PathError, normalise, read_host, read_target
 
-SAME = "/ /a /a/ /a/b.c /a/b;x=1/c /%C3%A9 /a%3Fb /a,b/@!$&'()*+=: /.well-known/x /a..b /...".split()
-SPELT = {
+NORMAL = "/ /a /a/ /a/b.c /a/b;x=1/c /%C3%A9 /a%3Fb /a,b/@!$&'()*+=: /.well-known/x /a..b /...".split()
+NORMALISED = {
     "/a/../b": "/b",
     "/a/%2e%2E/b": "/b",
     "/a/./b/.": "/a/b/",
@@ -24,7 +24,7 @@
     "/web/../admin": "/admin",
     "/a//../b": "/b",
 }
-REFUSED = [
+REJECTED = [
     "/a%2fb",
     "/a%2F..%2Fb",
     "/a%5cb",
@@ -50,20 +50,20 @@
 ]
 
 
-def test_a_path_in_its_normal_form_stays_and_other_spellings_become_it() -> None:
-    for path in SAME:
+def test_normal_paths_are_unchanged_and_others_are_normalised() -> None:
+    for path in NORMAL:
         assert read_target(path.encode()).path == path.encode(), path
-    for spelt, path in SPELT.items():
-        assert read_target(spelt.encode()).path == path.encode(), spelt
+    for spelling, path in NORMALISED.items():
+        assert read_target(spelling.encode()).path == path.encode(), spelling
 
 
-@pytest.mark.parametrize("raw", REFUSED)
-def test_a_target_that_two_readers_read_in_two_ways_is_refused(raw: str) -> None:
+@pytest.mark.parametrize("raw", REJECTED)
+def test_a_malformed_or_ambiguous_target_is_rejected(raw: str) -> None:
     with pytest.raises(PathError):
         read_target(raw.encode("latin-1"))
 
 
-def test_the_absolute_form_gives_its_authority_and_the_query_stays_as_it_came() -> None:
+def test_the_absolute_form_yields_its_authority_and_the_query_is_unchanged() -> None:
     target = read_target(b"HTTP://Store.example:80/a/../b?x=%2f/../y?z")
     assert (target.path, target.query, target.authority) == (b"/b", b"?x=%2f/../y?z", b"Store.example:80")
     assert read_target(b"http://h?x").path == b"/"
@@ -72,12 +72,12 @@
 @given(
     st.lists(st.sampled_from(["a", ".", "..", "%2e", "%2E%2e", "", "b%41", "c;p", "%C3", "~"]), max_size=9)
 )
-def test_the_normal_form_is_one_and_has_nothing_left_to_resolve(segments: list[str]) -> None:
+def test_normalising_is_idempotent_and_resolves_all_dot_segments(segments: list[str]) -> None:
     path = normalise(("/" + "/".join(segments)).encode())
     assert normalise(path) == path
     inner = path.split(b"/")[1:]
     assert b"" not in inner[:-1] and not {b".", b".."} & {unquote_to_bytes(s) for s in inner}
-    stack: list[str] = []  # what an application that decodes first would open
+    stack: list[str] = []  # the path that an application opens if it decodes before it resolves
     for segment in unquote_to_bytes("/".join(segments)).decode("latin-1").split("/"):
         if segment == "..":
             stack = stack[:-1]
@@ -86,7 +86,7 @@
     assert unquote_to_bytes(path).decode("latin-1").strip("/") == "/".join(stack)
 
 
-def test_hosts_are_read_in_one_spelling_or_refused() -> None:
+def test_hosts_are_normalised_or_rejected() -> None:
     good = {
         b"Store.Example": "store.example",
         b"a.b:8080": "a.b",
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Which route is taken: the order of precedence, against a plain reading of the rules."""
+"""The routing table: its order of precedence, also against a simple implementation of the rules."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 
 
-def test_the_order_of_precedence_is_host_path_headers_methods_place() -> None:
+def test_precedence_is_host_matches_path_headers_methods_and_position() -> None:
     table = Table(ROUTES)
     for host, path, method, headers, taken in (
         ("any", b"/", GET, {}, "all"),
@@ -52,16 +52,16 @@
     assert Table(ROUTES).allowed_methods("store.example", b"/api") == frozenset({GET})
 
 
-def plainly(
+def expected_route(
     routes: tuple[Route, ...], host: str, path: bytes, method: bytes, headers: dict[bytes, bytes]
 ) -> str:
-    """The rules of the file's top, said another way: sort all that hold, take the first."""
-    holding = []
+    """The name of the route that the rules of `badgergap.routes.table` select: sorts all matches."""
+    matching = []
     for place, route in enumerate(routes):
         suffix = route.host[1:] if route.host.startswith("*") else ""
-        by_host = not route.host or route.host == host or (bool(suffix) and host.endswith(suffix))
-        by_path = path == route.path if route.exact else is_below(path, route.path)
-        if by_host and by_path and route.matches(method, headers):
+        host_matches = not route.host or route.host == host or (bool(suffix) and host.endswith(suffix))
+        path_matches = path == route.path if route.exact else is_below(path, route.path)
+        if host_matches and path_matches and route.matches(method, headers):
             rank = (
                 2 if not route.host else bool(suffix),
                 -len(suffix),
@@ -70,8 +70,8 @@
             )
             if route.path == b"/":
                 rank = (*rank[:3], 0)
-            holding.append((rank, -len(route.headers), not route.methods, place, route.name))
-    return min(holding)[-1] if holding else ""
+            matching.append((rank, -len(route.headers), not route.methods, place, route.name))
+    return min(matching)[-1] if matching else ""
 
 
 paths = st.lists(st.sampled_from([b"a", b"b", b"c"]), max_size=3).map(lambda s: b"/" + b"/".join(s))
@@ -85,24 +85,24 @@
     methods=st.sampled_from([frozenset(), frozenset({GET}), frozenset({GET, POST})]),
     headers=st.sampled_from([(), BETA, ((b"x-beta", b"*"),)]),
 )
-asked = st.tuples(hosts, paths, st.sampled_from([GET, POST]), st.sampled_from([{}, dict(BETA)]))
+requests = st.tuples(hosts, paths, st.sampled_from([GET, POST]), st.sampled_from([{}, dict(BETA)]))
 
 
-@given(st.lists(route, max_size=8), st.lists(asked, min_size=1, max_size=8))
-def test_the_compiled_table_and_the_plain_rules_agree(
-    drawn: list[Route], asks: list[tuple[str, bytes, bytes, dict[bytes, bytes]]]
+@given(st.lists(route, max_size=8), st.lists(requests, min_size=1, max_size=8))
+def test_the_table_agrees_with_a_simple_implementation(
+    drawn: list[Route], drawn_requests: list[tuple[str, bytes, bytes, dict[bytes, bytes]]]
 ) -> None:
     routes = tuple(Route(f"r{n}", r.path, r.exact, r.host, r.methods, r.headers) for n, r in enumerate(drawn))
     table = Table(routes)
-    never = {near.route.name for near in table.unreachable()}
-    for host, path, method, headers in asks:
+    unreachable = {near.route.name for near in table.unreachable()}
+    for host, path, method, headers in drawn_requests:
         found = table.match(host, path, method, headers)
-        assert (found.name if found else "") == plainly(routes, host, path, method, headers)
-        assert found is None or found.name not in never
+        assert (found.name if found else "") == expected_route(routes, host, path, method, headers)
+        assert found is None or found.name not in unreachable
         assert table.explain(host, path, method, headers).route is found
 
 
-def test_a_route_that_can_never_match_is_named_with_its_reason() -> None:
+def test_unreachable_routes_are_reported_with_a_reason() -> None:
     get, post = frozenset({GET}), frozenset({POST})
     table = Table(
         (
@@ -119,7 +119,7 @@
     assert '"a"' in table.unreachable()[0].reason
 
 
-def test_routes_that_came_close_say_why_not() -> None:
+def test_near_misses_are_explained() -> None:
     match = Table(ROUTES).explain("any", b"/web/x", GET, {})
     assert match.route is not None and match.route.name == "pages"
     why = {near.route.name: near.reason for near in match.near_misses}
@@ -129,7 +129,7 @@
     assert "its host is" in {near.route.name: near.reason for near in others}["store"]
 
 
-def test_what_a_box_gets_is_the_normal_form_with_the_prefix_swapped() -> None:
+def test_the_path_sent_to_an_endpoint_has_its_prefix_replaced() -> None:
     for strip_prefix, add_prefix, path, sent in (
         (b"/web", b"", b"/web/a", b"/a"),
         (b"/web", b"", b"/web", b"/"),
@@ -138,11 +138,11 @@
         (b"", b"", b"/web/a", b"/web/a"),
     ):
         assert Route("r", b"/web", strip_prefix=strip_prefix, add_prefix=add_prefix).rewrite(path) == sent
-    for wrong in (
+    for invalid in (
         {"path": b"/a/../b"},
         {"path": b"a"},
         {"strip_prefix": b"/b", "path": b"/a"},
         {"add_prefix": b"//"},
     ):
         with pytest.raises(PathError):
-            Route("r", **wrong)  # type: ignore[arg-type]
+            Route("r", **invalid)  # type: ignore[arg-type]
