--- a/tests/hot_restart/test_coordinator.py
+++ b/tests/hot_restart/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Two processes that are one gateway: nothing is lost, nothing is turned back, whatever dies."""
+"""Hot restart between real processes: no request is lost or refused, whichever process dies."""
 
 from __future__ import annotations
 
@@ -41,36 +41,36 @@
 
 
 class FakeEndpoint(Server):
-    """A host that answers at once, or once it is let, and notes what it ran."""
+    """An endpoint that answers at once or when it is released, and records the requests that it ran."""
 
     def __init__(self) -> None:
         super().__init__()
         self.ran: Counter[str] = Counter()
-        self.at: list[float] = []
-        self.go = asyncio.Event()
-        self.go.set()
-        self.says = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+        self.times: list[float] = []
+        self.released = asyncio.Event()
+        self.released.set()
+        self.response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             _, head, _ = await read_message(reader)
             self.ran[head["request-id"]] += 1
-            self.at.append(asyncio.get_running_loop().time())
-            await self.go.wait()
-            writer.write(self.says)
+            self.times.append(asyncio.get_running_loop().time())
+            await self.released.wait()
+            writer.write(self.response)
 
 
 @dataclass
 class Site:
     folder: Path
     path: Path
-    boxes: list[FakeEndpoint]
+    endpoints: list[FakeEndpoint]
     registry: Registry
     port: int
-    children: list[Process] = field(default_factory=list)
+    processes: list[Process] = field(default_factory=list)
 
     async def start(self, **environ: str) -> tuple[Process, tuple[str, int]]:
-        """A process, once operators can call it; and where."""
+        """Start a process; return it and its command address, once that accepts commands."""
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -84,7 +84,7 @@
             },
             stderr=asyncio.subprocess.PIPE,
         )
-        self.children.append(child)
+        self.processes.append(child)
         line = await logged(child, b"operators call at ")
         return child, ("127.0.0.1", int(line.rpartition(b":")[2]))
 
@@ -99,44 +99,44 @@
 
 
 @asynccontextmanager
-async def site(tmp_path: Path, boxes: int = 2) -> AsyncIterator[Site]:
-    hosts, registry = [FakeEndpoint() for _ in range(boxes)], Registry()
-    for each in (*hosts, registry):
+async def site(tmp_path: Path, endpoints: int = 2) -> AsyncIterator[Site]:
+    fakes, registry = [FakeEndpoint() for _ in range(endpoints)], Registry()
+    for each in (*fakes, registry):
         await each.start()
     folder = tmp_path / "tmp"
     folder.mkdir(mode=0o700)
-    known = {f"h{n}": host.address for n, host in enumerate(hosts)}
+    known = {f"h{n}": fake.address for n, fake in enumerate(fakes)}
     port = free_port()
     raw = configuration(known, registry.address, listen=f"127.0.0.1:{port}")
     raw["settings"]["caps"]["maxAttempts"] = 3
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
-    it = Site(folder, path, hosts, registry, port)
+    it = Site(folder, path, fakes, registry, port)
     try:
         yield it
     finally:
-        for child in it.children:
+        for child in it.processes:
             if child.returncode is None:
                 child.kill()
             await child.wait()
-        for each in (*hosts, registry):
+        for each in (*fakes, registry):
             each.stop()
 
 
 class Load(Clients):
-    """Clients that ask without a pause, some on one connection, some on a new one each time."""
+    """Clients that send requests continuously, some on one connection, some on a new one each time."""
 
     def __init__(self, it: Site, kept: int = 6, fresh: int = 4) -> None:
         super().__init__()
         self.site = it
-        self.turned_back: list[str] = []
-        self.asked: set[str] = set()
+        self.failures: list[str] = []
+        self.request_ids: set[str] = set()
         self.tasks = [asyncio.create_task(self.keep()) for _ in range(kept)]
         self.tasks += [asyncio.create_task(self.renew()) for _ in range(fresh)]
 
     def request(self) -> bytes:
         data = ask()
-        self.asked.add(data.split(b"Request-Id: ")[1].split(b"\r\n")[0].decode())
+        self.request_ids.add(data.split(b"Request-Id: ")[1].split(b"\r\n")[0].decode())
         return data
 
     async def keep(self) -> None:
@@ -145,7 +145,7 @@
             try:
                 status, head, _ = await client.ask(self.request())
             except (asyncio.IncompleteReadError, ConnectionError) as error:
-                self.turned_back.append(f"kept: {error!r}")
+                self.failures.append(f"kept: {error!r}")
                 client = await self.site.client()
                 continue
             self.answers[status] += 1
@@ -161,15 +161,15 @@
                 client = await self.site.client()
                 status, _, _ = await client.ask(self.request())
             except (asyncio.IncompleteReadError, ConnectionError) as error:
-                self.turned_back.append(f"fresh: {error!r}")
+                self.failures.append(f"fresh: {error!r}")
                 continue
             self.answers[status] += 1
             client.writer.close()
             await asyncio.sleep(0.002)
 
 
-def test_three_versions_under_load_turn_nothing_back(tmp_path: Path) -> None:
-    """Two upgrades in a row. Every request has its one answer, each ran once, bans and drains hold."""
+def test_two_hot_restarts_under_load_fail_no_request(tmp_path: Path) -> None:
+    """Each request is answered and runs once, and a manually drained endpoint stays drained."""
 
     async def test() -> None:
         async with site(tmp_path) as it:
@@ -177,49 +177,51 @@
             load = Load(it)
             await load.more()
             assert await call(address, b"DETACH h0\n") == b"ok h0 is out\n"
-            out = asyncio.get_running_loop().time() + 0.1
+            drained_at = asyncio.get_running_loop().time() + 0.1
             for _ in range(2):
-                after, to = await it.start()
+                new, new_address = await it.start()
                 await load.more()
-                assert b"1 out by hand" in await call(to, b"PING\n")
+                assert b"1 out by hand" in await call(new_address, b"PING\n")
                 child.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(child.wait(), PATIENCE_S) == 0
                 await load.more()
-                child, address = after, to
-            banned = [at for at in it.boxes[0].at if at > out]
+                child, address = new, new_address
+            while_drained = [at for at in it.endpoints[0].times if at > drained_at]
             assert await call(address, b"ATTACH h0\n") == b"ok h0 is back, cold\n"
-            before = len(it.boxes[0].at)
-            while len(it.boxes[0].at) == before:  # it is used again
+            before = len(it.endpoints[0].times)
+            while len(it.endpoints[0].times) == before:  # it is used again
                 await load.more(10)
             await load.end()
-            assert load.turned_back == [] and set(load.answers) == {200} and banned == []
-            ran = it.boxes[0].ran + it.boxes[1].ran
-            assert set(ran.values()) == {1} and set(ran) == load.asked
+            assert load.failures == [] and set(load.answers) == {200} and while_drained == []
+            ran = it.endpoints[0].ran + it.endpoints[1].ran
+            assert set(ran.values()) == {1} and set(ran) == load.request_ids
 
     run(test(), patience_s=90)
 
 
-def test_what_the_old_process_holds_is_answered_and_its_quiet_clients_go_over(tmp_path: Path) -> None:
+def test_the_old_process_answers_open_requests_and_transfers_idle_clients(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        async with site(tmp_path, boxes=1) as it:
+        async with site(tmp_path, endpoints=1) as it:
             old, _ = await it.start()
-            quiet, busy, half = [await it.client() for _ in range(3)]
-            assert (await quiet.ask(ask()))[0] == 200
-            it.boxes[0].go.clear()
+            idle, busy, partial = [await it.client() for _ in range(3)]
+            assert (await idle.ask(ask()))[0] == 200
+            it.endpoints[0].released.clear()
             busy.send(ask())
-            while len(it.boxes[0].at) < 2:
+            while len(it.endpoints[0].times) < 2:
                 await asyncio.sleep(0.005)
             late = ask()
-            half.send(late[:40])
+            partial.send(late[:40])
             new, address = await it.start()
             old.send_signal(signal.SIGTERM)
             assert (await call(address, b"PING\n")).startswith(b"ok ")
-            it.boxes[0].go.set()
+            it.endpoints[0].released.set()
             assert (await busy.answer())[0] == 200
-            half.send(late[40:])
-            assert (await half.answer())[0] == 200
+            partial.send(late[40:])
+            assert (await partial.answer())[0] == 200
             assert await old.wait() == 0
-            for client in (quiet, busy, half):  # none of them has noticed
+            for client in (idle, busy, partial):  # none of them notices the restart
                 status, head, _ = await client.ask(ask())
                 assert status == 200 and "connection" not in head
             assert new.returncode is None
@@ -228,7 +230,7 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_a_client_that_leaves_in_a_hand_over_is_sent_on_by_neither_process(
+def test_a_request_whose_client_disconnects_in_a_hot_restart_is_not_retried(
     leaves: bool, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -238,31 +240,31 @@
             it.path.write_text(json.dumps(raw))
             old, _ = await it.start()
             client = await it.client()
-            for endpoint in it.boxes:
-                endpoint.go.clear()
-                endpoint.says = b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+            for endpoint in it.endpoints:
+                endpoint.released.clear()
+                endpoint.response = b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
             client.send(ask("buy"))
-            while not any(endpoint.at for endpoint in it.boxes):
+            while not any(endpoint.times for endpoint in it.endpoints):
                 await asyncio.sleep(0.005)
             _, address = await it.start()
             old.send_signal(signal.SIGTERM)
             assert (await call(address, b"PING\n")).startswith(b"ok ")
             if leaves:
                 client.writer.close()
-                # The old process ends once nobody is owed anything: it has seen the end.
+                # The old process exits when no request is open: it has seen the disconnect.
                 assert await old.wait() == 0
-            for endpoint in it.boxes:
-                endpoint.go.set()
+            for endpoint in it.endpoints:
+                endpoint.released.set()
             if not leaves:
                 assert (await client.answer())[0] == 503
                 assert await old.wait() == 0
-            assert sum(len(endpoint.at) for endpoint in it.boxes) == (1 if leaves else 2)
+            assert sum(len(endpoint.times) for endpoint in it.endpoints) == (1 if leaves else 2)
 
     run(test())
 
 
-def test_calls_reach_both_processes_while_both_live(tmp_path: Path) -> None:
-    """Also a drain of the gateway, and a call to the old one once the new one serves."""
+def test_commands_at_one_process_apply_to_both(tmp_path: Path) -> None:
+    """Manual drains and the lame-duck state; also commands to the old process while the new one serves."""
 
     async def test() -> None:
         async with site(tmp_path) as it:
@@ -274,21 +276,21 @@
             assert await call(first, b"DETACH h0\n") == b"ok h0 is out\n"
             assert await call(second, b"DETACH h1\n") == b"ok h1 is out\n"
             for address in (first, second):
-                while b"2 out by hand" not in (said := await call(address, b"PING\n")):
+                while b"2 out by hand" not in (reply := await call(address, b"PING\n")):
                     await asyncio.sleep(0.005)
-                assert b"takes clients" in said
+                assert b"takes clients" in reply
             assert await call(first, b"ATTACH h1\n") == b"ok h1 is back, cold\n"
             while b"1 out by hand" not in await call(second, b"PING\n"):
                 await asyncio.sleep(0.005)
             client = await it.client()
-            assert (await client.ask(ask()))[0] == 200 and not it.boxes[0].ran and it.boxes[1].ran
+            assert (await client.ask(ask()))[0] == 200 and not it.endpoints[0].ran and it.endpoints[1].ran
 
     run(test())
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
-def test_a_new_process_that_dies_leaves_the_old_one_as_it_was(tmp_path: Path, when: str) -> None:
-    """Before its yes, in the midst of asking; or after it, with the clients already its own."""
+def test_a_new_process_that_dies_changes_nothing_for_the_old_one(tmp_path: Path, when: str) -> None:
+    """Before it takes the clients, while it requests the state; or after it has taken them."""
 
     async def test() -> None:
         async with site(tmp_path) as it:
@@ -296,11 +298,11 @@
             client = await it.client()
             assert (await client.ask(ask()))[0] == 200
             if when == "before":
-                with Rendezvous(it.folder).connect() as asking:
-                    asking.setblocking(True)
-                    whose = {"gateway": "n0", "listen": ["127.0.0.1", it.port]}
-                    asking.sendall(encode_frame({"ask": whose}))
-                    assert asking.recv(3) == b"bgw"
+                with Rendezvous(it.folder).connect() as sock:
+                    sock.setblocking(True)
+                    identity = {"gateway": "n0", "listen": ["127.0.0.1", it.port]}
+                    sock.sendall(encode_frame({"ask": identity}))
+                    assert sock.recv(3) == b"bgw"
                 assert (await client.ask(ask()))[0] == 200
             else:
                 new, _ = await it.start()
@@ -310,7 +312,7 @@
             for _ in range(3):
                 assert (await (await it.client()).ask(ask()))[0] == 200
             assert (await call(address, b"PING\n")).startswith(b"ok ")
-            _, third = await it.start()  # and the next one takes over
+            _, third = await it.start()  # the next process can still take over
             await logged(old, b"takes its clients")
             assert (await call(third, b"PING\n")).startswith(b"ok ")
 
@@ -318,7 +320,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [
         b"",
         b"HTTP/1.1 200 OK\r\n\r\n",
@@ -326,8 +328,8 @@
         encode_frame({"will": 7})[:-1],
     ],
 )
-def test_absent_torn_or_foreign_state_is_a_normal_start(tmp_path: Path, said: bytes) -> None:
-    """Somebody at the place who hands over no will: the hosts out by hand are still known, from the file."""
+def test_a_missing_torn_or_foreign_state_is_ignored_at_start(tmp_path: Path, data: bytes) -> None:
+    """A process at the rendezvous sends no valid state: the manual drains are read from the file."""
 
     async def test() -> None:
         async with site(tmp_path) as it:
@@ -335,21 +337,21 @@
             assert (await call(address, b"DETACH h0\n")).startswith(b"ok ")
             while not (it.folder / "drains.json").exists():
                 await asyncio.sleep(0.005)
-            sock = Rendezvous(it.folder).listen()  # in place of the old one's
-            asked = asyncio.Event()
+            sock = Rendezvous(it.folder).listen()  # replaces the socket of the old process
+            requested = asyncio.Event()
 
-            async def hand_over(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                asked.set()
-                writer.write(said)
+            async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+                requested.set()
+                writer.write(data)
                 writer.close()
 
-            server = await asyncio.start_unix_server(hand_over, sock=sock)
-            _, second = await it.start()  # beside the old one: both are bound
-            assert asked.is_set() and b"1 out by hand" in await call(second, b"PING\n")
+            server = await asyncio.start_unix_server(answer, sock=sock)
+            _, second = await it.start()  # both processes are bound to the address
+            assert requested.is_set() and b"1 out by hand" in await call(second, b"PING\n")
             server.close()
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
-            assert (await (await it.client()).ask(ask()))[0] == 200 and not it.boxes[0].ran
+            assert (await (await it.client()).ask(ask()))[0] == 200 and not it.endpoints[0].ran
 
     run(test())
 
@@ -379,46 +381,46 @@
     run(test())
 
 
-def test_what_discovery_said_last_goes_over(tmp_path: Path) -> None:
-    """A host that drains by the list gets nothing of the new process, which has no list of its own yet."""
+def test_the_last_endpoint_list_is_transferred(tmp_path: Path) -> None:
+    """The new process, not yet updated by discovery, sends nothing to an endpoint that the list drains."""
 
     async def test() -> None:
         async with site(tmp_path) as it:
             await it.start()
             _, watch = await it.registry.watches.get()
-            watch.write(chunk(news(entry("h0", it.boxes[0].address, "leaving"), index=30)))
+            watch.write(chunk(news(entry("h0", it.endpoints[0].address, "leaving"), index=30)))
             client = await it.client()
             assert (await client.ask(ask()))[0] == 200
             await asyncio.sleep(0.1)
-            count = len(it.boxes[0].at)
+            count = len(it.endpoints[0].times)
             await it.start()
             first, _ = await it.registry.watches.get()
             assert "index=30" in first
             for _ in range(20):
                 assert (await client.ask(ask()))[0] == 200
-            assert len(it.boxes[0].at) == count
+            assert len(it.endpoints[0].times) == count
 
     run(test())
 
 
-def test_a_folder_that_others_can_write_to_is_no_place(tmp_path: Path) -> None:
+def test_a_folder_that_others_can_write_to_is_rejected(tmp_path: Path) -> None:
     tmp_path.chmod(0o777)
     with pytest.raises(OSError, match="no folder of this user alone"):
         Rendezvous(tmp_path)
 
 
-def test_a_place_with_a_long_path(tmp_path: Path) -> None:
+def test_a_rendezvous_with_a_long_path(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 120)
     folder.mkdir(mode=0o700)
-    place = Rendezvous(folder)
-    with place.listen(), place.connect():
+    rendezvous = Rendezvous(folder)
+    with rendezvous.listen(), rendezvous.connect():
         assert (folder / SOCKET_NAME).exists()
     with pytest.raises(OSError):
-        place.connect()
+        rendezvous.connect()
 
 
-def test_what_the_old_process_holds_counts_against_the_new_one(tmp_path: Path) -> None:
-    """As it is told, and until that one has gone; nonsense is passed over."""
+def test_connections_of_the_old_process_count_against_the_limits_of_the_new_one(tmp_path: Path) -> None:
+    """As reported, until the old process is gone; malformed messages are ignored."""
     tmp_path.chmod(0o700)
 
     async def test() -> None:
@@ -434,14 +436,14 @@
             )
             coordinator.serving = True
             old = Link(theirs, it.proxy.loop, lambda m, s: None, lambda: None)
-            for said in (
+            for raw in (
                 {"holds": [100, 50]},
                 {"holds": "all"},
                 {"holds": [1]},
                 {"hand": [1, 2, 3]},
                 {"x": None},
             ):
-                old.send_json(said)
+                old.send_json(raw)
             while not it.proxy.upstream.connections_elsewhere:
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.05)
