--- a/badgergap/cli/route.py
+++ b/badgergap/cli/route.py
@@ -6,7 +6,7 @@
 from urllib.parse import urlsplit
 
 from badgergap.proxy.lifecycle.config import ConfigError
-from badgergap.routes import BadPath, Table, Target, read_host, read_target
+from badgergap.routes import PathError, Table, Target, read_host, read_target
 from badgergap.site import Site, read_site
 from badgergap.site.schema import RouteTable
 from badgergap.site.web import MAIN, to_route
@@ -27,9 +27,9 @@
         lines.append("no route: the client hears " + _instead(table, host, target.path, method))
     else:
         found = next(each for each in site.routes if each.name == match.route.name)
-        sent = match.route.rewritten(target.path).decode("latin-1")
+        sent = match.route.rewrite(target.path).decode("latin-1")
         lines.append(f'route "{match.route.name}": {_leads_to(found, site)}; the box gets {sent}')
-    lines += [f'not "{near.route.name}": {near.why}' for near in match.near]
+    lines += [f'not "{near.route.name}": {near.reason}' for near in match.near_misses]
     return "\n".join(lines), match.route is not None
 
 
@@ -45,12 +45,12 @@
         target = read_target(url.partition("#")[0].encode("latin-1"))
         authority = headers.get(b"host", target.authority or urlsplit(url).netloc.encode("latin-1"))
         return read_host(authority) if authority else "", target
-    except (BadPath, UnicodeEncodeError, ValueError) as error:
+    except (PathError, UnicodeEncodeError, ValueError) as error:
         raise ConfigError(f"{url!r}: the client would hear 400, {error}") from None
 
 
 def _instead(table: Table, host: str, path: bytes, method: str) -> str:
-    methods = table.methods(host, path)
+    methods = table.allowed_methods(host, path)
     if methods and method.upper().encode() not in methods:
         return f"405, allowed here: {', '.join(sorted(m.decode() for m in methods))}"
     return "404"
--- a/badgergap/ordinary/ways.py
+++ b/badgergap/ordinary/ways.py
@@ -18,7 +18,7 @@
 from badgergap.proxy.proxy import Proxy
 from badgergap.proxy.requests import Launch, RequestSpec
 from badgergap.proxy.upstream.exchange import Answer
-from badgergap.routes import BadPath, read_host, read_target
+from badgergap.routes import PathError, read_host, read_target
 
 READS = (b"GET", b"HEAD", b"OPTIONS")
 
@@ -48,7 +48,7 @@
             target = read_target(turn.target)
             host_as_said = target.authority or turn.host
             host = read_host(host_as_said) if host_as_said else ""
-        except BadPath as bad:
+        except PathError as bad:
             turn.keep_alive = False  # what it asks cannot be read: no trust in what follows either
             return plain_text(400, str(bad))
         plan = self.plan
@@ -68,7 +68,7 @@
         turn.way = Way(
             proxy,
             klass,
-            route.rewritten(target.path),
+            route.rewrite(target.path),
             target.query,
             host_as_said,
             to.answer_us,
@@ -85,7 +85,7 @@
         return None
 
     def _unrouted(self, host: str, path: bytes, method: bytes) -> Answer:
-        methods = self.plan.table.methods(host, path)
+        methods = self.plan.table.allowed_methods(host, path)
         if methods and method not in methods:
             return plain_text(405, "no route takes this method here", (b"allow", b", ".join(sorted(methods))))
         return plain_text(404, "no route leads here")
--- a/tests/proxy/lifecycle/test_lame_duck.py
+++ b/tests/proxy/lifecycle/test_lame_duck.py
@@ -11,7 +11,7 @@
 
 from badgergap.proxy.lifecycle import lame_duck as rules
 from badgergap.proxy.lifecycle.lame_duck import ConnectionAction, LameDuck
-from tests.hot_restart.test_coordinator import Box
+from tests.hot_restart.test_coordinator import FakeEndpoint
 from tests.proxy.commands.test_commands import command_listener, send_command
 from tests.proxy.test_bodies import gateway_for
 from tests.sockets import Client, ask, gateway, run
@@ -112,7 +112,7 @@
     rng = random.Random(11)
 
     async def test() -> None:
-        endpoint = Box()
+        endpoint = FakeEndpoint()
         async with gateway_for(endpoint) as it, command_listener(it) as address:
             clients = [await it.client() for _ in range(100)]
             for client in clients:
