--- a/badgergap/replication/keyed_attempt.py
+++ b/badgergap/replication/keyed_attempt.py
@@ -104,7 +104,7 @@
             self.never_sent()
             return
         idempotent.launch(server, self.go)
-        self.keyed_request.idempotency_filter.service.settle()
+        self.keyed_request.idempotency_filter.service.run_actions()
 
     def go(self, may: bool) -> None:
         """The record is stored, or it may not go (`may` is False)."""
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -173,7 +173,7 @@
         )
         self.idempotent = IdempotentRequest(replica_node, self, request, clock_us, self.deadline_us)
         self.idempotent.begin()
-        self.idempotency_filter.service.settle()
+        self.idempotency_filter.service.run_actions()
 
     def leave(self) -> None:
         """Its client has gone. What has gone to an endpoint goes on, so that its outcome is kept."""
@@ -184,7 +184,7 @@
             self.source.client_left()
         elif self.idempotent is not None:
             self.idempotent.left()
-            self.idempotency_filter.service.settle()
+            self.idempotency_filter.service.run_actions()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
         """Have the attempt at an endpoint check its deadlines."""
@@ -292,7 +292,7 @@
 
         def run() -> None:
             what()
-            self.idempotency_filter.service.settle()
+            self.idempotency_filter.service.run_actions()
 
         self.loop.call_later(delay_us / 1e6, run)
 
@@ -362,13 +362,13 @@
         """Have the endpoint's answer stored."""
         assert self.idempotent is not None
         self.idempotent.answered(status, tuple(headers), bytes(self.buffered))
-        self.idempotency_filter.service.settle()
+        self.idempotency_filter.service.run_actions()
 
     def own(self, answer: Answer) -> None:
         """The gateway's own answer: the decisions have given the request up."""
         if self.idempotent is not None and self.idempotent.running:
             self.idempotent.gave_up()
-            self.idempotency_filter.service.settle()
+            self.idempotency_filter.service.run_actions()
             self.reply(answer)
 
     def pass_answer(self) -> None:
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -132,14 +132,14 @@
     def _on_durable(self, token: int) -> None:
         if self.replica_node is not None:
             self.replica_node.on_saved(clock_us(), token)
-            self.settle()
+            self.run_actions()
 
     def _on_disk_failed(self, why: str) -> None:
         if self.replica_node is None:
             return
         self.session.discard_pending()
         self.replica_node.on_failed(why)
-        self.settle()
+        self.run_actions()
         self._spawn(self._reopen())
 
     async def _reopen(self) -> None:
@@ -201,7 +201,7 @@
             return
         for message in found:
             self._receive(name, message)
-        self.settle()
+        self.run_actions()
 
     def _receive(self, name: str, message: Message) -> None:
         assert self.replica_node is not None
@@ -243,13 +243,13 @@
                         names = {peer.name for peer in member.raft.log.configuration}
                         it.on_leader(now, member.leader_name, member.raft.is_established_leader, names)
                     it.tick(now)
-                    self.settle()
+                    self.run_actions()
                 except Exception:
                     log.exception("the tick of copies failed")
             busy = it is not None and (it.proposer.operations or it.repair.comparisons or it.claim_queries)
             await asyncio.sleep(BUSY_S if busy else IDLE_S)
 
-    def settle(self) -> None:
+    def run_actions(self) -> None:
         """Carry out what the replica node wants done. Called after whatever happens to it."""
         it = self.replica_node
         if it is None:
@@ -288,7 +288,7 @@
             if self.replica_node is not None:
                 self._receive(self.options.name, message)
         if own:
-            self.settle()
+            self.run_actions()
 
     def _frames(self, name: str, said: list[Message]) -> None:
         data = messages.encode(said)
@@ -317,7 +317,7 @@
                 done.set_result(result)
 
         self.replica_node.change(clock_us(), key, change, over, int(within_s * 1e6), prepared)
-        self.settle()
+        self.run_actions()
         return await done
 
     def require_node(self) -> ReplicaNode:
@@ -333,7 +333,7 @@
             return None
         asked = clock_us()
         it.query_reports()
-        self.settle()
+        self.run_actions()
         deadline = asyncio.get_running_loop().time() + REPORTS_TIMEOUT_S
         while asyncio.get_running_loop().time() < deadline:
             if it.report_summary is not None and it.report_summary[0] >= asked:
