--- a/badgergap/cli/serve.py
+++ b/badgergap/cli/serve.py
@@ -118,7 +118,7 @@
         why = f"{error.name} is missing: pip install 'badgergap[copies]'"
         raise ConfigError(f"[copies] needs its extra, {why}") from None
     room, guard, calls = copies_room(setup, group)
-    room.tell = admin.tell
+    room.on_alert = admin.tell
     admin.notices.append(room.problems)
     assert isinstance(admin.group, Asked)
     learned_state = LearnedStateService(group, room, admin.proxies)
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -66,7 +66,7 @@
         self.flushing = False
         self.rewriting = False
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.tell: Callable[[str], None] = lambda text: None
+        self.on_alert: Callable[[str], None] = lambda text: None
         self.listeners: list[Callable[[str, Message], None]] = []  # for snapshots
 
     # The room
@@ -301,7 +301,7 @@
 
     def _say(self, text: str) -> None:
         log.warning("%s", text)
-        self.tell(text)
+        self.on_alert(text)
 
     # What others here want
 
