--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -54,13 +54,13 @@
     def withdraw(self) -> None:
         """Take it back from them; no attempt of it is at an endpoint."""
 
-    def give(self, record: Record) -> None:
+    def deliver(self, record: Record) -> None:
         """The final answer, as it is kept."""
 
     def end(self, how: End, record: Record | None) -> None:
         """The final answer is the gateway's own."""
 
-    def after(self, delay_us: int, what: Callable[[], None]) -> None:
+    def call_later(self, delay_us: int, what: Callable[[], None]) -> None:
         """Call `what` after a while."""
 
 
@@ -148,7 +148,7 @@
             case Decision.GIVE:
                 assert there is not None
                 self.over = True
-                self.runner.give(there)
+                self.runner.deliver(there)
             case Decision.ASK:
                 assert there is not None
                 self._query_claim(there)
@@ -281,7 +281,7 @@
         self.replica_node.change(self.now_us(), self.request.key, change, lambda result: None, FREE_US)
 
     def answered(self, status: int, headers: Fields, body: bytes) -> None:
-        """An endpoint has answered, whole. `give` or `end` follows once it is kept, or can't be in time."""
+        """Store an endpoint's complete answer; `deliver` or `end` follows, in time for the client."""
         if not self.running or self.record is None:
             return
         self.running = False
@@ -297,17 +297,17 @@
             if not result.failure and there is not None and there.state == "done":
                 if there.claim == record.claim and not record.whole:
                     self.over = True
-                    self.runner.give(record)
+                    self.runner.deliver(record)
                 elif there.digest == record.digest and there.whole:
                     self.over = True
-                    self.runner.give(there)
+                    self.runner.deliver(there)
                 else:
                     self._end(End.TOO_LONG, there)
             else:
                 self._end(End.DOUBT, there)
 
         self.record = record
-        self.runner.after(max(KEPT_US, self.left_us() - RESERVE_US), self._out_of_time)
+        self.runner.call_later(max(KEPT_US, self.left_us() - RESERVE_US), self._out_of_time)
         self.replica_node.change(
             self.now_us(), self.request.key, self._change_to(record), done, KEEP_US, self.prepared
         )
@@ -323,7 +323,7 @@
             self.running = False
             self._leave_claim()
 
-    def left(self) -> None:
+    def on_client_gone(self) -> None:
         """The client has gone. What may have been sent goes on, so that its outcome is kept."""
         self.over = True
         if self.running and not self.sent:
@@ -346,7 +346,7 @@
             if self.left_us() - RESERVE_US <= delay:
                 self._end(End.UNDER_WAY, there)
             else:
-                self.runner.after(delay, self._read_record)
+                self.runner.call_later(delay, self._read_record)
             return
         after = records.freed(there) if state == "never" else records.doubted(there)
 
--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -144,7 +144,7 @@
             may_have_run = idempotent is not None and idempotent.sent
             self.reply(gateway_answer(End.DOUBT if may_have_run else End.UNREACHABLE, None))
             if idempotent is not None:
-                idempotent.left()
+                idempotent.on_client_gone()
 
     def waited_out(self) -> None:
         """The request before this one is still under way at this one's deadline."""
@@ -183,7 +183,7 @@
         if self.source is not None and self.passing:
             self.source.client_left()
         elif self.idempotent is not None:
-            self.idempotent.left()
+            self.idempotent.on_client_gone()
             self.idempotency_filter.service.run_actions()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
@@ -267,7 +267,7 @@
         if inner is not None:
             inner.abandon()
 
-    def give(self, record: Record) -> None:
+    def deliver(self, record: Record) -> None:
         """As `Runner`. Whoever waits for this key gets the same answer."""
         if record.whole:
             queue = self.queue
@@ -287,7 +287,7 @@
             self.source.client_left()
         self.reply(gateway_answer(how, record), how.name)
 
-    def after(self, delay_us: int, what: Callable[[], None]) -> None:
+    def call_later(self, delay_us: int, what: Callable[[], None]) -> None:
         """As `Runner`."""
 
         def run() -> None:
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -111,7 +111,7 @@
             super().answered(status, headers, body)
             if not self.over:
                 self.over = True
-                self.runner.give(given)
+                self.runner.deliver(given)
 
 
 class SilentIsNever(IdempotentRequest):
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -187,7 +187,7 @@
         if not self.over:
             self.over = True
             if how == "left" and hasattr(self, "once"):
-                self.world.do(self.node, self.incarnation, lambda replica_node: self.once.left())
+                self.world.do(self.node, self.incarnation, lambda replica_node: self.once.on_client_gone())
             self.asked.ended, self.asked.how, self.asked.body = self.world.now, how, body
             self.ended(self.asked)
 
@@ -201,13 +201,13 @@
     def withdraw(self) -> None:
         self.turn += 1
 
-    def give(self, record: Record) -> None:
+    def deliver(self, record: Record) -> None:
         self.finish("given", record.body)
 
     def end(self, how: End, record: Record | None) -> None:
         self.finish(how.name)
 
-    def after(self, delay_us: int, what: Callable[[], None]) -> None:
+    def call_later(self, delay_us: int, what: Callable[[], None]) -> None:
         node, incarnation = self.node, self.incarnation
         self.world.after(delay_us, lambda: self.world.do(node, incarnation, lambda replica_node: what()))
 
@@ -215,7 +215,7 @@
 
     def later(self, delay_us: int, what: Callable[[], None]) -> None:
         turn = self.turn
-        self.after(delay_us, lambda: what() if turn == self.turn else None)
+        self.call_later(delay_us, lambda: what() if turn == self.turn else None)
 
     def attempt(self) -> None:
         world = self.world
