--- a/badgergap/replication/gateway_answers.py
+++ b/badgergap/replication/gateway_answers.py
@@ -1,4 +1,4 @@
-"""What a client of a keyed request hears where there is no answer of an endpoint to give."""
+"""The gateway's own answers to keyed requests, for outcomes without an answer of an endpoint."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 STATE_HEADER = b"idempotency-state"
 
-# The status and the `Idempotency-State` of each.
+# The status and the value of `Idempotency-State` for each outcome.
 ANSWERS = {
     End.TOO_LONG: (409, b"done"),
     End.OTHER: (422, b"other"),
@@ -21,7 +21,10 @@
 
 
 def gateway_answer(end: End, record: Record | None) -> Answer:
-    """The gateway's own answer; with `Retry-After` where it is worth repeating the request."""
+    """Return the gateway's own answer for an outcome.
+
+    It has a `Retry-After` header if the client may repeat the request.
+    """
     status, state = ANSWERS[end]
     text = end.value
     if end is End.TOO_LONG and record is not None:
@@ -30,5 +33,5 @@
         answer = service_unavailable(text)
         answer.headers.append((STATE_HEADER, state))
         return answer
-    after = [(b"retry-after", b"1")] if end is End.UNDER_WAY else []
-    return plain_text(status, text, (STATE_HEADER, state), *after)
+    retry_after = [(b"retry-after", b"1")] if end is End.UNDER_WAY else []
+    return plain_text(status, text, (STATE_HEADER, state), *retry_after)
--- a/badgergap/replication/idempotency_filter.py
+++ b/badgergap/replication/idempotency_filter.py
@@ -1,6 +1,7 @@
-"""The entry for keyed requests of routes with `once`: each becomes a `KeyedRequest`, or is rejected here.
+"""The entry point for keyed requests of routes with `once`: each becomes a `KeyedRequest` or is rejected.
 
-Bounds: `KEY_LIMIT` bytes of a key (400), `OPEN_REQUESTS_LIMIT` keyed requests at a time (503).
+Limits: a key has at most `KEY_LIMIT` bytes (else 400), and at most `OPEN_REQUESTS_LIMIT` keyed requests are
+open at a time (else 503).
 """
 
 from __future__ import annotations
@@ -18,21 +19,21 @@
 
 
 class IdempotencyFilter:
-    """All keyed requests of a gateway's routes with `once`."""
+    """Intercepts the keyed requests of a gateway's routes with `once`, and counts how they end."""
 
     def __init__(self, service: ReplicationService) -> None:
         self.service = service
         self.queues: dict[bytes, KeyQueue] = {}
         self.open_requests = 0
-        self.counts: dict[str, int] = {}  # requests, by how they ended
+        self.counts: dict[str, int] = {}  # number of requests that have ended, by outcome
 
     def start(self, turn: Turn, client: Client, ways: Guide) -> bool:
-        """Take a request over; False: it has no key, or its method is safe to repeat without one."""
+        """Take a request over and return True; return False if it has no key or its method is safe."""
         key, way = turn.by_name.get(KEY_HEADER, b""), turn.way
         if not key or turn.method in SAFE_METHODS or way is None:
             return False
-        acting = way.proxy.current_epoch
-        if acting is not None and acting() < 0:
+        current_epoch = way.proxy.current_epoch
+        if current_epoch is not None and current_epoch() < 0:
             client.answer(service_unavailable(GROUP_UNREACHABLE))
         elif len(key) > KEY_LIMIT:
             client.answer(plain_text(400, f"Idempotency-Key over {KEY_LIMIT} bytes"))
@@ -44,6 +45,6 @@
             KeyedRequest(self, turn, client, ways, way, key).start()
         return True
 
-    def count(self, how: str) -> None:
-        """Count a request that has ended; `how` is what operators see in `by_end`."""
-        self.counts[how] = self.counts.get(how, 0) + 1
+    def count(self, outcome: str) -> None:
+        """Count a request that has ended; `outcome` is its name in the operators' `by_end`."""
+        self.counts[outcome] = self.counts.get(outcome, 0) + 1
--- a/badgergap/replication/idempotent_request.py
+++ b/badgergap/replication/idempotent_request.py
@@ -1,16 +1,17 @@
-"""One request with a key at one gateway: what it does with the key's record, and when. Pure.
+"""The state machine of one keyed request at one gateway: when it reads and changes the key's record. Pure.
 
-The rules, stated once:
+The rules:
 
-1. Nothing of it goes to an endpoint before a record that names claim and endpoint is kept by a majority
+1. Nothing is sent to an endpoint before a majority has stored a record that names the claim and the endpoint
    (`launch`).
-2. An endpoint's answer goes to the client once it is kept. If it cannot be kept in the client's time, the
-   client hears that the request is in doubt, and the keeping goes on.
-3. Whoever comes with the same key while a claim is begun waits for that gateway, as long as that says that
-   it is at it. If it says nothing, or has gone, the claim is put in doubt, by a change that anybody sees.
-4. What is in doubt is never run anew, but for at endpoints that drop repeats of its key.
-5. A claim that was never sent is freed by its gateway alone, and `ReplicaNode.claims` says so to who
-   asks first.
+2. An endpoint's answer is sent to the client once it is stored. If it cannot be stored before the client's
+   deadline, the client's answer is that the request is in doubt, and the attempts to store it continue.
+3. Another request with the same key waits while a claim is in state `begun` and its gateway reports that it
+   is still working on it. If that gateway does not answer or no longer exists, the claim is put in doubt, by
+   a change of the record that every member sees.
+4. A request in doubt is never run again, except at endpoints that drop repeats of its key.
+5. A claim that was never sent is freed only by its own gateway; until the record is changed,
+   `ReplicaNode.claims` reports it as never sent to members that query the claim.
 """
 
 from __future__ import annotations
@@ -26,16 +27,17 @@
 from badgergap.replication.proposer import ChangeFailure, PreparedBallot, Result
 from badgergap.replication.replica import ReplicaNode
 
-SEND_SHARE = 0.5  # of the time a key is kept, after which a claim is not sent any more
-KEEP_US = 30_000_000  # for which an outcome is tried to be kept, whoever still waits
-KEPT_US = 250_000  # the least that an answer waits to be kept: its end may come long after its beginning
-FREE_US = 5_000_000
-POLL_US = (30_000, 200_000)  # between two questions to a claim's gateway
-RESERVE_US = 60_000  # before the client's time is over, when it hears how it stands
+SEND_SHARE = 0.5  # a claim older than this share of its key's retention is not sent any more
+KEEP_US = 30_000_000  # how long storing an outcome is attempted, even if no client waits for it
+# Minimum wait for an answer to be stored: its last byte may arrive long after its first one.
+MIN_STORE_WAIT_US = 250_000
+RELEASE_TIMEOUT_US = 5_000_000  # for the change of the record that releases a claim
+POLL_US = (30_000, 200_000)  # minimum and maximum interval between two queries to a claim's gateway
+RESERVE_US = 60_000  # margin before the client's deadline in which the gateway sends its own answer
 
 
 class End(Enum):
-    """How it ends for the client, where it is not with an answer of an endpoint."""
+    """The outcomes for which the client receives an answer of the gateway's own."""
 
     TOO_LONG = "done, and its answer was too long to be kept"
     OTHER = "the key is that of another request"
@@ -46,38 +48,38 @@
 
 
 class Runner(Protocol):
-    """What is done for it."""
+    """The operations that `IdempotentRequest` needs from its surroundings."""
 
     def run(self, only: tuple[int, ...] | None) -> None:
-        """Give the request to the decisions. `only`: the endpoints that may have it."""
+        """Have the request balanced and sent. `only`: the endpoints that it may go to; None: any."""
 
     def withdraw(self) -> None:
-        """Take it back from them; no attempt of it is at an endpoint."""
+        """Withdraw the request from the balancer; no attempt of it is at an endpoint."""
 
     def deliver(self, record: Record) -> None:
-        """The final answer, as it is kept."""
+        """Send the stored answer to the client."""
 
-    def end(self, how: End, record: Record | None) -> None:
-        """The final answer is the gateway's own."""
+    def end(self, end: End, record: Record | None) -> None:
+        """Send the gateway's own answer to the client."""
 
     def call_later(self, delay_us: int, what: Callable[[], None]) -> None:
-        """Call `what` after a while."""
+        """Call `what` after `delay_us`."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """What of a client's request its record depends on."""
+    """The properties of a client's request that its record depends on."""
 
     key: bytes  # `idempotency_record.key_of`
     digest: bytes  # `idempotency_record.digest_of`
     tenant: str
-    label: str  # the client's key, for people
-    keep_us: int  # for which its outcome is kept
+    label: str  # the client's key, as shown to operators
+    keep_us: int  # retention of its outcome
     repeats: Repeats
 
 
 class IdempotentRequest:
-    """The state machine of one request; `Runner` carries out what it decides."""
+    """The state machine of one request; `Runner` carries out its decisions."""
 
     def __init__(
         self,
@@ -87,35 +89,35 @@
         now_us: Callable[[], int],
         until_us: int,
     ) -> None:
-        """`now_us`: the member's clock; `until_us`: when its client has gone."""
+        """`now_us`: the member's clock; `until_us`: the client's deadline."""
         self.replica_node = replica_node
         self.runner = runner
         self.request = request
         self.now_us = now_us
         self.until_us = until_us
         self.claim = ""
-        self.record: Record | None = None  # this run's own, as it was kept last or is about to be
-        self.kept = False  # `record` is kept by a majority
+        self.record: Record | None = None  # of this run, as it was stored last or is about to be
+        self.kept = False  # `record` is stored by a majority
         self.prepared: PreparedBallot | None = None
         self.claimed_us = 0
-        self.out = 0  # attempts at endpoints
-        self.ran = False  # one that is over may have run
+        self.in_flight = 0  # attempts at endpoints
+        self.ran = False  # an attempt that has ended may have run
         self.launched = False  # the claim may be in the record
         self.running = False
-        self.over = False  # the client has its answer, or has gone
+        self.over = False  # the client has its answer, or has disconnected
         self.polls = 0
 
     def begin(self) -> None:
-        """Look for the key's record, and act on it."""
+        """Read the key's record and act on it."""
         self._read_record()
 
     @property
     def sent(self) -> bool:
         """Whether an endpoint may have the request."""
-        return self.ran or self.out > 0
+        return self.ran or self.in_flight > 0
 
     def left_us(self) -> int:
-        """Until the client has gone."""
+        """Return the time until the client's deadline."""
         return self.until_us - self.now_us()
 
     # The record
@@ -123,11 +125,13 @@
     def _read_record(self) -> None:
         if self.over:
             return
-        left = self.left_us() - RESERVE_US
-        if left <= 0:
+        left_us = self.left_us() - RESERVE_US
+        if left_us <= 0:
             self._end(End.UNREACHABLE, None)
             return
-        self.replica_node.change(self.now_us(), self.request.key, lambda there: None, self._on_record, left)
+        self.replica_node.change(
+            self.now_us(), self.request.key, lambda current: None, self._on_record, left_us
+        )
 
     def _on_record(self, result: Result) -> None:
         if self.over:
@@ -135,29 +139,29 @@
         if result.failure:
             self._end(End.FULL if result.failure is ChangeFailure.FULL else End.UNREACHABLE, None)
             return
-        replica_node, request, there = self.replica_node, self.request, result.record
+        replica_node, request, current = self.replica_node, self.request, result.record
         now = replica_node.clock.now_us(self.now_us())
         hole = replica_node.is_hole(request.key)
         match records.judge(
-            there, request.digest, now, request.repeats, hole, replica_node.clock.sure_since_us()
+            current, request.digest, now, request.repeats, hole, replica_node.clock.sure_since_us()
         ):
             case Decision.RUN:
                 self._run(result.prepared, None, now)
             case Decision.AGAIN:
-                self._run(result.prepared, there, now)
+                self._run(result.prepared, current, now)
             case Decision.GIVE:
-                assert there is not None
+                assert current is not None
                 self.over = True
-                self.runner.deliver(there)
+                self.runner.deliver(current)
             case Decision.ASK:
-                assert there is not None
-                self._query_claim(there)
+                assert current is not None
+                self._query_claim(current)
             case Decision.OTHER:
-                self._end(End.OTHER, there)
+                self._end(End.OTHER, current)
             case Decision.TOO_LONG:
-                self._end(End.TOO_LONG, there)
+                self._end(End.TOO_LONG, current)
             case Decision.DOUBT:
-                self._end(End.DOUBT, there)
+                self._end(End.DOUBT, current)
 
     def _run(self, prepared: PreparedBallot | None, doubt: Record | None, now_us: int) -> None:
         request, replica_node = self.request, self.replica_node
@@ -176,7 +180,7 @@
         self.prepared = prepared
         self.kept = False
         self.running = True
-        self.out = 0
+        self.in_flight = 0
         self.ran = False
         self.launched = False
         self.claimed_us = self.now_us()
@@ -184,27 +188,27 @@
         self.runner.run(only)
 
     def _change_to(self, record: Record) -> Callable[[Record | None], Record | None]:
-        """Have the register hold this, where the table of `idempotency_record` lets it follow."""
+        """Return a change that stores `record` if the table in `idempotency_record` permits it."""
 
-        def change(there: Record | None) -> Record | None:
+        def change(current: Record | None) -> Record | None:
             now = self.replica_node.clock.now_us(self.now_us())
-            if there is not None and records.is_over(there, now):
-                there = None
-            if not records.follows(there, record):
+            if current is not None and records.is_over(current, now):
+                current = None
+            if not records.follows(current, record):
                 return None
-            # Two attempts may have their records written at once: neither takes the other's endpoint away.
-            if there is not None and there.claim == record.claim and record.state == "begun":
-                return functools.reduce(records.sent_to, there.endpoints, record)
+            # The records of two attempts may be written concurrently: neither removes the other's endpoint.
+            if current is not None and current.claim == record.claim and record.state == "begun":
+                return functools.reduce(records.sent_to, current.endpoints, record)
             return record
 
         return change
 
-    # Its own run
+    # This gateway's run
 
     def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
-        """An attempt is about to go to an endpoint. `go(False)`: it may not, now or ever.
+        """Store that an attempt is about to be sent to an endpoint, and then call `go`.
 
-        It was never sent.
+        `go(True)`: send it now. `go(False)`: it must not be sent, now or later.
         """
         before, claim = self.record, self.claim
         if not self.running or before is None:
@@ -219,12 +223,12 @@
 
         def done(result: Result) -> None:
             self.prepared = result.prepared
-            there = result.record
+            current = result.record
             if (
-                there is not None
+                current is not None
                 and not result.failure
-                and there.claim == claim
-                and endpoint in there.endpoints
+                and current.claim == claim
+                and endpoint in current.endpoints
             ):
                 self.kept = True
                 self._go(claim, go)
@@ -233,126 +237,133 @@
             if self.running and self.claim == claim:
                 self._on_refused(result)
 
-        left = max(0, self.left_us() - RESERVE_US)
+        left_us = max(0, self.left_us() - RESERVE_US)
         self.replica_node.change(
-            self.now_us(), self.request.key, self._change_to(record), done, left, self.prepared
+            self.now_us(), self.request.key, self._change_to(record), done, left_us, self.prepared
         )
 
     def _go(self, claim: str, go: Callable[[bool], None]) -> None:
-        # A process that was stopped meanwhile may find that others have long given the claim up.
-        age = self.now_us() - self.claimed_us
-        fit = self.running and claim == self.claim and age < self.request.keep_us * SEND_SHARE
+        # If this process was stopped in the meantime, other members may have given the claim up long ago.
+        age_us = self.now_us() - self.claimed_us
+        permitted = self.running and claim == self.claim and age_us < self.request.keep_us * SEND_SHARE
         record, clock = self.record, self.replica_node.clock
         if record is not None and record.again:
             now = clock.now_us(self.now_us())
-            fit = fit and records.may_ask_again(record, now, self.request.repeats, clock.sure_since_us())
-        self.out += fit
-        go(fit)
-        if not fit and self.running and claim == self.claim:
-            self._on_refused(Result())  # its time is over: whoever looks now says what that means
+            permitted = permitted and records.may_ask_again(
+                record, now, self.request.repeats, clock.sure_since_us()
+            )
+        self.in_flight += permitted
+        go(permitted)
+        if not permitted and self.running and claim == self.claim:
+            self._on_refused(Result())  # too old to be sent: read the record again and decide by it
 
     def attempt_over(self, may_have_run: bool) -> None:
-        """Of one that went to an endpoint."""
-        self.out -= 1
+        """Account for the end of an attempt that was sent to an endpoint."""
+        self.in_flight -= 1
         self.ran = self.ran or may_have_run
 
     def _on_refused(self, result: Result) -> None:
-        """The record is another's, or could not be kept: nothing of this attempt was sent."""
+        """Handle a record that belongs to another claim or was not stored; this attempt was not sent."""
         self.running = False
-        self._leave_claim()
+        self._release_claim()
         self.runner.withdraw()
         if result.failure:
-            how = End.FULL if result.failure is ChangeFailure.FULL else End.UNREACHABLE
-            self._end(End.DOUBT if self.sent else how, self.record)
+            end = End.FULL if result.failure is ChangeFailure.FULL else End.UNREACHABLE
+            self._end(End.DOUBT if self.sent else end, self.record)
         else:
             self._read_record()
 
-    def _leave_claim(self) -> None:
-        """Say what became of the claim to whoever asks; and in the record, as far as it got there."""
+    def _release_claim(self) -> None:
+        """Publish the end of the claim: for members that query it, and in the record if it may be there."""
         record = self.record
         if record is None or not self.launched:
             return
         self.replica_node.claims.ended(self.claim, "ran" if self.sent else "never")
         after = records.doubted(record) if self.sent else records.freed(record)
 
-        def change(there: Record | None) -> Record | None:
-            return after if there is not None and records.follows(there, after) else None
+        def change(current: Record | None) -> Record | None:
+            return after if current is not None and records.follows(current, after) else None
 
-        self.replica_node.change(self.now_us(), self.request.key, change, lambda result: None, FREE_US)
+        self.replica_node.change(
+            self.now_us(), self.request.key, change, lambda result: None, RELEASE_TIMEOUT_US
+        )
 
     def answered(self, status: int, headers: Fields, body: bytes) -> None:
-        """Store an endpoint's complete answer; `deliver` or `end` follows, in time for the client."""
+        """Store an endpoint's complete answer.
+
+        `Runner.deliver` or `Runner.end` follows once it is stored, or cannot be stored in time.
+        """
         if not self.running or self.record is None:
             return
         self.running = False
         record = records.done(self.record, status, headers, body)
-        self._keep(record)
+        self._store_answer(record)
 
-    def _keep(self, record: Record) -> None:
+    def _store_answer(self, record: Record) -> None:
         def done(result: Result) -> None:
-            there = result.record
+            current = result.record
             self.replica_node.claims.ended(self.claim, "ran")
             if self.over:
                 return
-            if not result.failure and there is not None and there.state == "done":
-                if there.claim == record.claim and not record.whole:
+            if not result.failure and current is not None and current.state == "done":
+                if current.claim == record.claim and not record.whole:
                     self.over = True
                     self.runner.deliver(record)
-                elif there.digest == record.digest and there.whole:
+                elif current.digest == record.digest and current.whole:
                     self.over = True
-                    self.runner.deliver(there)
+                    self.runner.deliver(current)
                 else:
-                    self._end(End.TOO_LONG, there)
+                    self._end(End.TOO_LONG, current)
             else:
-                self._end(End.DOUBT, there)
+                self._end(End.DOUBT, current)
 
         self.record = record
-        self.runner.call_later(max(KEPT_US, self.left_us() - RESERVE_US), self._out_of_time)
+        self.runner.call_later(max(MIN_STORE_WAIT_US, self.left_us() - RESERVE_US), self._on_store_timeout)
         self.replica_node.change(
             self.now_us(), self.request.key, self._change_to(record), done, KEEP_US, self.prepared
         )
 
-    def _out_of_time(self) -> None:
+    def _on_store_timeout(self) -> None:
         if not self.over:
             self._end(End.DOUBT, self.record)
 
     def gave_up(self) -> None:
-        """The decisions have ended it with an answer of their own, which the client has from them."""
+        """Handle the end of the request by an answer of the gateway's own, which the client receives."""
         self.over = True
         if self.running:
             self.running = False
-            self._leave_claim()
+            self._release_claim()
 
     def on_client_gone(self) -> None:
-        """The client has gone. What may have been sent goes on, so that its outcome is kept."""
+        """Withdraw an unsent request; one that may have been sent continues, to store its outcome."""
         self.over = True
         if self.running and not self.sent:
             self.running = False
-            self._leave_claim()
+            self._release_claim()
             self.runner.withdraw()
 
-    # Another's run
+    # Another gateway's run
 
-    def _query_claim(self, there: Record) -> None:
-        self.replica_node.query_claim(self.now_us(), there, lambda state: self._on_claim_state(there, state))
+    def _query_claim(self, seen: Record) -> None:
+        self.replica_node.query_claim(self.now_us(), seen, lambda state: self._on_claim_state(seen, state))
 
-    def _on_claim_state(self, there: Record, state: str) -> None:
+    def _on_claim_state(self, seen: Record, state: str) -> None:
         if self.over:
             return
         if state == "working":
-            low, high = POLL_US
-            delay = min(low << min(self.polls, 8), high)
+            min_us, max_us = POLL_US
+            delay_us = min(min_us << min(self.polls, 8), max_us)
             self.polls += 1
-            if self.left_us() - RESERVE_US <= delay:
-                self._end(End.UNDER_WAY, there)
+            if self.left_us() - RESERVE_US <= delay_us:
+                self._end(End.UNDER_WAY, seen)
             else:
-                self.runner.call_later(delay, self._read_record)
+                self.runner.call_later(delay_us, self._read_record)
             return
-        after = records.freed(there) if state == "never" else records.doubted(there)
+        after = records.freed(seen) if state == "never" else records.doubted(seen)
 
-        def change(now: Record | None) -> Record | None:
-            # Only if nothing has come of it meanwhile.
-            return after if now == there else None
+        def change(current: Record | None) -> Record | None:
+            # Only if the record has not changed in the meantime.
+            return after if current == seen else None
 
         def done(result: Result) -> None:
             if not self.over:
@@ -361,10 +372,10 @@
                 else:
                     self._on_record(result)
 
-        left = max(0, self.left_us() - RESERVE_US)
-        self.replica_node.change(self.now_us(), self.request.key, change, done, left)
+        left_us = max(0, self.left_us() - RESERVE_US)
+        self.replica_node.change(self.now_us(), self.request.key, change, done, left_us)
 
-    def _end(self, how: End, record: Record | None) -> None:
+    def _end(self, end: End, record: Record | None) -> None:
         if not self.over:
             self.over = True
-            self.runner.end(how, record)
+            self.runner.end(end, record)
--- a/badgergap/replication/learned_state_service.py
+++ b/badgergap/replication/learned_state_service.py
@@ -1,7 +1,8 @@
-"""Sends what a gateway has learned about endpoints to other members, and gets it back after a restart.
+"""Stores a gateway's learned state about endpoints at other members, and restores it after a restart.
 
-Now and then it sends its health snapshot to two others. One that has started asks all for its own, and
-takes the newest that comes before it has sent anything to an endpoint. Nothing waits for any of this.
+A gateway periodically sends its health snapshot to two other members. After a start it queries all members
+for its own snapshot, and restores the newest one that arrives before it has sent a request to an endpoint.
+Serving requests never waits for this.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 
 log = logging.getLogger(__name__)
 
-GUEST_NAME = "learnt"  # among the group's guests
-EXPORT_S = 5.0  # between two health snapshots of this gateway
-QUERY_S = 0.2  # between two questions for its own, and for the second answer to come after the first
-QUERIES_LIMIT = 50  # questions; a gateway that has not joined its group by then goes without
+COMPONENT_NAME = "learnt"  # among the components of the group's service
+EXPORT_S = 5.0  # interval between two health snapshots of this gateway
+QUERY_S = 0.2  # interval between two queries; long enough for answers of several members to arrive
+QUERIES_LIMIT = 50  # a gateway that has not joined its group by then starts without its learned state
 
 
 class LearnedStateService:
@@ -42,29 +43,29 @@
     def __init__(
         self, group: GroupService, copies: ReplicationService, proxies: Callable[[], Mapping[str, Proxy]]
     ) -> None:
-        """`proxies`: of all pools, once they have started; the main one among them."""
+        """`proxies` returns the proxies of all pools, the main one first; empty before they have started."""
         self.group = group
         self.copies = copies
         self.proxies = proxies
         self.snapshot_store = SnapshotStore()
-        self.newest: tuple[str, StoredSnapshot] | None = None  # of what others have sent of this gateway's
-        self.restored_count = 0  # endpoints of which something was known again after the start
+        self.newest: tuple[str, StoredSnapshot] | None = None  # the member that sent it, and the snapshot
+        self.restored_count = 0  # endpoints whose learned state was restored after the start
         self.sent_to: tuple[str, ...] = ()
-        self.too_long = False
+        self.is_too_large = False
         self.task: asyncio.Task[None] | None = None
 
-    # The room
+    # Component
 
     def join(self, proxy: Proxy) -> None:
-        """Become a guest of the group's service."""
-        self.group.components[GUEST_NAME] = self
+        """Register as a component of the group's service."""
+        self.group.components[COMPONENT_NAME] = self
 
     async def start(self) -> None:
-        """Ask for this gateway's snapshot, then export one now and then."""
-        self.task = asyncio.get_running_loop().create_task(self._work())
+        """Start the task that queries for this gateway's snapshot, and then exports one periodically."""
+        self.task = asyncio.get_running_loop().create_task(self._run())
 
     def reload(self, config: Config) -> None:
-        """Nothing of it is in the file."""
+        """Do nothing: there are no settings for it."""
 
     async def close(self) -> None:
         """Stop exporting."""
@@ -72,21 +73,22 @@
             self.task.cancel()
 
     def line(self) -> str:
-        """How it stands, for people."""
-        at = " and ".join(self.sent_to) or "nobody"
-        back = f", {self.restored_count} boxes known again at the start" if self.restored_count else ""
+        """Return a one-line status for operators."""
+        keepers = " and ".join(self.sent_to) or "nobody"
+        restored = f", {self.restored_count} boxes known again at the start" if self.restored_count else ""
         return (
-            f"what it learns is kept at {at}, and of {len(self.snapshot_store.snapshots)} others here{back}"
+            f"what it learns is kept at {keepers}, "
+            f"and of {len(self.snapshot_store.snapshots)} others here{restored}"
         )
 
-    # A guest of the group
+    # Component of the group's service
 
     def on_message(self, name: str, data: bytes) -> None:
-        """A message of another member."""
+        """Process a message from another member."""
         try:
             message = learned_state.decode(data)
         except msgspec.MsgspecError as error:
-            log.warning("a word on what was learnt from %s that this program does not know: %s", name, error)
+            log.warning("cannot decode a learned-state message from %s: %s", name, error)
             return
         now_us = clock_us()
         match message:
@@ -95,33 +97,33 @@
             case QuerySnapshot():
                 answer = self.snapshot_store.have(now_us, name)
                 if answer is not None:
-                    self._say(name, answer)
+                    self._send(name, answer)
             case StoredSnapshot():
                 if self.newest is None or message.age_us < self.newest[1].age_us:
                     self.newest = (name, message)
 
     def on_group_changed(self) -> None:
-        """Nothing of it is in the group's log."""
+        """Do nothing: no learned state is in the group's log."""
 
     def removal_objection(self, name: str) -> str:
-        """Nothing speaks against a member's leaving."""
+        """Return an empty string: any member may leave."""
         return ""
 
-    def _say(self, name: str, message: learned_state.Message) -> None:
-        self.group.send_to_component(name, GUEST_NAME, learned_state.encode(message))
+    def _send(self, name: str, message: learned_state.Message) -> None:
+        self.group.send_to_component(name, COMPONENT_NAME, learned_state.encode(message))
 
-    # Its own health snapshot
+    # This gateway's health snapshot
 
     @property
     def replicas(self) -> tuple[Replica, ...]:
-        """Those of the newest placement."""
+        """The replicas of the newest placement."""
         replica_node = self.copies.replica_node
         return replica_node.placement.replicas if replica_node is not None else ()
 
-    async def _work(self) -> None:
-        """It asks before it sends.
+    async def _run(self) -> None:
+        """Query for the stored snapshot, and only then export snapshots.
 
-        The health snapshot of one that has learnt nothing would replace its own.
+        A snapshot without any learned state would replace the one that other members store.
         """
         await self._query_peers()
         while True:
@@ -129,10 +131,10 @@
             try:
                 self.export_snapshot()
             except Exception:
-                log.exception("what was learnt could not be sent")
+                log.exception("failed to export the health snapshot")
 
     def export_snapshot(self) -> None:
-        """Send what this gateway has learned to the members that store it."""
+        """Send this gateway's health snapshot to the members that store it."""
         own = next((replica for replica in self.replicas if replica.name == self.copies.options.name), None)
         proxies = self.proxies()
         endpoints = sum(len(proxy.balancer.endpoints) for proxy in proxies.values())
@@ -146,13 +148,16 @@
                 HealthSnapshot(main.clock.now_us(), main.latest_config.names.classes, pools)
             )
         if health_snapshot is None:
-            if not self.too_long:
-                log.info("what is learnt of %d boxes is too much to be kept by others", endpoints)
-            self.too_long = True
+            if not self.is_too_large:
+                log.info(
+                    "the health snapshot of %d endpoints is too large to be stored by other members",
+                    endpoints,
+                )
+            self.is_too_large = True
             return
         self.sent_to = learned_state.choose_keepers(own, self.replicas)
         for name in self.sent_to:
-            self._say(name, StoreSnapshot(health_snapshot))
+            self._send(name, StoreSnapshot(health_snapshot))
 
     async def _query_peers(self) -> None:
         for _ in range(QUERIES_LIMIT):
@@ -163,21 +168,24 @@
             member = self.group.member
             for peer in member.raft.log.configuration if member is not None else ():
                 if peer.name != self.copies.options.name:
-                    self._say(peer.name, QuerySnapshot())
+                    self._send(peer.name, QuerySnapshot())
             await asyncio.sleep(QUERY_S)
 
     def has_sent_requests(self) -> bool:
-        """Whether something was sent to an endpoint.
+        """Return whether a request was sent to an endpoint.
 
-        What is learnt from then on is newer than any health snapshot.
+        The state that is learned from then on is newer than any stored health snapshot.
         """
-        servers = (
-            server for proxy in self.proxies().values() for server in proxy.balancer.endpoints.values()
+        endpoints = (
+            endpoint for proxy in self.proxies().values() for endpoint in proxy.balancer.endpoints.values()
         )
-        return any(server.used for server in servers)
+        return any(endpoint.used for endpoint in endpoints)
 
     def restore(self, name: str, answer: StoredSnapshot) -> bool:
-        """Whether that is over: taken, or of no use. Not while no list of endpoints is known yet."""
+        """Restore a stored snapshot.
+
+        Returns False while there is no endpoint list yet, and True once the snapshot is applied or rejected.
+        """
         proxies = self.proxies()
         if not any(proxy.balancer.endpoints for proxy in proxies.values()):
             return False
@@ -185,25 +193,33 @@
             health_snapshot = learned_state.unpack(answer.health_snapshot)
             main = next(iter(proxies.values()))
             if health_snapshot.classes != main.latest_config.names.classes:
-                raise BadHealthSnapshotError("its classes are not those of now")
+                raise BadHealthSnapshotError("its request classes differ from the current ones")
             if answer.age_us > learned_state.OLDEST_US:
                 raise BadHealthSnapshotError("it is too old")
             for pool, raw in health_snapshot.pools.items():
                 if pool in proxies:
                     self.restored_count += self._restore(proxies[pool], health_snapshot, raw, answer.age_us)
         except ValueError as error:
-            log.warning("what %s kept of this gateway is not taken: %s", name, error)
+            log.warning("rejected the health snapshot that %s stored for this gateway: %s", name, error)
             return True
         age_s = answer.age_us / 1e6
-        log.info("%d boxes are known again, by what %s has kept for %.1f s", self.restored_count, name, age_s)
+        log.info(
+            "restored the learned state of %d endpoints from %s, stored %.1f s ago",
+            self.restored_count,
+            name,
+            age_s,
+        )
         return True
 
     def _restore(
         self, proxy: Proxy, health_snapshot: HealthSnapshot, raw: learned_state.BalancerSnapshot, age_us: int
     ) -> int:
-        """How many endpoints are known again. Raises ValueError, and has then changed nothing."""
+        """Restore one pool and return the number of its endpoints that the snapshot contains.
+
+        Raises ValueError without having changed anything.
+        """
         now_us = proxy.clock.now_us()
-        older = learned_state.age_snapshot(raw, age_us, now_us - age_us - health_snapshot.taken_us)
-        proxy.balancer.restore(now_us, older)
-        restored = {server[0] for server in older["servers"]}
+        aged = learned_state.age_snapshot(raw, age_us, now_us - age_us - health_snapshot.taken_us)
+        proxy.balancer.restore(now_us, aged)
+        restored = {endpoint[0] for endpoint in aged["servers"]}
         return len(restored & proxy.balancer.endpoints.keys())
--- a/badgergap/replication/snapshot_commands.py
+++ b/badgergap/replication/snapshot_commands.py
@@ -141,7 +141,7 @@
         self.pages: dict[tuple[str, int, bytes], asyncio.Future[messages.Paged]] = {}
 
     def _send_to(self, replica: Replica, message: Message) -> None:
-        self.service.say(replica.name, message)
+        self.service.send_message(replica.name, message)
 
     def _on_message(self, name: str, message: Message) -> None:
         match message:
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -99,7 +99,7 @@
     """The record is written beside the request, and not before it."""
 
     def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
-        self.out += 1
+        self.in_flight += 1
         go(True)
         super().launch(endpoint, lambda may: None)
 
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -167,7 +167,7 @@
             await it.settled()
             await placed(it)
             a, b, _ = it
-            assert "known again" not in a.log()
+            assert "restored the learned state" not in a.log()
             for n in range(10):
                 assert (await post(a, f"slip-{n}")).status == 200
             while "kept at g" not in (await asyncio.to_thread(a.ask, "copies.status"))["learnt"]:
@@ -175,10 +175,10 @@
             it.wipe(a)
             it.run(a)
             await it.settled()
-            await it.until(lambda: "known again" in a.log(), "what it had learnt is back")
-            found = re.search(r"(\d) boxes are known again, by what g[12] has kept for", a.log())
+            await it.until(lambda: "restored the learned state" in a.log(), "its learned state is restored")
+            found = re.search(r"restored the learned state of (\d) endpoints from g[12], stored \d", a.log())
             assert found is not None and found[1] == "3", a.log()
             assert (await post(a, "slip-0")).status == 200
-            assert "known again" not in b.log()
+            assert "restored the learned state" not in b.log()
 
     played(play)
