--- a/badgergap/replication/commands.py
+++ b/badgergap/replication/commands.py
@@ -1,4 +1,4 @@
-"""The `copies` commands of operators, at any member's admin socket: plain data in and out."""
+"""The operators' `copies` commands of the admin socket, available at every member; plain data in and out."""
 
 from __future__ import annotations
 
@@ -15,24 +15,27 @@
 from badgergap.replication.snapshot_commands import SnapshotCommands
 from badgergap.replication.status import describe_group
 
-CHANGE_S = 3.0
+CHANGE_TIMEOUT_S = 3.0  # for one read or change of a record
 
 Arguments = Mapping[str, Any]
-# Routes with `once`, each with its tenant.
+# Returns the routes with `once`, each with its tenant.
 KeyedRoutes = Callable[[], Iterable[tuple[str, str]]]
 
 
 class ReplicationCommands:
-    """Raises CommandRefusedError for what cannot be done; the message says why."""
+    """The `copies` commands, by the names under which the admin socket calls them.
+
+    A command that cannot be carried out raises CommandRefusedError; its message says why.
+    """
 
     def __init__(
-        self, service: ReplicationService, keyed: KeyedRoutes, idempotency_filter: IdempotencyFilter
+        self, service: ReplicationService, keyed_routes: KeyedRoutes, idempotency_filter: IdempotencyFilter
     ) -> None:
         self.service = service
-        self.keyed = keyed
+        self.keyed_routes = keyed_routes
         self.idempotency_filter = idempotency_filter
         self.snapshots = SnapshotCommands(service)
-        self.learned_state_line: Callable[[], str] = lambda: ""  # how it stands with what was learnt
+        self.learned_state_line: Callable[[], str] = lambda: ""  # status of the learned state
         self.handlers: dict[str, Callable[[Arguments], Awaitable[Any]]] = {
             "copies.status": self.status,
             "copies.find": self.find,
@@ -42,7 +45,7 @@
         }
 
     async def call(self, op: str, arguments: Arguments) -> Any:
-        """Run the command of that name. Raises CommandRefusedError."""
+        """Run the command `op`. Raises CommandRefusedError."""
         try:
             return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError) as error:
@@ -51,26 +54,26 @@
             raise CommandRefusedError(error.strerror or str(error)) from None
 
     async def status(self, arguments: Arguments) -> Any:
-        """How the group's replicas stand, and what this gateway has of its own."""
+        """Return the status of the group's replicas and of this gateway."""
         summary = await self.service.query_reports()
         node = self.service.require_node()
-        log = self.service.session.log
+        record_log = self.service.session.log
         return {
             **describe_group(node, summary, self.service.problems()),
             "learnt": self.learned_state_line(),
             "here": {
                 "keys": len(self.idempotency_filter.queues),
                 "by_end": dict(self.idempotency_filter.counts),
-                "log_bytes": log.length if log is not None else 0,
-                "syncs": log.sync_count if log is not None else 0,
+                "log_bytes": record_log.length if record_log is not None else 0,
+                "syncs": record_log.sync_count if record_log is not None else 0,
             },
         }
 
     async def find(self, arguments: Arguments) -> Any:
-        """The records of a client's key, of each route and tenant that has one."""
+        """Return the records of a client's key, for every route and tenant that has one."""
         found = []
         for route, tenant, key in self._named_keys(arguments):
-            result = await self.service.change(key, lambda there: None, CHANGE_S)
+            result = await self.service.change(key, lambda current: None, CHANGE_TIMEOUT_S)
             if result.failure:
                 raise CommandRefusedError(result.failure)
             if result.record is not None:
@@ -78,20 +81,20 @@
         return {"key": str(arguments["key"]), "found": found}
 
     async def settle(self, arguments: Arguments) -> Any:
-        """By an operator's word, for a key in doubt: it ran, or it never did."""
+        """Resolve a key in doubt by an operator's decision that its request ran, or never ran."""
         ran = bool(arguments["ran"])
         settled = []
         for route, tenant, key in self._named_keys(arguments):
 
-            def change(there: Record | None) -> Record | None:
-                if there is None or there.state != "doubt":
+            def change(current: Record | None) -> Record | None:
+                if current is None or current.state != "doubt":
                     return None
                 if ran:
-                    return msgspec.structs.replace(there, state="done", status=200, whole=False)
-                return msgspec.structs.replace(there, state="free", endpoints=(), again=False)
+                    return msgspec.structs.replace(current, state="done", status=200, whole=False)
+                return msgspec.structs.replace(current, state="free", endpoints=(), again=False)
 
-            before = await self.service.change(key, lambda there: None, CHANGE_S)
-            result = await self.service.change(key, change, CHANGE_S)
+            before = await self.service.change(key, lambda current: None, CHANGE_TIMEOUT_S)
+            result = await self.service.change(key, change, CHANGE_TIMEOUT_S)
             if result.failure or before.failure:
                 raise CommandRefusedError(result.failure or before.failure)
             if before.record is not None and before.record.state == "doubt" and result.record is not None:
@@ -101,18 +104,19 @@
         return {"key": str(arguments["key"]), "found": settled}
 
     def _named_keys(self, arguments: Arguments) -> list[tuple[str, str, bytes]]:
+        """Return route, tenant and stored key for the client's key on each route, or on the one named."""
         client_key = str(arguments["key"]).encode("latin-1", "replace")
         name = arguments.get("route")
-        keyed = [(route, tenant) for route, tenant in self.keyed() if name in (None, route)]
-        if not keyed:
+        routes = [(route, tenant) for route, tenant in self.keyed_routes() if name in (None, route)]
+        if not routes:
             raise CommandRefusedError(
                 "no route keeps keys" if name is None else f"no route {name} keeps keys"
             )
-        return [(route, tenant, records.key_of(tenant, route, client_key)) for route, tenant in keyed]
+        return [(route, tenant, records.key_of(tenant, route, client_key)) for route, tenant in routes]
 
     def _describe(self, route: str, tenant: str, key: bytes, record: Record) -> dict[str, Any]:
         node = self.service.require_node()
-        now = node.clock.now_us(node.now_us)
+        now_us = node.clock.now_us(node.now_us)
         partition = key[0]
         return {
             "route": route,
@@ -122,16 +126,16 @@
             "answer_bytes": len(record.body),
             "answer_kept": record.whole and record.state == "done",
             "owner": record.owner,
-            "boxes": [self._endpoint_name(number) for number in record.endpoints],
-            "begun_s_ago": max(0, now - record.at_us) // 1_000_000,
-            "kept_s_more": max(0, record.expires_us - now) // 1_000_000,
+            "boxes": [self._endpoint_name(endpoint_id) for endpoint_id in record.endpoints],
+            "begun_s_ago": max(0, now_us - record.at_us) // 1_000_000,
+            "kept_s_more": max(0, record.expires_us - now_us) // 1_000_000,
             "part": partition,
             "at": list(dict.fromkeys(replica.name for replica in node.placement.members(partition))),
         }
 
-    def _endpoint_name(self, number: int) -> str:
+    def _endpoint_name(self, endpoint_id: int) -> str:
         for proxy in self.service.group.proxies().values():
             for view in proxy.directory.registry.view():
-                if view.entry.listed.endpoint_id == number:
+                if view.entry.listed.endpoint_id == endpoint_id:
                     return view.entry.name
-        return f"a box that is gone ({number:x})"
+        return f"a box that is gone ({endpoint_id:x})"
--- a/badgergap/replication/snapshot.py
+++ b/badgergap/replication/snapshot.py
@@ -1,9 +1,9 @@
-"""A snapshot of all copies as a file: what lies in it, and how it is read back. Pure but for the file.
+"""The file format of a snapshot of all records, with its reader and writer. Pure but for the file.
 
-    "BGCOPIES", then one zstandard stream of frames, each behind its length: a `Head`, `Page`s, a `Foot`
+    "BGCOPIES", then one zstandard stream of length-prefixed frames: a `Head`, `Page`s, a `Foot`
 
-The foot has the number of records and a BLAKE2b digest of all that came before it, so a file that is cut
-off, changed or not a snapshot is refused whole, before anything of it is used.
+The foot holds the number of records and a BLAKE2b digest of all preceding frames, so a file that is
+truncated, modified or not a snapshot is rejected as a whole, before any of it is used.
 """
 
 from __future__ import annotations
@@ -23,97 +23,100 @@
 
 MAGIC = b"BGCOPIES"
 FORMAT = 1
-LENGTH = struct.Struct("<I")
-FRAME_LIMIT = 4 * 1024 * 1024
-PAGE = 512  # records
+LENGTH_PREFIX = struct.Struct("<I")
+FRAME_LIMIT = 4 * 1024 * 1024  # bytes
+PAGE_RECORDS = 512  # in one page
 
 
 class BadSnapshotError(BadgergapError):
-    """A file is no snapshot, or damaged, or of a later program; the message says which."""
+    """A file is not a snapshot, is damaged, or was written by a later release; the message says which."""
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True, tag="head"):
-    """The first frame."""
+    """The first frame: the state of the group at the time of the snapshot."""
 
     format: int
     group: str
     epoch: int
-    at_us: int  # of the group's clock
-    settings: str  # as agreed
-    out: dict[str, str]  # hosts out by hand, and who took them out
+    at_us: int  # by the group's clock
+    settings: str  # the group's newest version of them
+    manual_drains: dict[str, str]  # endpoint name -> operator who drained it
 
 
 class Page(msgspec.Struct, frozen=True, array_like=True, tag="page"):
     """A frame of records."""
 
-    records: list[tuple[bytes, bytes]]  # key, record
+    records: list[tuple[bytes, bytes]]  # pairs of key and encoded record
 
 
 class Foot(msgspec.Struct, frozen=True, array_like=True, tag="foot"):
-    """The last frame."""
+    """The last frame: the number of records, and the digest of the frames before it."""
 
     count: int
     digest: bytes
 
 
-_frames: msgspec.msgpack.Decoder[Head | Page | Foot] = msgspec.msgpack.Decoder(Head | Page | Foot)
+_frame_decoder: msgspec.msgpack.Decoder[Head | Page | Foot] = msgspec.msgpack.Decoder(Head | Page | Foot)
 
 
 def write(path: Path, head: Head, records: Iterable[tuple[bytes, bytes]]) -> int:
-    """How many records were written. The file is there whole or not at all. Raises OSError."""
-    new = path.with_name(path.name + ".new")
+    """Write a snapshot and return the number of its records.
+
+    The file is replaced atomically: it is complete or it does not exist. Raises OSError.
+    """
+    temporary = path.with_name(path.name + ".new")
     digest, count = hashlib.blake2b(digest_size=16), 0
-    with new.open("wb") as file:
+    with temporary.open("wb") as file:
         file.write(MAGIC)
         with zstandard.ZstdCompressor(level=6).stream_writer(file, closefd=False) as stream:
 
-            def put(frame: Head | Page | Foot) -> None:
+            def write_frame(frame: Head | Page | Foot) -> None:
                 data = msgspec.msgpack.encode(frame)
                 digest.update(data)
-                stream.write(LENGTH.pack(len(data)) + data)
+                stream.write(LENGTH_PREFIX.pack(len(data)) + data)
 
-            put(head)
+            write_frame(head)
             page: list[tuple[bytes, bytes]] = []
             for record in records:
                 page.append(record)
                 count += 1
-                if len(page) == PAGE:
-                    put(Page(page))
+                if len(page) == PAGE_RECORDS:
+                    write_frame(Page(page))
                     page = []
             if page:
-                put(Page(page))
-            put(Foot(count, digest.digest()))
+                write_frame(Page(page))
+            write_frame(Foot(count, digest.digest()))
         file.flush()
         os.fsync(file.fileno())
-    new.replace(path)
+    temporary.replace(path)
     return count
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A file that was verified."""
+    """A snapshot file that has been verified."""
 
     head: Head
     count: int
     path: Path
 
     def records(self) -> Iterator[tuple[bytes, bytes]]:
-        """Of a file that was verified before. Raises BadSnapshot, OSError."""
+        """Yield the keys and encoded records. Raises BadSnapshotError, OSError."""
         for frame in _read(self.path):
             if isinstance(frame, Page):
                 yield from frame.records
 
 
 def verify(path: Path) -> Snapshot:
-    """Read all of a file. Raises BadSnapshot, OSError."""
+    """Read a whole file and check its structure and digest. Raises BadSnapshotError, OSError."""
     head: Head | None = None
     foot: Foot | None = None
-    digest, count, before = hashlib.blake2b(digest_size=16), 0, b""
+    digest, count, previous = hashlib.blake2b(digest_size=16), 0, b""
     for frame in _read(path):
         if foot is not None:
             raise BadSnapshotError("something lies behind its end")
-        digest.update(before)
-        before = msgspec.msgpack.encode(frame)
+        digest.update(previous)
+        previous = msgspec.msgpack.encode(frame)
         if isinstance(frame, Foot):
             foot = frame
             if foot.digest != digest.digest() or foot.count != count:
@@ -132,33 +135,34 @@
 
 
 def _read(path: Path) -> Iterator[Head | Page | Foot]:
+    """Yield the frames of a file. Raises BadSnapshotError, OSError."""
     with path.open("rb") as file:
         if file.read(len(MAGIC)) != MAGIC:
             raise BadSnapshotError("it does not begin like a snapshot")
         try:
             with zstandard.ZstdDecompressor(max_window_size=1 << 27).stream_reader(file) as stream:
-                while length := _exactly(stream, LENGTH.size):
-                    (size,) = LENGTH.unpack(length)
+                while length := _read_exactly(stream, LENGTH_PREFIX.size):
+                    (size,) = LENGTH_PREFIX.unpack(length)
                     if size > FRAME_LIMIT:
                         raise BadSnapshotError("it is damaged: a frame is too long")
-                    data = _exactly(stream, size)
+                    data = _read_exactly(stream, size)
                     if len(data) < size:
                         raise BadSnapshotError("it is cut off")
-                    yield _frames.decode(data)
+                    yield _frame_decoder.decode(data)
         except zstandard.ZstdError as error:
             raise BadSnapshotError(f"it is damaged: {error}") from None
         except msgspec.MsgspecError as error:
             raise BadSnapshotError(f"it cannot be read: {error}") from None
 
 
-def _exactly(stream: IO[bytes] | Any, size: int) -> bytes:
-    """Less only at the end; nothing where that falls between two frames."""
+def _read_exactly(stream: IO[bytes] | Any, size: int) -> bytes:
+    """Read `size` bytes; return fewer only at the end of the stream, none if it ends between frames."""
     data = b""
     while len(data) < size:
-        more = stream.read(size - len(data))
-        if not more:
-            if data and size == LENGTH.size:
+        chunk = stream.read(size - len(data))
+        if not chunk:
+            if data and size == LENGTH_PREFIX.size:
                 raise BadSnapshotError("it is cut off")
             return data
-        data += more
+        data += chunk
     return data
--- a/badgergap/replication/snapshot_commands.py
+++ b/badgergap/replication/snapshot_commands.py
@@ -1,4 +1,4 @@
-"""Operators' snapshots of all replicas: taken of one instant, and restored into a new group."""
+"""The commands that save a consistent snapshot of all replicas, and restore one into a new group."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 from badgergap.replication.placement import Placement, Replica, majority
 from badgergap.replication.service import ReplicationService
 
-RESTORE_TIMEOUT_S = 12.0  # for one record to be restored
-FREEZE_S = 0.4  # for all replicas to hold still
-PAGE_S = 5.0
-RESTORE_BATCH = 256  # records that are restored at a time
+RESTORE_TIMEOUT_S = 12.0  # for restoring one record
+FREEZE_TIMEOUT_S = 0.4  # for all replicas to confirm that they are frozen; below their own `FREEZE_US`
+PAGE_TIMEOUT_S = 5.0  # for one page, over all attempts
+RESTORE_BATCH = 256  # records that are restored concurrently
 
 Arguments = Mapping[str, Any]
 
 
 class SnapshotCommands:
-    """Raises CommandRefusedError for what cannot be done; the message says why."""
+    """The commands `copies save` and `copies restore`.
+
+    A command that cannot be carried out raises CommandRefusedError; its message says why.
+    """
 
     def __init__(self, service: ReplicationService) -> None:
         self.service = service
@@ -38,28 +41,28 @@
     async def save(self, arguments: Arguments) -> Any:
         """Write a snapshot of all replicas to a file on this machine."""
         path = Path(str(arguments["path"]))
-        it, group = self.service.require_node(), self.service.group.member
+        node, group = self.service.require_node(), self.service.group.member
         if group is None or not path.is_absolute():
             raise CommandRefusedError(
                 "this gateway is in no group at the moment" if group is None else "no whole path"
             )
-        placement = it.placement
+        placement = node.placement
         if placement.before is not None or not placement.epoch:
             raise CommandRefusedError(
                 "seats are moving, or there are none yet: try again when they are settled"
             )
-        taking = SnapshotTaker(self.service, placement)
-        await taking.freeze()
+        taker = SnapshotTaker(self.service, placement)
+        await taker.freeze()
         newest = group.state.newest
         head = snapshot.Head(
             snapshot.FORMAT,
             group.state.group,
             placement.epoch,
-            it.clock.now_us(it.now_us),
+            node.clock.now_us(node.now_us),
             newest.settings,
             dict(newest.out),
         )
-        pages = await taking.collect()
+        pages = await taker.collect()
         count = await asyncio.to_thread(snapshot.write, path, head, pages)
         return {"path": str(path), "records": count, "bytes": path.stat().st_size, "epoch": placement.epoch}
 
@@ -67,51 +70,53 @@
         """Restore a snapshot into a group that has no records and no versions of its own."""
         path = Path(str(arguments["path"]))
         try:
-            found = await asyncio.to_thread(snapshot.verify, path)
+            saved = await asyncio.to_thread(snapshot.verify, path)
         except snapshot.BadSnapshotError as error:
             raise CommandRefusedError(f"{path}: {error}") from None
-        it, group = self.service.require_node(), self.service.group
+        node, group = self.service.require_node(), self.service.group
         report_summary = await self.service.query_reports()
-        if report_summary is None or it.placement.before is not None or not it.placement.epoch:
+        if report_summary is None or node.placement.before is not None or not node.placement.epoch:
             raise CommandRefusedError("no leader is heard, or seats are moving: try again")
-        held = {name: report.records for name, report in report_summary.lines.items() if report.records}
+        record_counts = {
+            name: report.records for name, report in report_summary.lines.items() if report.records
+        }
         member = group.member
-        if held or member is None or len(member.state.headers) > 1:
+        if record_counts or member is None or len(member.state.headers) > 1:
             raise CommandRefusedError(
                 "this group is alive: it has keys or versions of its own. Restore into a new one, whose "
                 "folders are empty"
             )
-        now = it.clock.now_us(it.now_us)
-        count = await self._put_all(found, now)
-        failed = await self._publish_head(found.head, member.state.newest.settings)
-        return {"records": count, "of": found.count, "not": failed}
+        now_us = node.clock.now_us(node.now_us)
+        count = await self._restore_records(saved, now_us)
+        failed = await self._publish_head(saved.head, member.state.newest.settings)
+        return {"records": count, "of": saved.count, "not": failed}
 
-    async def _put_all(self, found: snapshot.Snapshot, now_us: int) -> int:
-        """How many records were restored. Raises CommandRefusedError."""
+    async def _restore_records(self, saved: snapshot.Snapshot, now_us: int) -> int:
+        """Restore all records and return their number. Raises CommandRefusedError."""
         count = 0
         batch: list[tuple[bytes, Record]] = []
-        for key, data in found.records():
-            batch.append((key, _anew(records.decode(data), found.head.at_us, now_us)))
+        for key, data in saved.records():
+            batch.append((key, _convert(records.decode(data), saved.head.at_us, now_us)))
             if len(batch) == RESTORE_BATCH:
-                count += await self._put(batch)
+                count += await self._restore_batch(batch)
                 batch = []
-        return count + await self._put(batch)
+        return count + await self._restore_batch(batch)
 
     async def _publish_head(self, head: snapshot.Head, settings: str) -> list[str]:
-        """Publish the settings, if they are others, and the manual drains. What failed, for people."""
+        """Publish the settings, if they differ, and the manual drains; return the failures as texts."""
         outcomes = []
         if head.settings and head.settings != settings:
             outcomes.append(await self._publish("settings", head.settings, "restored"))
-        for host, by in head.out.items():
-            outcomes.append(await self._publish("out", host, by))
-        return [why for why in outcomes if why]
+        for endpoint, operator in head.manual_drains.items():
+            outcomes.append(await self._publish("out", endpoint, operator))
+        return [failure for failure in outcomes if failure]
 
-    async def _put(self, batch: list[tuple[bytes, Record]]) -> int:
-        def put(record: Record) -> Callable[[Record | None], Record | None]:
-            return lambda there: record if there is None else None
+    async def _restore_batch(self, batch: list[tuple[bytes, Record]]) -> int:
+        def set_if_absent(record: Record) -> Callable[[Record | None], Record | None]:
+            return lambda current: record if current is None else None
 
         results = await asyncio.gather(
-            *(self.service.change(key, put(record), RESTORE_TIMEOUT_S) for key, record in batch)
+            *(self.service.change(key, set_if_absent(record), RESTORE_TIMEOUT_S) for key, record in batch)
         )
         for result in results:
             if result.failure:
@@ -131,14 +136,14 @@
 
 
 class SnapshotTaker:
-    """All replicas held still for a moment, and then read at leisure."""
+    """Freezes all replicas at one instant, and reads the frozen records afterwards."""
 
     def __init__(self, service: ReplicationService, placement: Placement) -> None:
         self.service = service
         self.placement = placement
         self.id = secrets.randbits(60)
         self.frozen: set[str] = set()
-        self.pages: dict[tuple[str, int, bytes], asyncio.Future[messages.Paged]] = {}
+        self.pending_pages: dict[tuple[str, int, bytes], asyncio.Future[messages.Paged]] = {}
 
     def _send_to(self, replica: Replica, message: Message) -> None:
         self.service.send_message(replica.name, message)
@@ -149,48 +154,50 @@
                 if message.id == self.id:
                     self.frozen.add(message.disk_id)
             case messages.Paged():
-                for (disk_id, partition, _), waits in self.pages.items():
+                for (disk_id, partition, _), future in self.pending_pages.items():
                     if (
                         message.id == self.id
                         and (disk_id, partition) == (message.disk_id, message.partition)
-                        and not waits.done()
+                        and not future.done()
                     ):
-                        waits.set_result(message)
+                        future.set_result(message)
 
     async def freeze(self) -> None:
-        """Raises CommandRefusedError.
+        """Freeze the replicas, so that a majority of each partition's replicas is frozen at one instant.
 
-        A moment comes in which a majority of each partition's replicas stand still together.
+        Raises CommandRefusedError if that fails. In any case, the replicas are unfrozen afterwards.
         """
         self.service.listeners.append(self._on_message)
         try:
             for replica in self.placement.replicas:
                 self._send_to(replica, messages.Freeze(self.id, self.placement.epoch, replica.disk_id))
-            deadline = asyncio.get_running_loop().time() + FREEZE_S
+            deadline = asyncio.get_running_loop().time() + FREEZE_TIMEOUT_S
             while len(self.frozen) < len(self.placement.replicas):
                 if asyncio.get_running_loop().time() >= deadline:
                     break
                 await asyncio.sleep(0.003)
-            whole = all(
-                sum(s.disk_id in self.frozen for s in each) >= majority(len(each))
+            complete = all(
+                sum(candidate.disk_id in self.frozen for candidate in replicas) >= majority(len(replicas))
                 for partition in range(self.placement.partitions)
-                for each in self.placement.sets(partition)
+                for replicas in self.placement.sets(partition)
             )
         finally:
             for replica in self.placement.replicas:
                 self._send_to(replica, messages.Unfreeze(self.id, replica.disk_id))
             self.service.listeners.remove(self._on_message)
-        if not whole:
+        if not complete:
             raise CommandRefusedError("too few seats could be held still at one moment: try again")
 
     async def collect(self) -> Iterator[tuple[bytes, bytes]]:
-        """Of each partition what a majority of its replicas held, the newest of each key."""
+        """Return the newest record of each key among the frozen replicas, which are a majority."""
         self.service.listeners.append(self._on_message)
-        found: list[dict[bytes, tuple[Ballot, bytes]]] = []
+        partitions: list[dict[bytes, tuple[Ballot, bytes]]] = []
         try:
             for partition in range(self.placement.partitions):
                 newest: dict[bytes, tuple[Ballot, bytes]] = {}
-                replicas = [s for s in self.placement.sets(partition)[0] if s.disk_id in self.frozen]
+                replicas = [
+                    member for member in self.placement.sets(partition)[0] if member.disk_id in self.frozen
+                ]
                 for replica in replicas:
                     after, more = b"", True
                     while more:
@@ -200,30 +207,34 @@
                                 newest[key] = (ballot, value)
                             after = key
                         more = page.more
-                found.append(newest)
+                partitions.append(newest)
         finally:
             self.service.listeners.remove(self._on_message)
-        return ((key, value) for partition in found for key, (_, value) in sorted(partition.items()))
+        return ((key, value) for partition in partitions for key, (_, value) in sorted(partition.items()))
 
     async def _page(self, replica: Replica, partition: int, after: bytes) -> messages.Paged:
-        place = (replica.disk_id, partition, after)
-        waits: asyncio.Future[messages.Paged] = asyncio.get_running_loop().create_future()
-        self.pages[place] = waits
+        request = (replica.disk_id, partition, after)
+        future: asyncio.Future[messages.Paged] = asyncio.get_running_loop().create_future()
+        self.pending_pages[request] = future
         try:
             for _ in range(3):
                 self._send_to(replica, messages.Page(self.id, replica.disk_id, partition, after))
-                await asyncio.wait({waits}, timeout=PAGE_S / 3)
-                if waits.done():
-                    return waits.result()
+                await asyncio.wait({future}, timeout=PAGE_TIMEOUT_S / 3)
+                if future.done():
+                    return future.result()
             raise CommandRefusedError(f"{replica.name} has not told what it held: try again")
         finally:
-            del self.pages[place]
+            del self.pending_pages[request]
+
 
+def _convert(record: Record, saved_at_us: int, now_us: int) -> Record:
+    """Return the record as it is restored into another group.
 
-def _anew(record: Record, then_us: int, now_us: int) -> Record:
-    """As it goes on in another group: what was begun is in doubt, and its endpoints know its key no more."""
-    left = max(0, record.expires_us - then_us)
+    A record in state `begun` is put in doubt, as its claim's gateway is in another group. The endpoints are
+    dropped, as they no longer know the key. The remaining retention is kept.
+    """
+    remaining_us = max(0, record.expires_us - saved_at_us)
     state = "doubt" if record.state == "begun" else record.state
     return msgspec.structs.replace(
-        record, state=state, at_us=now_us, expires_us=now_us + left, endpoints=(), again=False
+        record, state=state, at_us=now_us, expires_us=now_us + remaining_us, endpoints=(), again=False
     )
--- a/badgergap/replication/status.py
+++ b/badgergap/replication/status.py
@@ -1,4 +1,4 @@
-"""What `badgergap copies status` shows of the replicas: plain data, whose keys are the command's."""
+"""The replicas' part of `badgergap copies status`: plain data with the keys of the command's reply."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def describe_group(node: ReplicaNode, summary: ReportSummary | None, problems: list[str]) -> dict[str, Any]:
-    """How the group's replicas stand. `summary`: what the leader knows; None: no leader answered."""
+    """Return the status of the group's replicas.
+
+    `summary`: the leader's summary of all reports, None if no leader answered; `problems`: of this gateway.
+    """
     placement = node.placement
     reports = summary.lines if summary is not None else {}
     absent = {
@@ -21,13 +24,13 @@
         if not _is_present(replica, reports.get(replica.name))
     }
     counts = count_copies(placement, absent) if placement.epoch else {}
-    why = [] if summary is not None else ["no leader is heard"]
-    why += problems
-    why += _replica_problems(placement, reports)
-    why += _placement_problems(placement, reports, counts, bool(absent))
+    reasons = [] if summary is not None else ["no leader is heard"]
+    reasons += problems
+    reasons += _replica_problems(placement, reports)
+    reasons += _placement_problems(placement, reports, counts, bool(absent))
     return {
-        "ok": not why,
-        "why": why,
+        "ok": not reasons,
+        "why": reasons,
         "me": node.options.name,
         "epoch": placement.epoch,
         "moving": placement.before is not None,
@@ -49,37 +52,37 @@
 
 
 def _replica_problems(placement: Placement, reports: Mapping[str, Report]) -> list[str]:
-    found = []
+    problems = []
     for replica in placement.replicas:
         report = reports.get(replica.name)
         if not _is_present(replica, report):
             state = report.broken if report is not None and report.broken else "is not there"
-            found.append(f"{replica.name} {state}")
+            problems.append(f"{replica.name} {state}")
         elif report is not None and report.epoch != placement.epoch:
-            found.append(f"{replica.name} has yet to hear of epoch {placement.epoch}")
-    return found
+            problems.append(f"{replica.name} has yet to hear of epoch {placement.epoch}")
+    return problems
 
 
 def _placement_problems(
     placement: Placement, reports: Mapping[str, Report], counts: dict[int, int], is_any_absent: bool
 ) -> list[str]:
-    found = []
+    problems = []
     if placement.before is not None:
-        found.append("seats are moving: new ones are being filled")
+        problems.append("seats are moving: new ones are being filled")
     behind: set[int] = set()
     for report in reports.values():
         behind |= messages.unbits(report.behind)
     if behind:
-        found.append(f"{len(behind)} parts lack something at one of their seats, and are being mended")
+        problems.append(f"{len(behind)} parts lack something at one of their seats, and are being mended")
     if not placement.epoch:
-        found.append("nothing is placed yet")
+        problems.append("nothing is placed yet")
     if any(copies < placement.copies for copies in counts) and not is_any_absent:
-        found.append(f"there are fewer than {placement.copies} members to hold copies")
-    return found
+        problems.append(f"there are fewer than {placement.copies} members to hold copies")
+    return problems
 
 
 def describe_replica(replica: Replica, report: Report | None) -> dict[str, Any]:
-    """One replica, and what it reported last."""
+    """Return the status of one replica by its last report."""
     description: dict[str, Any] = {
         "name": replica.name,
         "zone": replica.zone,
@@ -98,7 +101,10 @@
 
 
 def count_copies(placement: Placement, absent: set[str]) -> dict[int, int]:
-    """Of how many partitions there are so many copies, without those of the absent disks."""
+    """Return a map from a number of copies to the number of partitions with so many.
+
+    Copies on absent disks are not counted.
+    """
     counts: dict[int, int] = {}
     for partition in range(placement.partitions):
         copies = sum(replica.disk_id not in absent for replica in placement.sets(partition)[0])
--- a/tests/compatibility/test_consensus_bytes.py
+++ b/tests/compatibility/test_consensus_bytes.py
@@ -1,9 +1,9 @@
 """Consensus messages and stored records keep the bytes that release b7ff903 gave them.
 
-The story: a gateway of an older release is a member of the same group, or has left its log behind.
-It knows the order of fields and the tags, not the names of classes and attributes. Each case is a value of
-every field and the MessagePack bytes (hexadecimal) that the older release wrote for it. A class or an
-attribute may be renamed here together with the code; the bytes stay.
+A gateway of an older release may be a member of the same group, or may have left its log on the disk.
+It depends on the order of fields and the tags, not on the names of classes and attributes.
+Each case is a value with every field set and the MessagePack bytes (hexadecimal) that the older release
+wrote for it. A class or an attribute may be renamed here together with the code; the bytes stay.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/test_replication_bytes.py
+++ b/tests/compatibility/test_replication_bytes.py
@@ -1,9 +1,9 @@
 """Replication messages and stored records keep the bytes that release b7ff903 gave them.
 
-The story: a gateway of an older release holds replicas in the same group, or has left its files behind.
-It knows the order of fields and the tags, not the names of classes and attributes. Each case is a value of
-every field and the MessagePack bytes (hexadecimal) that the older release wrote for it. A class or an
-attribute may be renamed here together with the code; the bytes stay.
+A gateway of an older release may hold replicas in the same group, or may have left its files on the disk.
+It depends on the order of fields and the tags, not on the names of classes and attributes.
+Each case is a value with every field set and the MessagePack bytes (hexadecimal) that the older release
+wrote for it. A class or an attribute may be renamed here together with the code; the bytes stay.
 """
 
 from __future__ import annotations
@@ -163,7 +163,9 @@
         "9802039193a27334a27335a273369193a27337a27338a27339810a0b910c0d01",
     ),
     (
-        replication_snapshot.Head(format=1, group="s2", epoch=3, at_us=4, settings="s5", out={"s6": "s7"}),
+        replication_snapshot.Head(
+            format=1, group="s2", epoch=3, at_us=4, settings="s5", manual_drains={"s6": "s7"}
+        ),
         "97a46865616401a273320304a2733581a27336a27337",
     ),
     (replication_snapshot.Page(records=[(b"b2", b"b3")]), "92a4706167659192c4026232c4026233"),
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -1,8 +1,8 @@
 """Files and frames that release b7ff903 wrote are read, and written again as the same bytes.
 
-The story: a gateway is upgraded in place. Its state folder, its group's log, a snapshot of the replicas and
-the state that the running process hands over were all written by the older release. The files under `data/`
-are what that release wrote; nothing here makes them anew.
+When a gateway is upgraded in place, its state folder, its group's log, a snapshot of the replicas and the
+state that the running process transfers were all written by the older release. The files under `data/` are
+from that release; no code here generates them.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 from tests.hot_restart.test_state_transfer import worked
 
 DATA = Path(__file__).parent / "data"
-FILE_IDENTITY = 7  # what the fixture's log says of the file that it was written to
+FILE_IDENTITY = 7  # the file identity that is stored in the fixture's log
 
 DRAINS = [ManualDrain("box-1", "anna", 1_700_000_000_000_000, "d-1"), ManualDrain("box-2", "console", 6, "")]
 IDENTITY = state_transfer.GatewayIdentity("n0", ("127.0.0.1", 3000))
-HANDED_OVER = state_transfer.TransferredState(
+TRANSFERRED_STATE = state_transfer.TransferredState(
     clock_offset_ns=123,
     endpoint_list={"index": 7, "snapshot": True, "endpoints": [{"name": "box-1", "address": "127.0.0.1:80"}]},
     drains=tuple(DRAINS),
@@ -66,17 +66,17 @@
 )
 
 
-class SameFile(LocalFiles):
-    """The system's files, but a copy passes for the file that it is a copy of."""
+class ConstantIdentityFiles(LocalFiles):
+    """The system's files with a constant file identity, so that a copied log is not detected as a copy."""
 
     def file_id(self, file: int) -> int:
         return FILE_IDENTITY
 
 
-def test_a_consensus_log_is_read_and_written_anew_as_it_was(tmp_path: Path) -> None:
+def test_a_consensus_log_is_read_and_rewritten_unchanged(tmp_path: Path) -> None:
     folder = tmp_path / "log"
     shutil.copytree(DATA / "consensus_log", folder)
-    log = RecordLog(folder, SameFile())
+    log = RecordLog(folder, ConstantIdentityFiles())
     found = log.open()
     log.close()
     assert (found.lost_reason, found.is_new, found.torn_bytes) == ("", False, 0)
@@ -90,7 +90,7 @@
         assert (folder / name).read_bytes() == (DATA / "consensus_log_reopened" / name).read_bytes()
 
 
-def test_a_group_state_in_a_snapshot_is_read_and_written_anew_as_it_was() -> None:
+def test_a_group_state_in_a_snapshot_is_read_and_rewritten_unchanged() -> None:
     written = (DATA / "group_state.bin").read_bytes()
     group = replicated_state.GroupState()
     group.restore(written)
@@ -103,7 +103,7 @@
     assert endpoint_lists.encode(endpoint_lists.decode(LISTED)) == LISTED
 
 
-def test_manual_drains_are_read_and_written_anew_as_they_were(tmp_path: Path) -> None:
+def test_manual_drains_are_read_and_rewritten_unchanged(tmp_path: Path) -> None:
     shutil.copy(DATA / "drains.json", tmp_path / "drains.json")
     store = DrainStore(tmp_path)
     assert store.load() == DRAINS
@@ -111,31 +111,31 @@
     assert (tmp_path / "drains.json").read_bytes() == (DATA / "drains.json").read_bytes()
 
 
-def test_a_snapshot_of_the_replicas_is_read_and_written_anew_as_it_was(tmp_path: Path) -> None:
+def test_a_snapshot_of_the_replicas_is_read_and_rewritten_unchanged(tmp_path: Path) -> None:
     found = snapshot.verify(DATA / "replicas.snapshot")
     assert (found.head, list(found.records())) == (REPLICA_HEAD, REPLICA_RECORDS)
     snapshot.write(tmp_path / "again", REPLICA_HEAD, REPLICA_RECORDS)
     assert (tmp_path / "again").read_bytes() == (DATA / "replicas.snapshot").read_bytes()
 
 
-def test_what_a_process_hands_over_is_read_and_written_anew_as_it_was() -> None:
+def test_a_state_transfer_is_read_and_rewritten_unchanged() -> None:
     written = (DATA / "state_transfer.frame").read_bytes()
     (message,) = frames.FrameDecoder().feed(written)
-    assert state_transfer.read_state(message, IDENTITY) == HANDED_OVER
-    assert frames.encode_frame(state_transfer.write_state(HANDED_OVER, IDENTITY)) == written
+    assert state_transfer.read_state(message, IDENTITY) == TRANSFERRED_STATE
+    assert frames.encode_frame(state_transfer.write_state(TRANSFERRED_STATE, IDENTITY)) == written
 
 
 @pytest.mark.parametrize(("message", "written"), LINK_MESSAGES)
-def test_what_two_processes_say_to_each_other_keeps_its_bytes(message: dict[str, Any], written: str) -> None:
+def test_a_hot_restart_message_keeps_its_bytes(message: dict[str, Any], written: str) -> None:
     assert frames.encode_frame(message) == bytes.fromhex(written)
     assert list(frames.FrameDecoder().feed(bytes.fromhex(written))) == [message]
 
 
-def test_what_the_decisions_have_learnt_is_written_as_it_was() -> None:
+def test_learned_state_is_written_unchanged() -> None:
     assert json.dumps(worked().balancer.snapshot()) == (DATA / "balancer_snapshot.json").read_text()
 
 
-def test_what_the_decisions_had_learnt_is_read() -> None:
+def test_learned_state_is_read() -> None:
     written = (DATA / "balancer_snapshot.json").read_text()
     before = worked()
     after = Driver(COLD, servers=0)
--- a/tests/replication/load.py
+++ b/tests/replication/load.py
@@ -1,4 +1,7 @@
-"""Clients of keyed requests that repeat elsewhere, and what their ledger and the boxes' say together."""
+"""Clients that repeat keyed requests at other gateways, and the check of their answers.
+
+The check compares the answers that the clients received with the requests that the endpoints ran.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from badgergap.standins.net import read_message
 from badgergap.standins.rig import Gateway, Rig
 
-GIVE_UP_S = 6.0  # the class is given up after 4 s
+CLIENT_TIMEOUT_S = 6.0  # longer than the request class's timeout of 4 s
 
 
 def keyed(once: str = "10min", repeats: str = "unsafe") -> str:
-    """Agreed tables: keyed requests to /echo, whose answers no two runs share, and to /file."""
+    """Return the shared settings: keyed routes to /echo, whose answer differs in each run, and to /file."""
     text = (
         '[[class]]\nname = "slips"\nwanted_within = "1s"\ngiven_up_after = "4s"\n'
         f'repeats = "{repeats}"\nrepeats_dropped_for = "5min"\n'
@@ -28,7 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """`status` 0: refused, broken or nothing in time. `state`: the gateway's own word on the key."""
+    """An answer to a keyed request.
+
+    `status` 0: the connection was refused or broken, or there was no answer in time. `state`: the gateway's
+    `Idempotency-State` header.
+    """
 
     gateway: str
     at: float
@@ -43,7 +50,7 @@
 
 
 async def post(
-    gateway: Gateway, key: str, body: bytes = b"slip", path: str = "/echo", within_s: float = GIVE_UP_S
+    gateway: Gateway, key: str, body: bytes = b"slip", path: str = "/echo", within_s: float = CLIENT_TIMEOUT_S
 ) -> Answer:
     began, writer = time.monotonic(), None
     status, state, answer = 0, "", b""
@@ -66,13 +73,16 @@
 
 @dataclass
 class Keyed:
-    """`rate` new keys a second, each repeated elsewhere until a box's answer comes or it has had enough."""
+    """Sends `rate` new keys a second; each is repeated until an endpoint's answer arrives.
+
+    A client gives a key up after `repeats` attempts, each at a random gateway.
+    """
 
     rig: Rig
     rate: float
     seed: int
     repeats: int = 8
-    also: float = 0.2  # share of the keys that are asked for once more though they were answered
+    also: float = 0.2  # probability that an answered key is requested again
     answers: dict[str, list[Answer]] = field(default_factory=lambda: defaultdict(list))
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -88,16 +98,16 @@
             await asyncio.wait(self.tasks, timeout=60.0)
 
     async def one(self, key: str, number: int) -> None:
-        chance = random.Random(self.seed * 1_000_003 + number)
+        rng = random.Random(self.seed * 1_000_003 + number)
         for _ in range(self.repeats):
-            answer = await post(chance.choice(list(self.rig)), key)
+            answer = await post(rng.choice(list(self.rig)), key)
             self.answers[key].append(answer)
-            if answer.of_box and chance.random() >= self.also:
+            if answer.of_box and rng.random() >= self.also:
                 return
-            await asyncio.sleep(chance.uniform(0.02, 0.6))
+            await asyncio.sleep(rng.uniform(0.02, 0.6))
 
     def effects(self) -> dict[str, int]:
-        """How often each key ran at the boxes."""
+        """Return how often each key ran at the endpoints."""
         ran: Counter[str] = Counter()
         for app in self.rig.apps:
             for run in app.runs:
--- a/tests/replication/test_learned_state.py
+++ b/tests/replication/test_learned_state.py
@@ -1,4 +1,4 @@
-"""What was learnt about boxes comes back from others: aged, within bounds, and not once it is out of date."""
+"""Learned state is restored from other members: aged, bounded in size, and rejected if it is too old."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 S = 1_000_000
 
 
-def experienced() -> Driver:
-    """Box 0 has failed until its breaker opened; box 1 has served."""
+def driver_with_learned_state() -> Driver:
+    """Return a driver in which endpoint 0's circuit breaker is open and endpoint 1 has served requests."""
     driver = Driver()
     server = driver.balancer.endpoints[0]
     server.weight = MIN_WEIGHT
@@ -46,19 +46,19 @@
     return driver
 
 
-def carried(raw: learned_state.BalancerSnapshot) -> learned_state.BalancerSnapshot:
-    """As it comes out at the other end."""
+def pack_and_unpack(raw: learned_state.BalancerSnapshot) -> learned_state.BalancerSnapshot:
+    """Return the snapshot after it was packed and unpacked."""
     data = learned_state.pack(HealthSnapshot(1, ("a",), {"": raw}))
     assert data is not None
     return learned_state.unpack(data).pools[""]
 
 
 @pytest.mark.parametrize("skew_us", [0, -3_600 * S, 3_600 * S])
-def test_a_lesson_goes_on_where_it_was_whatever_the_clocks_say(skew_us: int) -> None:
-    """A breaker that had so long to go has as long to go, less what has passed."""
-    old = experienced()
+def test_restored_state_keeps_its_remaining_time_despite_clock_skew(skew_us: int) -> None:
+    """A circuit breaker stays open for its remaining time, less the time that has passed."""
+    old = driver_with_learned_state()
     left_us = old.balancer.endpoints[0].breakers[0].open_until_us - old.now_us
-    raw = carried(old.balancer.snapshot())
+    raw = pack_and_unpack(old.balancer.snapshot())
     new = Driver()
     now_us = START_US + 7_200 * S + skew_us
     age_us = left_us // 2
@@ -73,8 +73,8 @@
 
 
 @given(st.integers(0, 20 * 60 * S), st.integers(-(10**15), 10**15))
-def test_the_older_it_is_the_less_it_says(age_us: int, shift_us: int) -> None:
-    raw: Any = experienced().balancer.snapshot()
+def test_an_older_snapshot_has_less_influence(age_us: int, shift_us: int) -> None:
+    raw: Any = driver_with_learned_state().balancer.snapshot()
     older = learned_state.age_snapshot(raw, age_us, shift_us)
     for before, after in zip(raw["servers"], older["servers"], strict=True):
         assert before[1] <= after[1] <= MAX_WEIGHT
@@ -82,11 +82,11 @@
         assert all(a[3] == b[3][len(b[3]) - len(a[3]) :] for a, b in zip(after[8], before[8], strict=True))
     if age_us >= 10 * learned_state.HALF_LIFE_US:
         assert older["servers"][0][1] > 0.99 and not older["servers"][0][8][0][3]
-    Driver().balancer.restore(START_US, older)  # whatever it is, it can be gone on with
+    Driver().balancer.restore(START_US, older)  # any aged snapshot can be restored
 
 
-def test_nonsense_is_named_and_changes_nothing() -> None:
-    raw: Any = experienced().balancer.snapshot()
+def test_a_malformed_snapshot_is_rejected() -> None:
+    raw: Any = driver_with_learned_state().balancer.snapshot()
     for key, value in (("servers", [[1, 2]]), ("asked", 7), ("shed", "x"), ("servers", None)):
         with pytest.raises(BadHealthSnapshotError):
             learned_state.age_snapshot({**raw, key: value}, 0, 0)
@@ -99,7 +99,7 @@
             learned_state.unpack(bad)
 
 
-def test_what_is_kept_for_others_is_bounded() -> None:
+def test_the_snapshot_store_is_bounded() -> None:
     kept = SnapshotStore()
     for n in range(100):
         kept.keep(n, f"g{n}", bytes(learned_state.SNAPSHOT_BYTES_LIMIT))
@@ -107,14 +107,15 @@
     assert kept.have(100, "g99") == StoredSnapshot(bytes(learned_state.SNAPSHOT_BYTES_LIMIT), 1)
     kept.keep(200, "g99", b"newer")
     assert kept.have(300, "g99") == StoredSnapshot(b"newer", 100)
-    kept.keep(300, "g99", bytes(learned_state.SNAPSHOT_BYTES_LIMIT + 1))  # none at all rather than an old one
+    # A snapshot that is too large is dropped, and the older one with it.
+    kept.keep(300, "g99", bytes(learned_state.SNAPSHOT_BYTES_LIMIT + 1))
     assert kept.have(300, "g99") is None
     assert kept.have(101 + learned_state.OLDEST_US, "g98") is None and not kept.snapshots
     assert learned_state.decode(learned_state.encode(StoreSnapshot(b"x"))) == StoreSnapshot(b"x")
 
 
 @given(st.integers(1, 9), st.integers(1, 4))
-def test_others_keep_it_and_of_other_zones_first(members: int, zones: int) -> None:
+def test_keepers_are_other_members_preferably_in_other_zones(members: int, zones: int) -> None:
     replicas = tuple(Replica(f"g{n}", f"z{n % zones}", "h") for n in range(members))
     for own in replicas:
         names = learned_state.choose_keepers(own, replicas)
@@ -125,7 +126,7 @@
         assert learned_state.choose_keepers(own, tuple(reversed(replicas))) == names
 
 
-def room_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LearnedStateService:
+def service_of(driver: Driver, classes: tuple[str, ...] = ("a",)) -> LearnedStateService:
     names = SimpleNamespace(names=SimpleNamespace(classes=classes))
     proxy: Any = SimpleNamespace(
         balancer=driver.balancer, clock=SimpleNamespace(now_us=lambda: driver.now_us), latest_config=names
@@ -133,34 +134,35 @@
     return LearnedStateService(SimpleNamespace(), SimpleNamespace(), lambda: {"": proxy})  # type: ignore[arg-type]
 
 
-def test_a_lesson_is_taken_before_anything_is_sent_and_only_if_it_fits() -> None:
-    old = experienced()
+def test_a_snapshot_is_restored_only_if_it_matches() -> None:
+    old = driver_with_learned_state()
     raw = old.balancer.snapshot()
     good = learned_state.pack(HealthSnapshot(old.now_us, ("a",), {"": raw, "gone": raw}))
     bad = learned_state.pack(HealthSnapshot(old.now_us, ("a",), {"": {**raw, "reach": float("nan")}}))
     assert good is not None and bad is not None
-    assert room_of(Driver(servers=0)).restore("g1", StoredSnapshot(good, S)) is False  # until there is a list
-    room = room_of(taken := Driver())
-    assert room.restore("g1", StoredSnapshot(good, S)) and room.restored_count == 3
+    # There is no endpoint list yet.
+    assert service_of(Driver(servers=0)).restore("g1", StoredSnapshot(good, S)) is False
+    service = service_of(taken := Driver())
+    assert service.restore("g1", StoredSnapshot(good, S)) and service.restored_count == 3
     assert taken.balancer.endpoints[0].breakers[0].state is BreakerState.OPEN
-    for room, have in (
-        (room_of(Driver(), ("b",)), StoredSnapshot(good, S)),
-        (room_of(Driver()), StoredSnapshot(good, learned_state.OLDEST_US + 1)),
-        (room_of(Driver()), StoredSnapshot(bad, S)),
-        (room_of(Driver()), StoredSnapshot(good[:-3], S)),
+    for service, have in (
+        (service_of(Driver(), ("b",)), StoredSnapshot(good, S)),
+        (service_of(Driver()), StoredSnapshot(good, learned_state.OLDEST_US + 1)),
+        (service_of(Driver()), StoredSnapshot(bad, S)),
+        (service_of(Driver()), StoredSnapshot(good[:-3], S)),
     ):
-        (proxy,) = room.proxies().values()
+        (proxy,) = service.proxies().values()
         before = proxy.balancer.snapshot()
-        assert room.restore("g1", have) and room.restored_count == 0  # and it is not asked for again
+        assert service.restore("g1", have) and service.restored_count == 0  # rejected, and not queried again
         assert proxy.balancer.snapshot() == before
     fresh = Driver()
-    assert not room_of(fresh).has_sent_requests()
+    assert not service_of(fresh).has_sent_requests()
     fresh.arrive()
-    assert room_of(fresh).has_sent_requests()
+    assert service_of(fresh).has_sent_requests()
 
 
-def test_a_gateway_that_lost_its_disk_knows_its_boxes_again(tmp_path: Path) -> None:
-    """And one that is new, of which nobody keeps anything, goes without."""
+def test_a_gateway_that_lost_its_disk_restores_its_learned_state(tmp_path: Path) -> None:
+    """A new gateway, for which no member stores a snapshot, starts without learned state."""
 
     async def play() -> None:
         async with rig(tmp_path, boxes=3, zones=3, copies="copies = 3\n", shared=keyed()) as it:
--- a/tests/replication/test_process.py
+++ b/tests/replication/test_process.py
@@ -1,4 +1,4 @@
-"""Real gateways that keep copies: machines lost with their disks, requests repeated elsewhere."""
+"""Real gateways that replicate records: gateways lose their disks, requests are repeated at others."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 
 async def placed(it: Rig, within_s: float = PLACED_S, well: bool = True) -> dict[str, Any]:
-    """Until copies are placed and settled, everywhere as they should be."""
+    """Wait until the replicas are placed and settled, and return the status.
+
+    `well`: the status has to be ok, too.
+    """
     began, status = time.monotonic(), dict[str, Any]()
     while time.monotonic() - began < within_s:
         for gateway in it:
@@ -39,7 +42,7 @@
                 return status
         await asyncio.sleep(0.05)
     logs = "\n".join(f"--- {g.name}\n{g.log()[-1500:]}" for g in it)
-    raise AssertionError(f"copies are not as they should be in {within_s} s: {status}\n{logs}")
+    raise AssertionError(f"the replicas are not settled after {within_s} s: {status}\n{logs}")
 
 
 def played(what: Callable[[], Awaitable[None]]) -> None:
@@ -54,8 +57,12 @@
     return await asyncio.to_thread(run, "copies", *words, "--file", str(gateway.file))
 
 
-def test_a_slip_outlives_its_gateway_and_its_disk(tmp_path: Path) -> None:
-    """And what is asked of it afterwards: another body, a long answer, an operator's look, a snapshot."""
+def test_a_stored_answer_survives_its_gateway_and_its_disk(tmp_path: Path) -> None:
+    """A stored answer is returned by the other gateways after its gateway has lost its disk.
+
+    Also checked: concurrent requests with one key, another body, an answer too long to be stored, the
+    operator's commands, and a snapshot restored into a new group.
+    """
 
     async def play() -> None:
         async with rig(tmp_path / "one", zones=3, copies="copies = 3\n", shared=keyed()) as it:
@@ -64,7 +71,7 @@
             a, b, c = it
             first = await post(a, "slip-1")
             assert first.status == OF_BOX, first
-            # All at once, at all gateways: one effect, one answer.
+            # Concurrently at all gateways: the request runs once, and all receive the same answer.
             many = await asyncio.gather(*(post(g, "crowd") for g in (a, b, c) for _ in range(60)))
             assert {answer.status for answer in many} == {OF_BOX}
             assert len({answer.body for answer in many}) == 1 and effects(it, "crowd") == 1
@@ -85,12 +92,13 @@
             found = await cli(b, "find", "slip-1")
             assert "done, status 200" in found.stdout and "by g0" in found.stdout, found
             assert "nothing is kept" in (await cli(b, "find", "no such key")).stdout
-            for _ in range(50):  # what is just under way at one seat may make it say otherwise for a moment
+            # A write in progress at one replica may be reported as a problem for a moment.
+            for _ in range(50):
                 shown = await cli(c, "status")
                 if shown.returncode == 0:
                     break
             assert shown.returncode == 0 and "copies: ok" in shown.stdout, shown
-            # A snapshot of it, into a new group and not into this one.
+            # A snapshot can be restored into a new group, but not into this one.
             snap = tmp_path / "snap"
             saved = await cli(b, "save", str(snap))
             assert saved.returncode == 0, saved.stderr
@@ -114,8 +122,10 @@
 
 
 @pytest.mark.parametrize("repeats", ["unsafe", "keyed"])
-def test_what_may_have_run_is_in_doubt_or_asked_of_boxes_that_know(tmp_path: Path, repeats: str) -> None:
-    """The gateway dies with its disk while the box has the request and has not answered."""
+def test_a_request_that_may_have_run_is_in_doubt_or_sent_to_deduplicating_endpoints(
+    tmp_path: Path, repeats: str
+) -> None:
+    """A gateway is lost with its disk while an endpoint has the request and has not answered."""
 
     async def play() -> None:
         async with rig(tmp_path, boxes=2, copies="copies = 3\n", shared=keyed(repeats=repeats)) as it:
@@ -125,13 +135,13 @@
             for app in it.apps:
                 app.silent = True
             lost = asyncio.create_task(post(a, "slip"))
-            await it.until(lambda: effects(it, "slip") == 1, "the box has it")
+            await it.until(lambda: effects(it, "slip") == 1, "an endpoint has the request")
             it.wipe(a)
             assert (await lost).status == 0
             for app in it.apps:
                 app.silent = False
             repeated = await post(b, "slip")
-            if repeats == "keyed":  # its boxes drop what they have had: asking them is harmless
+            if repeats == "keyed":  # the endpoints drop repeats of a key, so the request may be sent again
                 assert repeated.status == OF_BOX
                 assert (await post(c, "slip")).body == repeated.body
                 return
@@ -141,12 +151,12 @@
             settled = await cli(c, "settle", "slip", "--never")
             assert settled.returncode == 0, settled.stderr
             assert (await post(b, "slip")).status == OF_BOX and effects(it, "slip") == 2
-            assert (await cli(c, "settle", "slip", "--ran")).returncode == 1  # nothing is in doubt any more
+            assert (await cli(c, "settle", "slip", "--ran")).returncode == 1  # no record is in doubt any more
 
     played(play)
 
 
-def test_a_minority_says_nothing_and_two_of_three_lost_are_never_not_run(tmp_path: Path) -> None:
+def test_a_minority_answers_nothing_and_keys_are_in_doubt_after_a_lost_majority(tmp_path: Path) -> None:
     async def play() -> None:
         async with rig(tmp_path, copies="copies = 3\n", shared=keyed()) as it:
             await it.settled()
@@ -159,7 +169,7 @@
                 assert said.status == 503 and effects(it, "new") == 0, said
             it.cut(c, False)
             await it.settled()
-            it.kill(c)  # so that it holds nothing of this one
+            it.kill(c)  # so that it has no record of the next key
             lost = await post(a, "lost")
             assert lost.status == OF_BOX
             it.wipe(a)
@@ -173,7 +183,7 @@
                     await asyncio.sleep(0.2)
             it.run(a)
             it.run(b)
-            await it.until(lambda: "HAVE LOST A MAJORITY" in c.log(), "the loss is shouted", 30.0)
+            await it.until(lambda: "HAVE LOST A MAJORITY" in c.log(), "the lost majority is logged", 30.0)
             await it.settled()
             status = await placed(it, well=False)
             assert status["lost"] == 256 and any("in doubt" in why for why in status["why"])
@@ -185,8 +195,11 @@
     played(play)
 
 
-def test_each_step_of_a_write_may_be_a_machines_last(tmp_path: Path) -> None:
-    """The gateway that runs a request kills itself at a step, and its folder is lost; long: benchmarks."""
+def test_a_gateway_killed_at_a_step_of_a_write_causes_no_second_run(tmp_path: Path) -> None:
+    """The gateway that runs a request kills itself at a step, and its folder is deleted.
+
+    `benchmarks/copies.py` runs this for many steps.
+    """
 
     async def play() -> None:
         async with rig(tmp_path, copies="copies = 3\n", shared=keyed()) as it:
@@ -198,7 +211,7 @@
 
 
 async def last_steps(it: Rig, steps: list[int]) -> list[str]:
-    """What went wrong; kills at each of these steps in turn."""
+    """Kill the first gateway at each of these steps, and return descriptions of the violations."""
     a, b, c = it
     wrong, known = [], dict[str, bytes]()
     for step in steps:
@@ -227,8 +240,8 @@
     return wrong
 
 
-def test_machines_die_stop_and_lose_their_disks_under_load(tmp_path: Path) -> None:
-    """Five gateways in three zones; what `benchmarks/copies_faults.py` plays for long."""
+def test_no_request_runs_twice_while_gateways_crash_and_lose_their_disks(tmp_path: Path) -> None:
+    """Five gateways in three zones; `benchmarks/copies_faults.py` runs the same for longer."""
 
     async def play() -> None:
         async with rig(tmp_path, members=5, zones=3, copies="copies = 3\n", shared=keyed()) as it:
@@ -248,7 +261,7 @@
     played(play)
 
 
-def test_a_planned_restart_of_each_in_turn_loses_and_doubts_nothing(tmp_path: Path) -> None:
+def test_a_rolling_restart_leaves_no_key_unanswered_or_in_doubt(tmp_path: Path) -> None:
     async def play() -> None:
         async with rig(tmp_path, zones=3, copies="copies = 3\n", shared=keyed()) as it:
             await it.settled()
@@ -271,8 +284,11 @@
     played(play)
 
 
-def test_a_key_that_came_over_http3_is_the_same_key_anywhere(tmp_path: Path) -> None:
-    """Once over HTTP/3, with its gateway and disk lost behind it; then in doubt, over the same transport."""
+def test_a_key_received_over_http3_is_the_same_key_over_http1(tmp_path: Path) -> None:
+    """An answer stored for an HTTP/3 request is returned after its gateway and disk are lost.
+
+    A key in doubt is also reported as such over HTTP/3.
+    """
 
     async def play() -> None:
         authority, tables = https(tmp_path)
@@ -298,7 +314,7 @@
             for app in it.apps:
                 app.silent = True
             lost = asyncio.create_task(post3(b, "doubt"))
-            await it.until(lambda: effects(it, "doubt") == 1, "the box has it")
+            await it.until(lambda: effects(it, "doubt") == 1, "an endpoint has the request")
             it.wipe(b)
             lost.cancel()
             for app in it.apps:
