--- a/badgergap/replication/keyed_request.py
+++ b/badgergap/replication/keyed_request.py
@@ -147,7 +147,7 @@
             may_have_run = idempotent is not None and idempotent.sent
             self.reply(gateway_answer(End.DOUBT if may_have_run else End.UNREACHABLE, None))
             if idempotent is not None:
-                idempotent.left()
+                idempotent.on_client_gone()
 
     def on_wait_timeout(self) -> None:
         """Answer that the running request of the key is still under way at this one's deadline."""
@@ -176,7 +176,7 @@
         )
         self.idempotent = IdempotentRequest(replica_node, self, request, clock_us, self.deadline_us)
         self.idempotent.begin()
-        self.idempotency_filter.service.settle()
+        self.idempotency_filter.service.run_actions()
 
     def leave(self) -> None:
         """Handle the client's disconnect. An attempt that was sent continues: its outcome is stored."""
@@ -186,8 +186,8 @@
         if self.source is not None and self.streaming:
             self.source.client_left()
         elif self.idempotent is not None:
-            self.idempotent.left()
-            self.idempotency_filter.service.settle()
+            self.idempotent.on_client_gone()
+            self.idempotency_filter.service.run_actions()
 
     def check_time(self, now: float, between_s: float, answer_s: float) -> None:
         """Have the attempt at an endpoint check its deadlines."""
@@ -270,7 +270,7 @@
         if inner is not None:
             inner.abandon()
 
-    def give(self, record: Record) -> None:
+    def deliver(self, record: Record) -> None:
         """As `Runner`: send the stored answer, also to the requests that wait for this key."""
         if record.whole:
             queue = self.queue
@@ -290,12 +290,12 @@
             self.source.client_left()
         self.reply(gateway_answer(how, record), how.name)
 
-    def after(self, delay_us: int, what: Callable[[], None]) -> None:
+    def call_later(self, delay_us: int, what: Callable[[], None]) -> None:
         """As `Runner`: call `what` after a delay."""
 
         def run() -> None:
             what()
-            self.idempotency_filter.service.settle()
+            self.idempotency_filter.service.run_actions()
 
         self.loop.call_later(delay_us / 1e6, run)
 
@@ -365,13 +365,13 @@
         """Have the endpoint's answer stored."""
         assert self.idempotent is not None
         self.idempotent.answered(status, tuple(headers), bytes(self.buffered))
-        self.idempotency_filter.service.settle()
+        self.idempotency_filter.service.run_actions()
 
     def reply_gateway_answer(self, answer: Answer) -> None:
         """Send the gateway's own answer, after the balancer has given the request up."""
         if self.idempotent is not None and self.idempotent.running:
             self.idempotent.gave_up()
-            self.idempotency_filter.service.settle()
+            self.idempotency_filter.service.run_actions()
             self.reply(answer)
 
     def stream_answer(self) -> None:
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -107,7 +107,7 @@
     """Sends the request while its record is being stored, instead of afterwards."""
 
     def launch(self, endpoint: int, go: Callable[[bool], None]) -> None:
-        self.out += 1
+        self.in_flight += 1
         go(True)
         super().launch(endpoint, lambda may: None)
 
@@ -121,7 +121,7 @@
             super().answered(status, headers, body)
             if not self.over:
                 self.over = True
-                self.runner.give(given)
+                self.runner.deliver(given)
 
 
 class SilentIsNever(IdempotentRequest):
