--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -27,7 +27,7 @@
 from badgergap.storage.record_log import RecordLog
 from tests.balancing.test_manual_drains import COLD
 from tests.helpers import Driver
-from tests.hot_restart.test_state_transfer import worked
+from tests.hot_restart.test_state_transfer import driver_with_learned_state
 
 DATA = Path(__file__).parent / "data"
 FILE_IDENTITY = 7  # what the fixture's log says of the file that it was written to
@@ -132,12 +132,15 @@
 
 
 def test_what_the_decisions_have_learnt_is_written_as_it_was() -> None:
-    assert json.dumps(worked().balancer.snapshot()) == (DATA / "balancer_snapshot.json").read_text()
+    assert (
+        json.dumps(driver_with_learned_state().balancer.snapshot())
+        == (DATA / "balancer_snapshot.json").read_text()
+    )
 
 
 def test_what_the_decisions_had_learnt_is_read() -> None:
     written = (DATA / "balancer_snapshot.json").read_text()
-    before = worked()
+    before = driver_with_learned_state()
     after = Driver(COLD, endpoints=0)
     after.now_us = before.now_us
     after.list_endpoints(*(s.entry for s in before.balancer.endpoints.values()), kind=EndpointListKind.DISK)
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""What one process hands to the next: as data, whole or not at all, and read with suspicion."""
+"""The state that a process transfers to its successor: framing, validation, and learned state."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 ENDPOINT_LIST: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
 DRAINS = (ManualDrain("a", "anna", 5, "x"), ManualDrain("b", "console", 6))
 STATE = TransferredState(123, ENDPOINT_LIST, DRAINS, 1.5, {"servers": []})
-# The fields of a state by their keys on the wire.
+# The fields of a state by tsuccessor keys on the wire.
 FIELDS = {
     "offset_ns": "clock_offset_ns",
     "known": "endpoint_list",
@@ -50,21 +50,21 @@
 
 
 @given(st.lists(st.dictionaries(st.text(max_size=5), JSON, max_size=3), max_size=5), st.integers(1, 40))
-def test_messages_arrive_whole_in_any_pieces(messages: list[dict[str, Any]], step: int) -> None:
-    data, decoder, got = b"".join(map(encode_frame, messages)), FrameDecoder(), []
+def test_messages_are_decoded_from_chunks_of_any_size(messages: list[dict[str, Any]], step: int) -> None:
+    data, decoder, decoded = b"".join(map(encode_frame, messages)), FrameDecoder(), []
     for place in range(0, len(data), step):
-        got += list(decoder.feed(data[place : place + step]))
-    assert got == messages
+        decoded += list(decoder.feed(data[place : place + step]))
+    assert decoded == messages
 
 
 @given(st.data())
-def test_a_message_that_was_touched_is_none(data: st.DataObject) -> None:
+def test_a_corrupted_frame_yields_no_message(data: st.DataObject) -> None:
     frame = bytearray(encode_frame(write_state(STATE, IDENTITY)))
     place = data.draw(st.integers(0, len(frame) - 1))
     frame[place] ^= data.draw(st.integers(1, 255))
     decoder = FrameDecoder()
     with suppress(FrameError):
-        assert list(decoder.feed(bytes(frame))) == []  # it waits for a longer one
+        assert list(decoder.feed(bytes(frame))) == []  # if the length was changed, it waits for more bytes
 
 
 @pytest.mark.parametrize(
@@ -77,18 +77,18 @@
         encode_frame([1]),  # type: ignore[arg-type]
     ],
 )
-def test_what_is_no_message_ends_the_stream(frame: bytes) -> None:
+def test_an_invalid_frame_raises(frame: bytes) -> None:
     with pytest.raises(FrameError):
         list(FrameDecoder().feed(frame))
 
 
-def test_a_state_comes_out_as_it_went_in() -> None:
+def test_a_state_survives_a_round_trip() -> None:
     raw = json.loads(json.dumps(write_state(STATE, IDENTITY)))
     assert read_state(raw, IDENTITY) == STATE
 
 
 @pytest.mark.parametrize("other", [{"gateway": "n1"}, {"listen": ["127.0.0.1", 3001]}, {"gateway": None}])
-def test_the_state_of_another_gateway_is_not_taken(other: dict[str, Any]) -> None:
+def test_the_state_of_another_gateway_is_rejected(other: dict[str, Any]) -> None:
     raw = write_state(STATE, IDENTITY)
     raw["will"] = {**raw["will"], **other}
     with pytest.raises(StateTransferError, match="another gateway"):
@@ -96,19 +96,19 @@
 
 
 @given(st.sampled_from(["will", "offset_ns", "known", "drains", "lame_s", "learnt"]), JSON)
-def test_each_part_is_good_or_left_out_or_there_is_no_state(key: str, value: Any) -> None:
+def test_a_malformed_field_is_left_out_or_the_state_is_rejected(key: str, value: Any) -> None:
     raw = json.loads(json.dumps(write_state(STATE, IDENTITY))) | {key: value}
     try:
         state = read_state(raw, IDENTITY)
     except StateTransferError:
         assert key in ("will", "offset_ns", "known")
         return
-    same = [FIELDS[each] for each in FIELDS.keys() - {key}]
-    assert all(getattr(state, name) == getattr(STATE, name) for name in same)
+    unchanged = [FIELDS[each] for each in FIELDS.keys() - {key}]
+    assert all(getattr(state, name) == getattr(STATE, name) for name in unchanged)
     assert all(isinstance(drain.name, str) and isinstance(drain.at_us, int) for drain in state.drains)
 
 
-def test_the_list_of_hosts_is_one_that_discovery_could_have_sent() -> None:
+def test_the_endpoint_list_is_in_the_form_of_service_discovery() -> None:
     names = Names((), (), ("a", "b"), ("m1", "m2"))
     entries = [
         Entry(
@@ -123,20 +123,22 @@
     assert export_endpoint_list(entries, names, 9)["index"] == 9
 
 
-# What was learnt
+# Learned state
 
 
-def heir_of(driver: Driver) -> Driver:
-    """Another process: the same list, and what the first has learnt, by way of JSON."""
-    heir = Driver(driver.balancer.settings, endpoints=0)
-    heir.now_us = driver.now_us
-    heir.list_endpoints(*(s.entry for s in driver.balancer.endpoints.values()), kind=EndpointListKind.DISK)
-    heir.balancer.restore(heir.now_us, json.loads(json.dumps(driver.balancer.snapshot())))
-    return heir
+def successor_of(driver: Driver) -> Driver:
+    """A second balancer with the same endpoint list and the learned state of the first, passed as JSON."""
+    successor = Driver(driver.balancer.settings, endpoints=0)
+    successor.now_us = driver.now_us
+    successor.list_endpoints(
+        *(s.entry for s in driver.balancer.endpoints.values()), kind=EndpointListKind.DISK
+    )
+    successor.balancer.restore(successor.now_us, json.loads(json.dumps(driver.balancer.snapshot())))
+    return successor
 
 
-def worked(seed: int = 1) -> Driver:
-    """One that has something to tell: an open breaker, a cold host that was sent work, one put back."""
+def driver_with_learned_state(seed: int = 1) -> Driver:
+    """A driver with learned state: an open circuit breaker, an endpoint warming up, one drained manually."""
     driver = Driver(COLD, endpoints=6, seed=seed)
     used = [number for number in serve(driver, 50) if number not in (1, 5)]
     tell(driver, used[-1], EndpointStatus.OUT)
@@ -150,57 +152,57 @@
     return driver
 
 
-def test_the_next_process_goes_on_with_what_was_learnt() -> None:
-    driver = worked()
-    heir = heir_of(driver)
-    assert heir.balancer.snapshot() == driver.balancer.snapshot()
+def test_learned_state_is_restored_in_full() -> None:
+    driver = driver_with_learned_state()
+    successor = successor_of(driver)
+    assert successor.balancer.snapshot() == driver.balancer.snapshot()
     now_us = driver.now_us
-    assert heir.balancer.endpoint_views(now_us) == tuple(
+    assert successor.balancer.endpoint_views(now_us) == tuple(
         replace(v, in_flight=0) for v in driver.balancer.endpoint_views(now_us)
     )
-    views = {view.endpoint_id: view for view in heir.balancer.endpoint_views(now_us)}
+    views = {view.endpoint_id: view for view in successor.balancer.endpoint_views(now_us)}
     assert views[1].open_until_us > now_us and views[5].warm_up_fraction < 1.0
-    assert any(s.spent_us > 0.0 for s in heir.balancer.endpoints.values())
+    assert any(s.spent_us > 0.0 for s in successor.balancer.endpoints.values())
 
 
-def test_a_trial_is_owed_anew() -> None:
-    driver = worked()
+def test_a_half_open_breaker_has_no_trial_in_flight_after_a_restore() -> None:
+    driver = driver_with_learned_state()
     driver.now_us = driver.balancer.endpoint_views(driver.now_us, [1])[0].open_until_us + 1
     breaker = driver.balancer.endpoints[1].breakers[0]
     assert breaker.allows(driver.now_us) and breaker.take_trial() and breaker.trials_in_flight
-    heir = heir_of(driver)
-    (view,) = heir.balancer.endpoint_views(heir.now_us, [1])
-    assert view.half_open and not heir.balancer.endpoints[1].breakers[0].trials_in_flight
+    successor = successor_of(driver)
+    (view,) = successor.balancer.endpoint_views(successor.now_us, [1])
+    assert view.half_open and not successor.balancer.endpoints[1].breakers[0].trials_in_flight
 
 
-def test_a_host_put_back_stays_cold_for_the_next_process() -> None:
-    driver = worked()
+def test_a_reinstated_endpoint_is_still_warming_up_after_a_restore() -> None:
+    driver = driver_with_learned_state()
     (out,) = (n for n, s in driver.balancer.endpoints.items() if s.entry.status is EndpointStatus.OUT)
     tell(driver, out, EndpointStatus.READY)
     driver.now_us += 2_000_000
-    heir = heir_of(driver)
-    assert share(heir, out) == share(driver, out) < 0.3
-    assert [s.entry.endpoint_id for s in heir.balancer.table.reinstated] == [out]
-    assert out in serve(heir, 60)
+    successor = successor_of(driver)
+    assert share(successor, out) == share(driver, out) < 0.3
+    assert [s.entry.endpoint_id for s in successor.balancer.table.reinstated] == [out]
+    assert out in serve(successor, 60)
 
 
-def test_a_host_that_has_restarted_since_begins_as_new() -> None:
-    driver = worked()
-    heir = Driver(COLD, endpoints=0)
-    heir.now_us = driver.now_us
+def test_an_endpoint_that_has_restarted_begins_warming_up() -> None:
+    driver = driver_with_learned_state()
+    successor = Driver(COLD, endpoints=0)
+    successor.now_us = driver.now_us
     entries = [s.entry for s in driver.balancer.endpoints.values()]
     started = replace(entries[2], started_us=driver.now_us)
-    heir.list_endpoints(
+    successor.list_endpoints(
         *(started if e.endpoint_id == entries[2].endpoint_id else e for e in entries),
         kind=EndpointListKind.DISK,
     )
-    heir.balancer.restore(heir.now_us, driver.balancer.snapshot())
-    assert share(heir, started.endpoint_id) < 0.2
+    successor.balancer.restore(successor.now_us, driver.balancer.snapshot())
+    assert share(successor, started.endpoint_id) < 0.2
 
 
 @given(st.data())
-def test_a_snapshot_that_is_none_changes_nothing(data: st.DataObject) -> None:
-    driver = worked()
+def test_a_malformed_snapshot_changes_nothing(data: st.DataObject) -> None:
+    driver = driver_with_learned_state()
     raw = json.loads(json.dumps(driver.balancer.snapshot()))
     damaged = copy.deepcopy(raw)
     place: Any = damaged
@@ -211,23 +213,23 @@
             place[key] = data.draw(st.sampled_from([None, "x", -1, [], {}, float("inf"), [[]]]))
             break
         place = place[key]
-    heir = Driver(COLD, endpoints=6)
-    before = heir.balancer.snapshot()
+    successor = Driver(COLD, endpoints=6)
+    before = successor.balancer.snapshot()
     try:
-        heir.balancer.restore(driver.now_us, damaged)
+        successor.balancer.restore(driver.now_us, damaged)
     except ValueError:
-        assert heir.balancer.snapshot() == before
-    serve(heir, 3)  # whatever it took, it serves
+        assert successor.balancer.snapshot() == before
+    serve(successor, 3)  # it serves with any part that it restored
 
 
-def test_a_process_whose_heir_serves_sends_cold_hosts_nothing() -> None:
+def test_a_standby_balancer_sends_nothing_to_endpoints_that_are_warming_up() -> None:
     driver = Driver(COLD, endpoints=0)
     driver.list_endpoints(ListedEndpoint(0, started_us=driver.now_us), ListedEndpoint(1))
     driver.balancer.is_standby = True
     assert set(serve(driver, 60)) == {1}
 
 
-def test_settings_of_another_shape_are_no_snapshot() -> None:
-    driver = worked()
+def test_a_snapshot_for_other_request_classes_is_rejected() -> None:
+    driver = driver_with_learned_state()
     with pytest.raises(ValueError, match="no snapshot"):
         Balancer(replace(SETTINGS, classes=SETTINGS.classes[:2]), 1).restore(1, driver.balancer.snapshot())
