--- a/tests/hot_restart/test_http.py
+++ b/tests/hot_restart/test_http.py
@@ -1,4 +1,4 @@
-"""Two real processes of one operator file that are one gateway: nothing turned back, whatever dies."""
+"""Hot restart of HTTP and HTTPS: no request is lost or refused, whichever process dies."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.sockets import PATIENCE_S, Clients, run
 from tests.web.harness import ROUTE, Raw, request, site_text
 
-TAKES = "another process of this gateway takes its clients"
+CLIENTS_TAKEN = "another process of this gateway takes its clients"
 LOST = (asyncio.IncompleteReadError, ConnectionError, ssl.SSLError)
 
 
 @dataclass
 class Site:
-    """`ports`: of HTTP and of HTTPS, as the first process got them."""
+    """`ports` are those of HTTP and HTTPS that the first process was given by the kernel."""
 
     folder: Path
     apps: list[App]
@@ -38,24 +38,24 @@
     def path(self) -> Path:
         return self.folder / "site.toml"
 
-    def write(self, stands_by: str, more: str = "") -> None:
+    def write(self, standby: str, extra: str = "") -> None:
         text = site_text([(app.name, app.address, "") for app in self.apps], ROUTE)
-        head = f'"store"\nadmin = "gw.sock"\nstate = "state"\nhandover = "{stands_by}"'
+        head = f'"store"\nadmin = "gw.sock"\nstate = "state"\nhandover = "{standby}"'
         text = text.replace('"store"', head, 1).replace("127.0.0.1:0", f"127.0.0.1:{self.ports[0]}", 1)
         text += f'[https]\nlisten = "127.0.0.1:{self.ports[1]}"\n'
         text += '[[certificate]]\ncertificate = "a.pem"\nkey = "a-key.pem"\n'
-        self.path.write_text(text + more)
+        self.path.write_text(text + extra)
 
     async def start(self, program: Sequence[str] = ()) -> Process:
         process = Process(self.path, program)
         alive = [p for p in self.started if p.child is not None and p.child.returncode is None]
-        known = sum(TAKES in line for line in alive[-1].log) if alive else 0
+        seen = sum(CLIENTS_TAKEN in line for line in alive[-1].log) if alive else 0
         self.started.append(process)
         await process.start("serves HTTP on")
         tls = int((await process.line("serves HTTPS on")).rpartition(":")[2])
         assert self.ports in ((0, 0), (process.port, tls))
         self.ports = (process.port, tls)
-        while alive and sum(TAKES in line for line in alive[-1].log) == known:
+        while alive and sum(CLIENTS_TAKEN in line for line in alive[-1].log) == seen:
             await asyncio.sleep(0.005)
         return process
 
@@ -65,14 +65,14 @@
 
 
 @asynccontextmanager
-async def site(folder: Path, stands_by: str = "1h") -> AsyncIterator[Site]:
+async def site(folder: Path, standby: str = "1h") -> AsyncIterator[Site]:
     authority = Authority(folder)
     authority.pair("a", hosts=["a.example"])
     apps = [App("one"), App("two")]
     for app in apps:
         await app.start()
     it = Site(folder, apps, ssl.create_default_context(cafile=str(authority.path)))
-    it.write(stands_by)
+    it.write(standby)
     try:
         yield it
     finally:
@@ -86,13 +86,13 @@
 
 
 class Load(Clients):
-    """Clients on kept and on new connections, in the clear and over TLS, without a pause."""
+    """Clients that send requests continuously on kept and on new connections, with and without TLS."""
 
     def __init__(self, it: Site) -> None:
         super().__init__()
         self.site = it
         self.lost: list[str] = []
-        self.last: Counter[bool] = Counter()  # answers that ended their connection, by whether over TLS
+        self.last: Counter[bool] = Counter()  # responses that closed their connection, by whether it used TLS
         self.number = 0
         self.tasks = [
             asyncio.create_task(self.play(secure, kept))
@@ -127,8 +127,8 @@
     return set(runs.values()) == {1}
 
 
-def test_two_upgrades_under_load_turn_nothing_back(tmp_path: Path) -> None:
-    """The old one ends by itself once the new one has proved itself; drains hold; the console goes along."""
+def test_two_hot_restarts_under_load_fail_no_request(tmp_path: Path) -> None:
+    """The old process ends after the standby time; manual drains hold; the admin socket moves along."""
 
     async def test() -> None:
         async with site(tmp_path, "1s") as it:
@@ -148,7 +148,7 @@
                 assert not [line for line in old.log + new.log if "Traceback" in line or "ERROR" in line]
                 await load.more(150)
                 old = new
-            assert len(it.apps[0].runs) == seen, "it is out by hand"
+            assert len(it.apps[0].runs) == seen, "it is drained manually"
             again = Admin(tmp_path / "gw.sock")
             await again.connect()
             assert (await again.snapshot()).pid == old.child.pid  # type: ignore[union-attr]
@@ -159,13 +159,13 @@
             await load.end()
             print(load.answers, load.last)
             assert load.lost == [] and set(load.answers) == {200} and ran_once(it)
-            assert load.last[False] == 0, "connections in the clear go over, none is ended"
+            assert load.last[False] == 0, "connections without TLS are transferred, none is closed"
             assert await old.stop() == 0
 
     run(test(), patience_s=90)
 
 
-def test_a_new_process_that_dies_is_followed_by_the_old_one_again(tmp_path: Path) -> None:
+def test_the_old_process_takes_clients_again_if_the_new_one_dies(tmp_path: Path) -> None:
     async def test() -> None:
         async with site(tmp_path) as it:
             old = await it.start()
@@ -176,7 +176,7 @@
             await load.more(50)
             await load.end()
             assert load.lost == []
-            assert (await kept.ask(request("GET")))[0] == 200, "it went over, and its client did not notice"
+            assert (await kept.ask(request("GET")))[0] == 200, "it was transferred, unnoticed by its client"
             kept.writer.close()
             new.send(signal.SIGKILL)
             await old.line("they are taken here again")
@@ -188,40 +188,40 @@
             await admin.connect()
             assert (await admin.snapshot()).pid == old.child.pid  # type: ignore[union-attr]
             await admin.close()
-            newer = await it.start()  # and the one after it takes over from the old one
+            newer = await it.start()  # the next process takes over from the old one
             assert (await (await it.client(True)).ask(request("GET")))[0] == 200
-            # Told to end before the old one has ended, it ends with it.
+            # A new process that ends before the standby time is over ends the old one too.
             assert await newer.stop() == 0
             assert old.child is not None and await asyncio.wait_for(old.child.wait(), PATIENCE_S) == 0
 
     run(test(), patience_s=60)
 
 
-def test_what_the_old_one_has_in_hand_it_ends_itself(tmp_path: Path) -> None:
-    """A slow answer, a tunnel's worth of events, a half-sent request and a client over TLS that rests."""
+def test_the_old_process_completes_its_open_requests(tmp_path: Path) -> None:
+    """A slow response, a long event stream, a partly sent request, and an idle client over TLS."""
 
     async def test() -> None:
         async with site(tmp_path) as it:
             old = await it.start()
-            slow, half, rests = await it.client(False), await it.client(False), await it.client(True)
+            slow, partial, idle = await it.client(False), await it.client(False), await it.client(True)
             events = await it.client(False)
-            assert (await rests.ask(request("GET")))[0] == 200
+            assert (await idle.ask(request("GET")))[0] == 200
             events.send(request("GET", "/events?n=40&ms=100"))
-            status, told = await events.head()
+            status, event_head = await events.head()
             assert status == 200
             slow.send(request("GET", "/wait?ms=600"))
             whole = request("GET", "/?half")
-            half.send(whole[:20])
+            partial.send(whole[:20])
             while not any("wait" in each.target for app in it.apps for each in app.runs):
                 await asyncio.sleep(0.005)
             new = await it.start()
             old.send(signal.SIGTERM)
-            half.send(whole[20:])
-            assert (await half.answer())[0] == 200
-            status, head, _ = await rests.ask(request("GET"))
+            partial.send(whole[20:])
+            assert (await partial.answer())[0] == 200
+            status, head, _ = await idle.ask(request("GET"))
             assert status == 200 and head["connection"] == "close"
             assert (await slow.answer())[0] == 200
-            assert (await events.body(status, told)).count(b"data") == 40
+            assert (await events.body(status, event_head)).count(b"data") == 40
             assert await old.stop() == 0
             assert (await (await it.client(False)).ask(request("GET")))[0] == 200
             assert await new.stop() == 0
@@ -229,14 +229,14 @@
     run(test(), patience_s=60)
 
 
-def test_what_changes_with_the_file_and_what_cannot_be_taken(
+def test_an_invalid_file_is_rejected_and_a_changed_port_is_applied(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
         async with site(tmp_path) as it:
             old = await it.start()
             good = it.path.read_text()
-            # A file that is wrong: the new one does not start, and the old one goes on.
+            # An invalid file: the new process does not start, and the old one continues.
             it.path.write_text(good + "[wrong]\n")
             bad = Process(it.path)
             it.started.append(bad)
@@ -244,7 +244,7 @@
                 await bad.start("serves HTTP on")
             assert await bad.stop() == 2
             assert (await (await it.client(False)).ask(request("GET")))[0] == 200
-            # Another port for TLS: HTTP goes over, the old port is served no more once the old one has ended.
+            # Another port for TLS: HTTP is transferred; the old port is closed when the old process ends.
             before = it.ports
             it.write("1s", "")
             text = it.path.read_text().replace(f":{before[1]}", ":0")
@@ -259,7 +259,7 @@
             it.ports = (new.port, tls)
             assert (await (await it.client(True)).ask(request("GET")))[0] == 200
             assert await new.stop() == 0
-            for change, says in (
+            for change, message in (
                 ('handover = "1s"|handover = "5ms"', 'allowed: from "1s" to "1h"'),
                 ('state = "state"\n|', "needs site.state"),
             ):
@@ -267,6 +267,6 @@
                 assert was in text
                 it.path.write_text(text.replace(was, becomes, 1))
                 assert main(["check", str(it.path)]) == 2
-                assert says in capsys.readouterr().err
+                assert message in capsys.readouterr().err
 
     run(test(), patience_s=60)
--- a/tests/hot_restart/test_http3.py
+++ b/tests/hot_restart/test_http3.py
@@ -1,4 +1,4 @@
-"""HTTP/3 over two real processes: connections stay whole where they are, new ones go to the new process."""
+"""Hot restart of HTTP/3: connections stay with their process, new ones go to the new process."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from tests.hot_restart.test_http import Site, site
 from tests.sockets import PATIENCE_S, Clients, run
 
-REJECTED = 0x10B  # H3_REQUEST_REJECTED: nothing was done, and the client may ask anew
+REJECTED = 0x10B  # H3_REQUEST_REJECTED: the request was not processed, and the client may retry
 
 
 @dataclass
-class Site3:
+class Http3Site:
     it: Site
     port: int = 0
 
@@ -33,21 +33,21 @@
 
 
 @asynccontextmanager
-async def site3(folder: Path) -> AsyncIterator[Site3]:
+async def http3_site(folder: Path) -> AsyncIterator[Http3Site]:
     async with site(folder) as it:
-        found = it.path.read_text() + '[http3]\nlisten = "127.0.0.1:0"\n'
-        it.path.write_text(found)
-        yield Site3(it)
+        text = it.path.read_text() + '[http3]\nlisten = "127.0.0.1:0"\n'
+        it.path.write_text(text)
+        yield Http3Site(it)
 
 
-class Load3(Clients):
-    """Clients that keep their connection as long as it lasts, and others that open one for each request."""
+class Http3Load(Clients):
+    """Clients that keep their connection as long as it is open, and others with one for each request."""
 
-    def __init__(self, site: Site3, kept: int = 4, fresh: int = 4) -> None:
+    def __init__(self, site: Http3Site, kept: int = 4, fresh: int = 4) -> None:
         super().__init__()
         self.site, self.number = site, 0
         self.lost: list[str] = []
-        self.again = 0  # requests that were rejected, or fell on a connection that had ended before
+        self.retries = 0  # requests that were rejected or sent on a connection that was closing
         self.tasks = [asyncio.create_task(self.play(n < kept)) for n in range(kept + fresh)]
 
     async def play(self, kept: bool) -> None:
@@ -62,18 +62,20 @@
                 status = (await asyncio.wait_for(client.get(target), PATIENCE_S))[0]
                 self.answers[status] += 1
             except Broken as error:
-                told = client is not None and client.ended is not None and client.ended.error_code == 0x100
-                if error.code == REJECTED or (kept and told):
-                    self.again += 1
+                no_error = (
+                    client is not None and client.ended is not None and client.ended.error_code == 0x100
+                )
+                if error.code == REJECTED or (kept and no_error):
+                    self.retries += 1
                 else:
                     self.lost.append(f"{kept=} {error!r}")
-                kept_on = False
+                reuse = False
             except TimeoutError:
                 self.lost.append(f"{kept=} no answer")
-                kept_on = False
+                reuse = False
             else:
-                kept_on = kept and not client.gone.is_set()
-            if client is not None and not kept_on:
+                reuse = kept and not client.gone.is_set()
+            if client is not None and not reuse:
                 client.close()
                 client = None
             await asyncio.sleep(0.005)
@@ -81,9 +83,9 @@
             client.close()
 
 
-def test_connections_stay_whole_where_they_are(tmp_path: Path) -> None:
+def test_connections_stay_with_their_process(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site3(tmp_path) as its:
+        async with http3_site(tmp_path) as its:
             it = its.it
             await its.start()
             old = it.started[0]
@@ -92,10 +94,10 @@
             assert (await client.get("/"))[0] == 200
             slow, big = client.ask("GET", "/wait?ms=800"), client.ask("GET", "/file?n=3000000")
             upload = client.ask("POST", "/upload", body=None)
-            load = Load3(its)
+            load = Http3Load(its)
             await load.more(40)
             await its.start()
-            # What began at the old process goes on there, its client's packets come by the new one.
+            # Requests begun at the old process complete there; the new process forwards their packets to it.
             client.more(upload, b"x" * 100_000, True)
             assert len((await big.whole())[2]) == 3_000_000
             assert (await upload.whole())[0] == 200 and (await slow.whole())[0] == 200
@@ -106,7 +108,7 @@
             assert old.child is not None and await asyncio.wait_for(old.child.wait(), PATIENCE_S) == 0
             await load.more(40)
             await load.end()
-            print(load.answers, "asked again:", load.again)
+            print(load.answers, "retries:", load.retries)
             assert load.lost == [] and set(load.answers) == {200}
             assert not [line for p in it.started for line in p.log if "Traceback" in line or "ERROR" in line]
             runs = Counter(each.target for app in it.apps for each in app.runs if "n=" in each.target)
@@ -117,9 +119,9 @@
     run(test(), patience_s=60)
 
 
-def test_a_new_process_that_dies_leaves_the_old_ones_connections_whole(tmp_path: Path) -> None:
+def test_connections_of_the_old_process_survive_the_death_of_the_new_one(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site3(tmp_path) as its:
+        async with http3_site(tmp_path) as its:
             await its.start()
             old = its.it.started[0]
             client = its.client()
@@ -132,11 +134,11 @@
             assert (await other.get("/"))[0] == 200
             its.it.started[-1].send(signal.SIGKILL)
             await old.line("they are taken here again")
-            assert (await client.get("/"))[0] == 200, "it reads the socket again"
+            assert (await client.get("/"))[0] == 200, "the old process reads the socket again"
             third = its.client()
             await third.connect()
             assert (await third.get("/"))[0] == 200
-            # The client of the one that died is told, and need not wait for its time to be over.
+            # The client of the process that died is notified, and does not wait for its idle timeout.
             asked = other.ask("GET", "/")
             await asyncio.wait_for(other.gone.wait(), PATIENCE_S)
             assert asked.status == 0
