--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -34,7 +34,7 @@
 ENDPOINT_LIST: dict[str, Any] = {"index": 7, "snapshot": True, "endpoints": []}
 DRAINS = (ManualDrain("a", "anna", 5, "x"), ManualDrain("b", "console", 6))
 STATE = TransferredState(123, ENDPOINT_LIST, DRAINS, 1.5, {"servers": []})
-# The fields of a state by tsuccessor keys on the wire.
+# The fields of a state by their keys on the wire.
 FIELDS = {
     "offset_ns": "clock_offset_ns",
     "known": "endpoint_list",
