--- a/badgergap/rollout/__init__.py
+++ b/badgergap/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged rollouts: settings reach a group stage by stage, and are rolled back when clients fare worse."""
+"""Staged rollouts: a group applies new settings in stages, and rolls them back if service gets worse."""
--- a/badgergap/rollout/analysis.py
+++ b/badgergap/rollout/analysis.py
@@ -1,15 +1,17 @@
-"""Whether treated members serve clients worse than control members; may be asked at any time. Pure.
+"""Decides whether treated members serve clients worse than control members. Pure.
 
-Time is cut into blocks of BLOCK_S. For each guard and block, the treated members' measure is compared with
-that of control members in the same zones, both as differences from each member's own baseline before the
-rollout. So a bad day for everybody cancels out, and so does a member that was always a little worse. The
-differences are averaged over the stage and tested by a mixture sequential probability ratio test (Robbins
-1970; as mSPRT in Johari et al. 2017): its bound holds at all times together, so that looking often is free.
+Time is divided into blocks of BLOCK_S. For each guard and block, the treated members' measure is compared
+with that of control members in the same zones, both as differences from each member's own baseline before
+the rollout. Disturbances that affect all members cancel out, and so do constant differences between members.
+The differences are averaged over the stage and tested with a mixture sequential probability ratio test
+(Robbins 1970; mSPRT in Johari et al. 2017). Its bound holds at all times together, so the verdict may be
+read after every block without raising the rate of false stops.
 
-The noise is estimated from the data and is never less than that of counting: the scatter of the difference
-between blocks, corrected for autocorrelation, and the lasting differences between control members.
+The noise is estimated from the data: from the scatter of the difference between blocks, corrected for
+autocorrelation, and from the lasting differences between members of the same side. It is never taken as less
+than the counting noise.
 
-"Not enough seen" is a result of its own, and never means good.
+Insufficient data is a verdict of its own ("more"), and never counts as good.
 """
 
 from __future__ import annotations
@@ -26,28 +28,28 @@
 from badgergap.rollout.statistics import (
     ComparisonPoint,
     WeightedMean,
+    baseline_difference,
+    baseline_value,
+    confidence_radius,
     counting_variance,
     describe,
     estimate,
-    radius,
     scaled,
     signed_worse,
-    term,
-    usual_value,
     weighted_mean,
 )
 
 BLOCK_S = 10
-BASELINE_BLOCKS = 60  # ten minutes before the change
-RECENT_BLOCKS = 6  # blocks: a minute, for what begins late
+BASELINE_BLOCKS = 60  # the ten minutes before the rollout
+RECENT_BLOCKS = 6  # the last minute, tested by itself to detect regressions that begin late
 MIN_BLOCKS = 6
-MAX_SERIES_BLOCKS = 720  # blocks of a member: two hours of a stage; older ones are forgotten
-MIN_DEGREES_OF_FREEDOM = 2  # members beside the first of their side, for how far members stray
-ALPHA = 0.004  # of false stops of one change, over all guards, stages and windows
-GOOD_ALPHA = 0.05  # of calling a guard good that is worse by all that matters
+MAX_SERIES_BLOCKS = 720  # two hours of a stage; older blocks are dropped
+MIN_DEGREES_OF_FREEDOM = 2  # for the variance between members: those beyond the first of each side
+ALPHA = 0.004  # probability of a false stop per rollout, over all guards, stages and windows
+PASS_ALPHA = 0.05  # probability that a guard passes although it is worse by the limit
 MAX_SLACK = 4.0
-MIN_CERTAIN_FRACTION = 0.25  # of `worse_by`: a stop means that the treated are worse by at least so much
-HARD_REQUESTS = 40  # of the treated in HARD_BLOCKS, for a hard limit to be looked at
+MIN_CERTAIN_FRACTION = 0.25  # of `worse_by`: treated members must surely be worse by this much for a stop
+HARD_REQUESTS = 40  # by treated members in HARD_BLOCKS, before a hard limit is checked
 HARD_BLOCKS = 2
 HARD_SIGMAS = 5.0
 MAX_CLASSES = 64
@@ -57,8 +59,8 @@
 class MemberAnalysis:
     """A member's metrics.
 
-    `baselines` holds, for each guard, its usual value before the rollout (None: unknown);
-    `stage_block` is the sum since the stage began.
+    `baselines` holds the typical value before the rollout for each guard, None where it is unknown.
+    `stage_block` is the sum of the blocks since the stage began.
     """
 
     zone: str = ""
@@ -68,12 +70,15 @@
 
 
 class GuardReading(msgspec.Struct, frozen=True, array_like=True):
-    """What one guard reads. `worse`, `least`, `most`: difference and bounds, in points or log ratios."""
+    """The result of one guard.
+
+    `worse` is the difference, `least` and `most` are its confidence bounds, in points or log ratios.
+    """
 
     guard: str
     verdict: str  # "worse", "good", "more"
     worse: float = 0.0
-    least: float = 0.0  # it is at least so much, surely
+    least: float = 0.0
     most: float = 0.0
     requests: int = 0
     blocks: int = 0
@@ -81,7 +86,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, array_like=True):
-    """The result of an analysis: "worse", "good", or "more" where not enough was seen."""
+    """The result of an analysis: "worse", "good", or "more" if more data is needed."""
 
     verdict: str  # "worse", "good", "more"
     why: str = ""
@@ -94,27 +99,27 @@
     def __init__(self, plan: Plan, stages: int = 1) -> None:
         self.plan = plan
         self.members: dict[str, MemberAnalysis] = {}
-        # Each guard is asked of the whole stage and of its last minute, in each stage.
+        # In each stage a guard is tested over the whole stage and over its last minute.
         self.alpha = ALPHA / max(1, len(plan.guards) * 2 * stages)
         self.begin_stage(())
 
     def set_baseline(self, name: str, zone: str, blocks: Sequence[MetricsBlock]) -> None:
-        """Set a member's baselines from its last blocks before the rollout began."""
+        """Compute a member's baselines from its last blocks before the rollout began."""
         member = self.members.setdefault(name, MemberAnalysis())
         member.zone = zone
-        member.baselines = tuple(usual_value(guard, blocks) for guard in self.plan.guards)
+        member.baselines = tuple(baseline_value(guard, blocks) for guard in self.plan.guards)
 
     def begin_stage(self, treated: Iterable[str], before: Iterable[str] = ()) -> None:
-        """Begin the analysis of a stage, or begin it anew: earlier blocks no longer count.
+        """Start or restart the analysis of a stage. Earlier blocks no longer count.
 
         `treated` members have applied the settings. Those in `before` were analysed by an earlier stage,
-        and serve as controls where no untreated members are left.
+        and serve as controls if no untreated members are left.
         """
-        self.treated, early = frozenset(treated), frozenset(before)
-        if self.members.keys() <= self.treated and early < self.treated:
-            self.treated -= early
+        self.treated, analysed_before = frozenset(treated), frozenset(before)
+        if self.members.keys() <= self.treated and analysed_before < self.treated:
+            self.treated -= analysed_before
         self.pending: dict[int, dict[str, MetricsBlock]] = {}
-        self.closed = -1
+        self.last_closed = -1
         self.series: list[deque[ComparisonPoint]] = [
             deque(maxlen=MAX_SERIES_BLOCKS) for _ in self.plan.guards
         ]
@@ -123,34 +128,37 @@
             member.incarnations.clear()
 
     def add_block(self, name: str, number: int, block: MetricsBlock) -> None:
-        """Add a member's block, by the leader's block number. Two of one number are merged."""
-        if number <= self.closed:
+        """Add a member's block under the leader's block number. Two blocks with one number are merged."""
+        if number <= self.last_closed:
             return
         member = self.members.setdefault(name, MemberAnalysis())
         if block.incarnation:
             member.incarnations.add(block.incarnation)
-        there = self.pending.setdefault(number, {})
-        there[name] = block if name not in there else there[name].merged(block)
+        reported = self.pending.setdefault(number, {})
+        reported[name] = block if name not in reported else reported[name].merged(block)
 
     def close_block(self, number: int) -> None:
-        """Evaluate all blocks up to this number; later reports of them are ignored."""
-        for each in sorted(n for n in self.pending if n <= number):
-            blocks = self.pending.pop(each)
+        """Evaluate all blocks up to this number. Later reports for them are ignored."""
+        for block_number in sorted(n for n in self.pending if n <= number):
+            blocks = self.pending.pop(block_number)
             treated_names = [name for name in blocks if name in self.treated]
             control_names = [name for name in blocks if name not in self.treated]
             for name, block in blocks.items():
                 self.members[name].stage_block = self.members[name].stage_block.merged(block)
-            for place, guard in enumerate(self.plan.guards):
+            for index, guard in enumerate(self.plan.guards):
                 if guard.measure != "crashes":
-                    baseline = self._baselines(place, blocks)
-                    terms = {name: term(guard, block, baseline[name]) for name, block in blocks.items()}
-                    point = self._point(terms, treated_names, control_names)
+                    baseline = self._baselines(index, blocks)
+                    differences = {
+                        name: baseline_difference(guard, block, baseline[name])
+                        for name, block in blocks.items()
+                    }
+                    point = self._point(differences, treated_names, control_names)
                     if point is not None:
-                        self.series[place].append(point)
-        self.closed = max(self.closed, number)
+                        self.series[index].append(point)
+        self.last_closed = max(self.last_closed, number)
 
     def verdict(self) -> Verdict:
-        """Return the verdict over all blocks that are closed."""
+        """Return the verdict over all closed blocks."""
         treated_names = [name for name in self.members if name in self.treated]
         control_names = [name for name in self.members if name not in self.treated]
         readings = [
@@ -174,78 +182,91 @@
         treated_names: Sequence[str],
         control_names: Sequence[str],
     ) -> GuardReading:
-        """Read one guard: its hard limit, then the whole stage, then its last minute."""
+        """Evaluate one guard: its hard limit, then the whole stage, then its last minute."""
         if guard.measure == "crashes":
             return self._crash_reading(guard, treated_names)
-        requests = int(sum(point.treated for point in series))
+        requests = int(sum(point.treated_requests for point in series))
         hard = self._hard_limit_reason(guard, series)
         if hard:
             return GuardReading(guard.name, "worse", requests=requests, blocks=len(series), why=hard)
-        stage_block = self._sequential_test(guard, series, treated_names, control_names)
-        if stage_block.verdict != "worse" and len(series) > RECENT_BLOCKS + 2:
+        whole_stage = self._sequential_test(guard, series, treated_names, control_names)
+        if whole_stage.verdict != "worse" and len(series) > RECENT_BLOCKS + 2:
             recent = self._sequential_test(guard, series[-RECENT_BLOCKS:], treated_names, control_names)
             if recent.verdict == "worse":
                 return recent
-        return stage_block
+        return whole_stage
 
     def _crash_reading(self, guard: Guard, treated_names: Sequence[str]) -> GuardReading:
-        """Read the guard of crashes: the most restarts of one treated member."""
-        most = max(
+        """Evaluate the guard `crashes`, which limits the restarts of each treated member."""
+        most_restarts = max(
             ((len(self.members[name].incarnations) - 1, name) for name in treated_names), default=(0, "")
         )
-        if most[0] >= guard.hard:
+        if most_restarts[0] >= guard.hard:
             return GuardReading(
-                guard.name, "worse", float(most[0]), why=f"{most[1]} has started {most[0]} times anew"
+                guard.name,
+                "worse",
+                float(most_restarts[0]),
+                why=f"{most_restarts[1]} has started {most_restarts[0]} times anew",
             )
-        return GuardReading(guard.name, "good" if treated_names else "more", float(most[0]))
+        return GuardReading(guard.name, "good" if treated_names else "more", float(most_restarts[0]))
 
     def _baseline(self, guard: int, name: str) -> float | None:
         baselines = self.members[name].baselines
         return baselines[guard] if baselines else None
 
     def _baselines(self, guard: int, names: Iterable[str]) -> dict[str, float]:
-        """Return the members' baselines; where one is unknown, the mean of the known ones."""
+        """Return the members' baselines, with the mean of the known ones for those that are unknown."""
         found = {name: self._baseline(guard, name) for name in names}
         baselined = [baseline for baseline in found.values() if baseline is not None]
-        usual_value = sum(baselined) / len(baselined) if baselined else 0.0
-        return {name: baseline if baseline is not None else usual_value for name, baseline in found.items()}
+        mean_baseline = sum(baselined) / len(baselined) if baselined else 0.0
+        return {name: baseline if baseline is not None else mean_baseline for name, baseline in found.items()}
 
     def _point(
-        self, terms: Mapping[str, WeightedMean], treated_names: Sequence[str], control_names: Sequence[str]
+        self,
+        differences: Mapping[str, WeightedMean],
+        treated_names: Sequence[str],
+        control_names: Sequence[str],
     ) -> ComparisonPoint | None:
-        """Compare one block of treated with control members; None where that is not possible."""
-        treated = weighted_mean(terms[name] for name in treated_names)
+        """Compare treated with control members in one block; None if there is no data for either side."""
+        treated = weighted_mean(differences[name] for name in treated_names)
         if treated is None:
             return None
-        overall = weighted_mean(terms[name] for name in control_names)
+        overall = weighted_mean(differences[name] for name in control_names)
         if overall is None:
             if self.members.keys() - self.treated:
-                return None  # there are untouched ones, and nothing is known of them
-            return ComparisonPoint(treated.value, treated.of, math.inf, treated.counting)
+                return None  # control members exist, but have no data for this block
+            return ComparisonPoint(treated.value, treated.denominator, math.inf, treated.counting_variance)
         zones: dict[str, float] = {}
         for name in treated_names:
             zone = self.members[name].zone
-            zones[zone] = zones.get(zone, 0.0) + terms[name].of / treated.of
-        value, of, counting = 0.0, 0.0, 0.0
+            zones[zone] = zones.get(zone, 0.0) + differences[name].denominator / treated.denominator
+        control_value, control_denominator, variance = 0.0, 0.0, 0.0
         for zone, share in zones.items():
             if share > 0:
-                same = weighted_mean(terms[name] for name in control_names if self.members[name].zone == zone)
-                use = same if same is not None else overall
-                value += share * use.value
-                counting += share * share * use.counting
-                of += use.of
-        return ComparisonPoint(treated.value - value, treated.of, of, treated.counting + counting)
+                same = weighted_mean(
+                    differences[name] for name in control_names if self.members[name].zone == zone
+                )
+                control = same if same is not None else overall
+                control_value += share * control.value
+                variance += share * share * control.counting_variance
+                control_denominator += control.denominator
+        return ComparisonPoint(
+            treated.value - control_value,
+            treated.denominator,
+            control_denominator,
+            treated.counting_variance + variance,
+        )
 
     def _hard_limit_reason(self, guard: Guard, series: Sequence[ComparisonPoint]) -> str:
-        """Return why the hard limit is exceeded; empty if it is not."""
+        """Return why the hard limit counts as exceeded; empty if it is not."""
         last = series[-HARD_BLOCKS:]
-        treated = sum(point.treated for point in last)
+        treated = sum(point.treated_requests for point in last)
         least = HARD_BLOCKS if guard.measure in MEMBER_MEASURES else HARD_REQUESTS
         if len(last) < HARD_BLOCKS or treated < least:
             return ""
         worse = [signed_worse(guard, point.value) for point in last]
         limit = guard.hard if guard.measure in SHARE_MEASURES else math.log(guard.hard)
-        noise = math.sqrt(max(point.counting for point in last))
+        noise = math.sqrt(max(point.counting_variance for point in last))
         if min(worse) >= limit and min(worse) > HARD_SIGMAS * noise:
             seen = f"worse by {describe(guard, min(worse))} in {HARD_BLOCKS * BLOCK_S} s"
             return f"{seen}, the hard limit is {describe(guard, limit)}"
@@ -258,39 +279,43 @@
         treated_names: Sequence[str],
         control_names: Sequence[str],
     ) -> GuardReading:
-        """Test the mean difference over a series of blocks against the guard's limits."""
-        requests = int(sum(point.treated for point in series))
-        few = guard.measure not in MEMBER_MEASURES and requests < self.plan.requests
-        if len(series) < MIN_BLOCKS or few:
+        """Test the mean difference over a series of blocks against the guard's limit `worse_by`."""
+        requests = int(sum(point.treated_requests for point in series))
+        too_few = guard.measure not in MEMBER_MEASURES and requests < self.plan.requests
+        if len(series) < MIN_BLOCKS or too_few:
             seen = f"{requests} requests in {len(series) * BLOCK_S} s"
             return GuardReading(
                 guard.name, "more", requests=requests, blocks=len(series), why=f"not enough seen: {seen}"
             )
-        mean, variance, alike = estimate(series)
+        mean, variance, effective_blocks = estimate(series)
         if control_names:
             member_variance = self._member_variance(guard, treated_names, control_names)
             variance += member_variance * (1 / len(treated_names) + 1 / len(control_names))
         else:
-            variance *= 4.0  # no untouched members: by its own past alone, in which days are not alike
+            variance *= 4.0  # without controls there is only the baseline, and conditions differ between days
         worse = signed_worse(guard, mean)
-        matters = guard.worse_by if guard.measure in SHARE_MEASURES else math.log(guard.worse_by)
-        stop = radius(variance, matters, self.alpha, alike)
-        good = radius(variance, matters, GOOD_ALPHA, alike)
-        description = f"worse by {describe(guard, worse)}, surely by {describe(guard, worse - stop)}"
-        found = GuardReading(guard.name, "more", worse, worse - stop, worse + stop, requests, len(series))
-        if worse - stop > MIN_CERTAIN_FRACTION * matters * (1 if control_names else 4):
-            return msgspec.structs.replace(found, verdict="worse", why=description)
-        matters *= self.slack(treated_names, control_names)
-        if worse + good < matters:
-            return msgspec.structs.replace(found, verdict="good")
-        may = f"it may be worse by {describe(guard, worse + good)}"
-        why = f"not enough seen: {may}, {describe(guard, matters)} matters"
-        return msgspec.structs.replace(found, why=why)
-
-    def slack(self, treated_names: Sequence[str], control_names: Sequence[str]) -> float:
-        """Return by how much a stage may exceed what matters: few members put few clients at risk.
-
-        A stage of half the members leaves nothing open. What is surely worse stops the rollout all the same.
+        min_effect = guard.worse_by if guard.measure in SHARE_MEASURES else math.log(guard.worse_by)
+        stop_radius = confidence_radius(variance, min_effect, self.alpha, effective_blocks)
+        pass_radius = confidence_radius(variance, min_effect, PASS_ALPHA, effective_blocks)
+        description = f"worse by {describe(guard, worse)}, surely by {describe(guard, worse - stop_radius)}"
+        reading = GuardReading(
+            guard.name, "more", worse, worse - stop_radius, worse + stop_radius, requests, len(series)
+        )
+        if worse - stop_radius > MIN_CERTAIN_FRACTION * min_effect * (1 if control_names else 4):
+            return msgspec.structs.replace(reading, verdict="worse", why=description)
+        min_effect *= self._slack(treated_names, control_names)
+        if worse + pass_radius < min_effect:
+            return msgspec.structs.replace(reading, verdict="good")
+        may = f"it may be worse by {describe(guard, worse + pass_radius)}"
+        why = f"not enough seen: {may}, {describe(guard, min_effect)} matters"
+        return msgspec.structs.replace(reading, why=why)
+
+    def _slack(self, treated_names: Sequence[str], control_names: Sequence[str]) -> float:
+        """Return the factor by which `worse_by` is widened for a stage to pass.
+
+        A stage with few members puts few clients at risk, so a larger difference may remain possible.
+        A stage of half the members or more gets no slack. Slack never keeps a significant regression from
+        stopping the rollout.
         """
         return min(
             MAX_SLACK, max(1.0, 0.5 * (len(treated_names) + len(control_names)) / max(1, len(treated_names)))
@@ -299,20 +324,20 @@
     def _member_variance(
         self, guard: Guard, treated_names: Sequence[str], control_names: Sequence[str]
     ) -> float:
-        """Return the variance of members' lasting differences from their side, less that of counting."""
-        squares, free, noise = 0.0, 0, []
+        """Return the variance between members of one side over the stage, less the counting variance."""
+        squares, degrees_of_freedom, noise = 0.0, 0, []
         for side in (treated_names, control_names):
             values = []
             for name in side:
                 baseline = self._baseline(self.plan.guards.index(guard), name)
-                amount, of = measure_block(guard, self.members[name].stage_block)
-                if baseline is not None and of > 0:
-                    values.append(scaled(guard, amount, of) - baseline)
-                    noise.append(counting_variance(guard, amount, of))
+                numerator, denominator = measure_block(guard, self.members[name].stage_block)
+                if baseline is not None and denominator > 0:
+                    values.append(scaled(guard, numerator, denominator) - baseline)
+                    noise.append(counting_variance(guard, numerator, denominator))
             if values:
                 mean = sum(values) / len(values)
                 squares += sum((value - mean) ** 2 for value in values)
-                free += len(values) - 1
-        if free < MIN_DEGREES_OF_FREEDOM:
+                degrees_of_freedom += len(values) - 1
+        if degrees_of_freedom < MIN_DEGREES_OF_FREEDOM:
             return 0.0
-        return max(0.0, squares / free - sum(noise) / len(noise))
+        return max(0.0, squares / degrees_of_freedom - sum(noise) / len(noise))
--- a/badgergap/rollout/blocks.py
+++ b/badgergap/rollout/blocks.py
@@ -1,4 +1,4 @@
-"""What members count in a block of time, and the measures that guards take of it."""
+"""Metrics that a member collects during one block of time, and how guards measure them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class RequestCounts(msgspec.Struct, array_like=True):
-    """Finished requests of one class. `good`: within the objective; `latency_ms`: sum of those answered."""
+    """Counts of the finished requests of one class.
+
+    `good` and `late` were answered within the latency objective and after it; `latency_ms` is the sum of the
+    latencies of both.
+    """
 
     requests: int = 0
     good: int = 0
@@ -28,9 +32,10 @@
 
 
 class MetricsBlock(msgspec.Struct, array_like=True):
-    """What one member did in BLOCK_S.
+    """Metrics of one member over BLOCK_S.
 
-    `incarnation` identifies its process, `rss_bytes` is its memory at the end of the block; 0: unknown.
+    `incarnation` identifies the process. `rss_bytes` is its resident memory at the end of the block. For
+    both, 0 means unknown.
     """
 
     classes: dict[str, RequestCounts] = {}
@@ -40,16 +45,16 @@
     incarnation: int = 0
 
     def of(self, request_class: str) -> RequestCounts:
-        """Return the counts of one class; of all classes for ""."""
+        """Return the counts of one class, or the sum over all classes for ""."""
         if request_class:
-            return self.classes.get(request_class, NOTHING)
+            return self.classes.get(request_class, NO_REQUESTS)
         total = RequestCounts()
         for counts in self.classes.values():
             total.add(counts)
         return total
 
     def merged(self, later: MetricsBlock) -> MetricsBlock:
-        """Return this block and a later one as one."""
+        """Return a block that combines this one with a later one."""
         classes = {name: msgspec.structs.replace(counts) for name, counts in self.classes.items()}
         for name, counts in later.classes.items():
             classes.setdefault(name, RequestCounts()).add(counts)
@@ -62,11 +67,11 @@
         )
 
 
-NOTHING = RequestCounts()
+NO_REQUESTS = RequestCounts()
 
 
 def measure_block(guard: Guard, block: MetricsBlock) -> tuple[float, float]:
-    """Return a measure's numerator and denominator in a block."""
+    """Return the numerator and denominator of a guard's measure in a block."""
     counts = block.of(guard.request_class)
     answered = counts.good + counts.late
     match guard.measure:
--- a/badgergap/rollout/compatibility.py
+++ b/badgergap/rollout/compatibility.py
@@ -1,17 +1,18 @@
-"""Which two settings gateways of a group may act on side by side during a rollout. Pure functions.
+"""Checks whether gateways of a group may run old and new settings side by side during a rollout.
 
-This allows more than `consensus.compatibility`, which says what must not be in force beside an older version:
-a rollout is started by an operator, takes a while, and can be rolled back. Not allowed are:
+The functions are pure. The rules are looser than those of `consensus.compatibility`, which lists what must
+not be in force beside an older version, because a rollout is started by an operator, is limited in time and
+can be rolled back. The following changes are not allowed:
 
-- changes to who owns an idempotent request: `once` is added, removed or shortened on a route; a route with
-  `once` leads elsewhere or matches other requests; another route comes before it; the class of such a route
-  changes whether its requests may be repeated;
-- a box that is removed or has another address: other gateways would still use it, or count it twice;
+- changes to the ownership of idempotent requests: `once` is added, removed or shortened on a route; a route
+  with `once` leads to another pool or matches other requests; another route is inserted before it; or the
+  class of such a route changes whether its requests may be retried;
+- an endpoint that is removed or gets another address: other gateways would still use it, or count it twice;
 - another order of the routes with `once`;
-- sections that this release does not know.
+- changed sections that this release does not support.
 
-Such a change is split: one half may live side by side and is rolled out in stages; the rest is published
-afterwards as a version, which is in force only once all members know it.
+A change that contains any of these is split: the compatible part is rolled out in stages, and the rest is
+published afterwards as a version, which comes into force only when all members have it.
 """
 
 from __future__ import annotations
@@ -23,32 +24,32 @@
 
 Tables = Mapping[str, Any]
 KNOWN_SECTIONS = ("limits", "fleet", "class", "route", "pool", "box")
-# Of a route that keeps keys: what says neither where a request with a key goes nor which requests are its.
+# Keys of a route with `once` that affect neither which requests it matches nor where keyed requests go.
 UNRESTRICTED_ROUTE_KEYS = frozenset(
     ("between_bytes", "failing", "join", "upload_limit", "answer_within", "whole_within")
 )
-FIXED_BOX_KEYS = ("address", "pool", "protocol")
+FIXED_ENDPOINT_KEYS = ("address", "pool", "protocol")
 
 
 def conflicts(older: Tables, newer: Tables) -> list[str]:
-    """Return why two settings must not be in force side by side, as text; empty where they may."""
+    """Return the reasons why two settings must not be in force side by side; empty if they may be."""
     found = [
         f"{section} has changed, which this program does not know"
         for section in sorted((older.keys() | newer.keys()) - set(KNOWN_SECTIONS))
         if older.get(section) != newer.get(section)
     ]
-    found += _box_conflicts(older, newer)
+    found += _endpoint_conflicts(older, newer)
     found += _route_conflicts(older, newer)
     return found
 
 
-def _box_conflicts(older: Tables, newer: Tables) -> list[str]:
+def _endpoint_conflicts(older: Tables, newer: Tables) -> list[str]:
     before, after = named(older.get("box")), named(newer.get("box"))
     found = [f"box {name} is gone" for name in before if name not in after]
     for name in before.keys() & after.keys():
         found += [
             f"box {name}: {key} goes from {before[name].get(key)!r} to {after[name].get(key)!r}"
-            for key in FIXED_BOX_KEYS
+            for key in FIXED_ENDPOINT_KEYS
             if before[name].get(key) != after[name].get(key)
         ]
     return sorted(found)
@@ -59,13 +60,13 @@
     found: list[str] = []
     for name in [*before, *(name for name in after if name not in before)]:
         old, new = before.get(name), after.get(name)
-        keeps = [bool(table and table.get("once")) for table in (old, new)]
-        if not any(keeps):
+        has_once = [bool(table and table.get("once")) for table in (old, new)]
+        if not any(has_once):
             continue
         if old is None or new is None:
             found.append(f"route {name}, which keeps keys, is {'new' if old is None else 'gone'}")
             continue
-        if keeps[0] != keeps[1] or (measure(new.get("once")) or 0) < (measure(old.get("once")) or 0):
+        if has_once[0] != has_once[1] or (measure(new.get("once")) or 0) < (measure(old.get("once")) or 0):
             found.append(f"route {name}: once goes from {old.get('once')!r} to {new.get('once')!r}")
         found += [f"route {name}, which keeps keys: {key} has changed" for key in _changed_keys(old, new)]
         if _routes_before(older, name) != _routes_before(newer, name):
@@ -92,22 +93,22 @@
 def split(older: Tables, newer: Tables) -> dict[str, Any] | None:
     """Return the part of `newer` that may be rolled out in stages; None if there is none.
 
-    What must not stand beside the older settings is left as it was. The result may be in force beside both
-    the older settings and the newer ones that are published afterwards.
+    Changes that conflict with the older settings are left out. The result may be in force beside both the
+    older settings and the newer ones that are published afterwards.
     """
     staged: dict[str, Any] = {key: newer[key] for key in newer if key in KNOWN_SECTIONS}
     for section in (older.keys() | newer.keys()) - set(KNOWN_SECTIONS):
         if section in older:
             staged[section] = older[section]
     before, after = named(older.get("box")), named(newer.get("box"))
-    boxes = [
-        {**table, **{key: before[name][key] for key in FIXED_BOX_KEYS if key in before[name]}}
-        if name in before and any(before[name].get(key) != table.get(key) for key in FIXED_BOX_KEYS)
+    endpoints = [
+        {**table, **{key: before[name][key] for key in FIXED_ENDPOINT_KEYS if key in before[name]}}
+        if name in before and any(before[name].get(key) != table.get(key) for key in FIXED_ENDPOINT_KEYS)
         else table
         for name, table in after.items()
     ]
-    staged["box"] = boxes + [table for name, table in before.items() if name not in after]
-    if _route_conflicts(older, newer):  # what belongs to whom hangs on all of them, and on their order
+    staged["box"] = endpoints + [table for name, table in before.items() if name not in after]
+    if _route_conflicts(older, newer):  # ownership of keyed requests depends on all routes and on their order
         for section in ("route", "class"):
             if section in older:
                 staged[section] = older[section]
--- a/badgergap/rollout/errors.py
+++ b/badgergap/rollout/errors.py
@@ -1,4 +1,4 @@
-"""The errors of staged rollouts. Failures of disks and sockets are plain `OSError`."""
+"""Exceptions of staged rollouts. Disk and socket failures are raised as plain `OSError`."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RolloutError(BadgergapError):
-    """Something went wrong in a staged rollout; the message says what."""
+    """Base class of the errors of staged rollouts."""
 
 
 class InvalidPlanError(RolloutError, ValueError):
-    """A change file or plan contradicts itself or names unknown members; the message names the key."""
+    """A change file or plan is invalid, or names unknown members. The message names the key."""
 
 
 class CommandNotAllowedError(RolloutError):
-    """An operator's command does not fit the rollout's phase; the message is for the operator."""
+    """A command is not allowed in the rollout's current phase. The message is shown to the operator."""
--- a/badgergap/rollout/messages.py
+++ b/badgergap/rollout/messages.py
@@ -1,4 +1,4 @@
-"""The messages that members exchange about a rollout, beside the group's log."""
+"""Messages that members exchange during a rollout, outside the group's log."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """From the leader, every HEARTBEAT_INTERVAL_US: the newest record in the log has this number."""
+    """Sent by the leader every HEARTBEAT_INTERVAL_US, with the number of the newest record in the log."""
 
     number: int
 
 
 class BlockReport(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """To the leader, at the end of each block."""
+    """Sent to the leader at the end of each block, with the member's metrics."""
 
     block: MetricsBlock
 
 
 class HistoryReport(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """To the leader: the blocks of this member before the rollout of this id began."""
+    """Sent to the leader: the blocks that this member recorded before the rollout `id` began."""
 
     id: str
     blocks: list[MetricsBlock]
 
 
 class HistoryRequest(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """From the leader: which blocks did you record before this rollout began?"""
+    """Sent by the leader to request the blocks that a member recorded before the rollout `id` began."""
 
     id: str
 
 
 class StartRollout(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """To the leader: start a rollout of `settings` over version `base_version`."""
+    """Sent to the leader to start a rollout of `settings` on top of version `base_version`."""
 
     id: str
     by: str
@@ -46,19 +46,19 @@
 
 
 class OperatorCommand(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """To the leader: pause, resume, stop or undo the rollout `id`."""
+    """Sent to the leader to pause, resume, stop or undo the rollout `id`."""
 
-    command_id: str  # its own id
+    command_id: str  # identifies this command
     id: str
     action: str
     by: str
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """The reply to `StartRollout` or `OperatorCommand`, by the id of either. `why` is empty on success."""
+    """The reply to the `StartRollout` or `OperatorCommand` that has this id."""
 
     id: str
-    why: str  # not; empty: it is done
+    why: str  # why the command was refused; empty on success
 
 
 Message = (
@@ -75,10 +75,10 @@
 
 
 def encode(message: Message) -> bytes:
-    """Encode a message as MessagePack."""
+    """Return the message encoded as MessagePack."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Decode a message. Raises msgspec.MsgspecError."""
+    """Return the decoded message. Raises msgspec.MsgspecError if it is malformed."""
     return _decoder.decode(data)
--- a/badgergap/rollout/metrics.py
+++ b/badgergap/rollout/metrics.py
@@ -1,4 +1,4 @@
-"""Counts what this gateway does, for the analysis of a rollout: an observer in front of another one."""
+"""Collects this gateway's metrics for the analysis of a rollout. The collector wraps another observer."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from badgergap.rollout.analysis import MAX_CLASSES
 from badgergap.rollout.blocks import MetricsBlock, RequestCounts
 
-PAGE = resource.getpagesize()
+PAGE_BYTES = resource.getpagesize()
 
 
 class MetricsCollector:
-    """Counts requests by class, and passes each event on to the next observer."""
+    """Counts requests by class, and forwards each event to the next observer."""
 
     def __init__(self, next_observer: Observer, incarnation: int) -> None:
         self.next_observer, self.incarnation = next_observer, incarnation
-        # By class number. Objectives are those of the old settings: a rollout must not move them.
+        # Indexed by class number. Objectives come from the old settings: a rollout must not change them.
         self.names: list[str] = []
         self.objectives_us: list[int] = []
         self.counts: dict[str, RequestCounts] = {}
@@ -27,16 +27,17 @@
         self.cpu_us = time.process_time_ns() // 1000
 
     def set_classes(self, classes: tuple[tuple[str, int], ...], objectives_us: Mapping[str, int]) -> None:
-        """Set the request classes: name and objective (µs), in the balancer's order.
+        """Set the request classes as pairs of name and objective (µs), in the balancer's order.
 
-        `objectives_us`, by name, take precedence: the rollout must not move the objectives it is analysed by.
+        `objectives_us`, by class name, takes precedence over the objectives in `classes`: a rollout must not
+        change the objectives that it is analysed by.
         """
         self.names = [name.partition("~")[0] for name, _ in classes]
         pairs = zip(self.names, classes, strict=True)
-        self.objectives_us = [objectives_us.get(name, own) for name, (_, own) in pairs]
+        self.objectives_us = [objectives_us.get(name, objective) for name, (_, objective) in pairs]
 
     def on_answered(self, now_us: int, request_class: int, status: int, latency_us: int, tenant: int) -> None:
-        """Count a request that was answered."""
+        """Count a request that received its final answer."""
         self.next_observer.on_answered(now_us, request_class, status, latency_us, tenant)
         counts = self._counts(request_class)
         if counts is None:
@@ -54,7 +55,7 @@
             counts.failed += 1
 
     def _counts(self, request_class: int) -> RequestCounts | None:
-        """Return the class' counts; None for an unknown class, or beyond MAX_CLASSES."""
+        """Return the counts of a class, or None if it is unknown or exceeds MAX_CLASSES."""
         if request_class >= len(self.names):
             return None
         counts = self.counts.get(self.names[request_class])
@@ -65,16 +66,16 @@
         return counts
 
     def on_client_left(self, now_us: int, request_class: int, tenant: int) -> None:
-        """Pass it on, uncounted: the client's decision says nothing about the settings."""
+        """Forward the event without counting it: a disconnect says nothing about the settings."""
         self.next_observer.on_client_left(now_us, request_class, tenant)
 
-    def on_attempt_ended(self, now_us: int, server: int, outcome: Outcome, latency_us: int) -> None:
+    def on_attempt_ended(self, now_us: int, endpoint_id: int, outcome: Outcome, latency_us: int) -> None:
         """Count an attempt at an endpoint."""
-        self.next_observer.on_attempt_ended(now_us, server, outcome, latency_us)
+        self.next_observer.on_attempt_ended(now_us, endpoint_id, outcome, latency_us)
         self.attempts += 1
 
     def take_block(self) -> MetricsBlock:
-        """Return what was counted since the last call, and begin anew."""
+        """Return the metrics collected since the last call, and reset them."""
         cpu_us = time.process_time_ns() // 1000
         block = MetricsBlock(
             self.counts, self.attempts, cpu_us - self.cpu_us, resident_bytes(), self.incarnation
@@ -84,6 +85,6 @@
 
 
 def resident_bytes() -> int:
-    """Return this process's resident memory in bytes."""
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm", "rb") as file:
-        return int(file.read().split()[1]) * PAGE
+        return int(file.read().split()[1]) * PAGE_BYTES
--- a/badgergap/rollout/statistics.py
+++ b/badgergap/rollout/statistics.py
@@ -1,4 +1,4 @@
-"""The statistics of a rollout's analysis: usual values, weighted means, confidence radii. Pure functions."""
+"""Statistics for the analysis of a rollout: baselines, weighted means, confidence radii. Pure functions."""
 
 from __future__ import annotations
 
@@ -10,130 +10,152 @@
 from badgergap.rollout.blocks import MetricsBlock, measure_block
 from badgergap.rollout.plan import MEMBER_MEASURES, SHARE_MEASURES, Guard
 
-POOL_REQUESTS = 50  # requests of which a share is taken
-MIN_POOLS = 8
-MAX_AUTOCORRELATION = 0.95  # that a block is like the one before it
+SAMPLE_REQUESTS = 50  # requests that one sample of a share or ratio needs at min_denominator
+MIN_SAMPLES = 8
+MAX_AUTOCORRELATION = 0.95  # cap on the correlation between consecutive blocks
 
 
 @dataclass(frozen=True, slots=True)
 class ComparisonPoint:
-    """One block's difference of treated from control members; `treated`, `untouched`: their requests."""
+    """The difference between treated and control members in one block.
+
+    For measures of a whole gateway, `treated_requests` and `control_requests` count members instead.
+    """
 
     value: float
-    treated: float  # requests
-    untouched: float
-    counting: float  # the variance that comes of counting alone
+    treated_requests: float
+    control_requests: float  # infinite without control members
+    counting_variance: float  # the part of the variance due to counting alone
 
     @property
     def weight(self) -> float:
-        """The weight in the mean: the harmonic combination of both sides' requests."""
+        """The weight in the mean, combined harmonically from both sides' requests."""
         return (
-            self.treated if math.isinf(self.untouched) else 1.0 / (1.0 / self.treated + 1.0 / self.untouched)
+            self.treated_requests
+            if math.isinf(self.control_requests)
+            else 1.0 / (1.0 / self.treated_requests + 1.0 / self.control_requests)
         )
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedMean:
-    """A mean, the number of requests it is `of`, and its counting variance."""
+    """A mean, its denominator (see `measure_block`) and its counting variance."""
 
     value: float
-    of: float
-    counting: float
+    denominator: float
+    counting_variance: float
 
 
-def usual_value(guard: Guard, blocks: Sequence[MetricsBlock]) -> float | None:
-    """A member's figure as it mostly was: what befell it now and then is left out. None: too little is known.
+def baseline_value(guard: Guard, blocks: Sequence[MetricsBlock]) -> float | None:
+    """Return a member's typical value of a measure, without outliers; None if there is too little data.
 
-    Blocks are taken together until each holds enough to have a figure, and of those the middle half counts.
+    Consecutive blocks are merged into samples that are large enough to be measured. The result is the mean
+    of the middle half of the samples.
     """
-    least = 1.0 if guard.measure in MEMBER_MEASURES else POOL_REQUESTS
-    pools: list[tuple[float, float]] = []
-    amount = of = 0.0
+    min_denominator = 1.0 if guard.measure in MEMBER_MEASURES else SAMPLE_REQUESTS
+    samples: list[tuple[float, float]] = []
+    numerator = denominator = 0.0
     for block in blocks:
-        more, of_more = measure_block(guard, block)
-        amount, of = amount + more, of + of_more
-        if of >= least:
-            pools.append((amount, of))
-            amount = of = 0.0
-    if len(pools) < MIN_POOLS:
+        block_numerator, block_denominator = measure_block(guard, block)
+        numerator, denominator = numerator + block_numerator, denominator + block_denominator
+        if denominator >= min_denominator:
+            samples.append((numerator, denominator))
+            numerator = denominator = 0.0
+    if len(samples) < MIN_SAMPLES:
         return None
-    values = sorted(scaled(guard, a, o) for a, o in pools)
+    values = sorted(scaled(guard, n, d) for n, d in samples)
     middle = values[len(values) // 4 : len(values) - len(values) // 4]
     return sum(middle) / len(middle)
 
 
-def scaled(guard: Guard, amount: float, of: float) -> float:
-    """Return a measure's value: a share, or the logarithm of a ratio."""
-    share = amount / of
+def scaled(guard: Guard, numerator: float, denominator: float) -> float:
+    """Return the value of a measure: a share, or the logarithm of a ratio."""
+    share = numerator / denominator
     return share if guard.measure in SHARE_MEASURES else math.log(max(share, 1e-9))
 
 
-def counting_variance(guard: Guard, amount: float, of: float) -> float:
-    """The variance of a figure that comes of counting: of shares binomial, of ratios a guess by 1/n."""
-    if of <= 0:
+def counting_variance(guard: Guard, numerator: float, denominator: float) -> float:
+    """Return the counting variance of a value: binomial for shares, approximated by 1/(4n) for ratios."""
+    if denominator <= 0:
         return 0.0
     if guard.measure in SHARE_MEASURES:
-        share = min(max(amount / of, 0.5 / of), 1 - 0.5 / of) if of > 1 else 0.5
-        return share * (1 - share) / of
-    return 0.0 if guard.measure in MEMBER_MEASURES else 0.25 / of
+        share = (
+            min(max(numerator / denominator, 0.5 / denominator), 1 - 0.5 / denominator)
+            if denominator > 1
+            else 0.5
+        )
+        return share * (1 - share) / denominator
+    return 0.0 if guard.measure in MEMBER_MEASURES else 0.25 / denominator
 
 
-def term(guard: Guard, block: MetricsBlock, baseline: float) -> WeightedMean:
-    """A member's figure in a block, less its usual one. Of nothing where it did nothing."""
-    amount, of = measure_block(guard, block)
-    if of <= 0:
+def baseline_difference(guard: Guard, block: MetricsBlock, baseline: float) -> WeightedMean:
+    """Return a member's value in a block minus its baseline; the denominator is 0 if there is no data."""
+    numerator, denominator = measure_block(guard, block)
+    if denominator <= 0:
         return WeightedMean(0.0, 0.0, 0.0)
-    return WeightedMean(scaled(guard, amount, of) - baseline, of, counting_variance(guard, amount, of))
+    return WeightedMean(
+        scaled(guard, numerator, denominator) - baseline,
+        denominator,
+        counting_variance(guard, numerator, denominator),
+    )
 
 
-def weighted_mean(terms: Iterable[WeightedMean]) -> WeightedMean | None:
-    """Weighted by what each is of; None: of nothing at all."""
-    total, value, counting = 0.0, 0.0, 0.0
-    for each in terms:
-        total += each.of
-        value += each.of * each.value
-        counting += each.of * each.of * each.counting
-    return WeightedMean(value / total, total, counting / total**2) if total > 0 else None
+def weighted_mean(differences: Iterable[WeightedMean]) -> WeightedMean | None:
+    """Return the mean weighted by the denominators; None if they are all 0."""
+    total, value, variance = 0.0, 0.0, 0.0
+    for each in differences:
+        total += each.denominator
+        value += each.denominator * each.value
+        variance += each.denominator * each.denominator * each.counting_variance
+    return WeightedMean(value / total, total, variance / total**2) if total > 0 else None
 
 
 def signed_worse(guard: Guard, value: float) -> float:
-    """Return by how much a difference is worse: of `service`, less is worse."""
+    """Return the difference with the sign at which positive is worse. For `service`, lower is worse."""
     return -value if guard.measure == "service" else value
 
 
 def estimate(series: Sequence[ComparisonPoint]) -> tuple[float, float, float]:
-    """The mean difference, its variance, and how many blocks that are not alike it rests on."""
+    """Return the weighted mean difference, its variance and the effective number of independent blocks.
+
+    The effective number is corrected for the weights and for the autocorrelation of consecutive blocks.
+    """
     weights = [point.weight for point in series]
     total = sum(weights)
     mean = sum(w * point.value for w, point in zip(weights, series, strict=True)) / total
-    apart = [point.value - mean for point in series]
-    scatter = sum(w * x * x for w, x in zip(weights, apart, strict=True)) / total
+    deviations = [point.value - mean for point in series]
+    scatter = sum(w * x * x for w, x in zip(weights, deviations, strict=True)) / total
     blocks = total**2 / sum(w * w for w in weights)
-    after = sum(a * b for a, b in pairwise(apart))
-    before = sum(x * x for x in apart)
-    like = after / before if before > 0 else 0.0
-    like = min(
-        MAX_AUTOCORRELATION, max(0.0, like + (1 + 3 * like) / len(series))
-    )  # a short series shows too little
-    alike = max(1.0, blocks * (1 - like) / (1 + like))
-    seen = scatter / max(1.0, alike - 1.0)
-    counted = sum((w / total) ** 2 * point.counting for w, point in zip(weights, series, strict=True))
-    return mean, max(seen, counted, 1e-12), alike
-
-
-def radius(variance: float, matters: float, alpha: float, alike: float) -> float:
-    """Half the width of an interval that holds at all times together, for a mean that is nearly normal.
-
-    `matters`: the difference that the mixture is laid out for. Few blocks say little of the noise.
+    lagged = sum(a * b for a, b in pairwise(deviations))
+    squares = sum(x * x for x in deviations)
+    autocorrelation = lagged / squares if squares > 0 else 0.0
+    autocorrelation = min(
+        MAX_AUTOCORRELATION, max(0.0, autocorrelation + (1 + 3 * autocorrelation) / len(series))
+    )  # bias correction: a short series underestimates autocorrelation
+    effective_blocks = max(1.0, blocks * (1 - autocorrelation) / (1 + autocorrelation))
+    observed_variance = scatter / max(1.0, effective_blocks - 1.0)
+    counting_floor = sum(
+        (w / total) ** 2 * point.counting_variance for w, point in zip(weights, series, strict=True)
+    )
+    return mean, max(observed_variance, counting_floor, 1e-12), effective_blocks
+
+
+def confidence_radius(variance: float, min_effect: float, alpha: float, effective_blocks: float) -> float:
+    """Return half the width of an interval that holds at all times together, for a nearly normal mean.
+
+    `min_effect` is the difference that the mixture is tuned to. The result is widened when there are few
+    effective blocks, as these give a poor estimate of the noise.
     """
-    spread = matters * matters
-    grown = variance * (variance + spread) / spread
-    wide = math.sqrt(grown * (math.log((variance + spread) / variance) + 2 * math.log(1 / alpha)))
-    return wide * (1 + 4 / alike)
+    spread = min_effect * min_effect
+    widened_variance = variance * (variance + spread) / spread
+    half_width = math.sqrt(
+        widened_variance * (math.log((variance + spread) / variance) + 2 * math.log(1 / alpha))
+    )
+    return half_width * (1 + 4 / effective_blocks)
 
 
 def describe(guard: Guard, value: float) -> str:
-    """Return a difference as operators read it, in points or as a ratio."""
+    """Return a difference as text for operators, in points or as a ratio."""
     if guard.measure in SHARE_MEASURES:
         return f"{100 * value:.2f} points"
     return f"{math.exp(value):.2f} times"
