--- a/badgergap/rollout/commands.py
+++ b/badgergap/rollout/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on rollouts, as any member's admin socket takes them: JSON in, JSON out."""
+"""Operators' commands on rollouts, received on any member's admin socket. Input and output are JSON."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RolloutCommands:
-    """Handlers by the name of the operation. They raise CommandRefusedError for what cannot be done."""
+    """Handlers of the admin operations, by name. They raise CommandRefusedError if they cannot be done."""
 
     def __init__(self, service: RolloutService) -> None:
         self.service = service
@@ -43,14 +43,14 @@
         return self.service.group
 
     async def call(self, op: str, arguments: Arguments) -> Any:
-        """Run an operation. Raises CommandRefusedError, also for arguments that are missing or invalid."""
+        """Run an operation. Raises CommandRefusedError, also for missing or invalid arguments."""
         try:
             return await self.handlers[op](arguments)
         except (KeyError, TypeError, ValueError, msgspec.MsgspecError) as error:
             raise CommandRefusedError(f"the call {op} lacks something: {error}") from None
 
     def _read(self, arguments: Arguments) -> tuple[Plan, str, Mapping[str, Any], Mapping[str, Any]]:
-        """The plan, the new settings as text, the old and the new tables."""
+        """Return the plan, the new settings as text, the old tables and the new tables."""
         member = self.group.member
         if member is None:
             raise CommandRefusedError("this gateway is no member of its group at the moment")
@@ -61,7 +61,7 @@
         return plan, encode_tables(tables), decode_tables(member.state.newest.settings), tables
 
     async def check(self, arguments: Arguments) -> Any:
-        """Show a rollout's conflicts, stages and least durations, and guards that would see too little."""
+        """Return a rollout's conflicts, its stages with least durations, and guards with too little data."""
         plan, body, older, newer = self._read(arguments)
         why = await self._objections(body, older, newer)
         try:
@@ -96,7 +96,7 @@
         return []
 
     def _split_advice(self, older: Mapping[str, Any], newer: Mapping[str, Any]) -> list[str]:
-        """Return how operators may split settings that conflict."""
+        """Return instructions for splitting settings that conflict."""
         conflicts = compatibility.conflicts(older, newer)
         if not conflicts:
             return []
@@ -109,7 +109,7 @@
         ]
 
     def _request_rates(self) -> dict[str, float]:
-        """Return the requests per second of this gateway's classes, over the last blocks."""
+        """Return the requests per second of each class on this gateway, averaged over the last blocks."""
         blocks = list(self.service.blocks)[-6:] or self.service.baseline[1][-6:]
         found: dict[str, float] = {}
         for block in blocks:
@@ -118,15 +118,15 @@
         return found
 
     def _min_stage_s(self, plan: Plan, names: tuple[str, ...], request_rates: Mapping[str, float]) -> float:
-        """Return the least duration of a stage, if all members are as busy as this one."""
+        """Return the least duration of a stage, assuming that all members are as busy as this one."""
         rate = sum(request_rates.values()) * len(names)
-        enough_s = plan.requests / rate if rate else float("inf")
-        return min(plan.max_stage_us / 1e6, max(plan.min_stage_us / 1e6, enough_s, MIN_BLOCKS * BLOCK_S))
+        sampling_s = plan.requests / rate if rate else float("inf")
+        return min(plan.max_stage_us / 1e6, max(plan.min_stage_us / 1e6, sampling_s, MIN_BLOCKS * BLOCK_S))
 
     def _blind_guards(
         self, plan: Plan, stages: tuple[tuple[str, ...], ...], request_rates: Mapping[str, float]
     ) -> list[str]:
-        """Return the guards that would not see enough within `longest` at the current load."""
+        """Return the guards that would get too few requests within `longest` at the current load."""
         found = []
         for number, names in enumerate(stages):
             for guard in plan.guards:
@@ -137,24 +137,26 @@
                     if not guard.request_class
                     else request_rates.get(guard.request_class, 0.0)
                 )
-                seen = rate * len(names) * plan.max_stage_us / 1e6
-                if seen < plan.requests:
+                expected = rate * len(names) * plan.max_stage_us / 1e6
+                if expected < plan.requests:
                     effect = "the stage would pause" if guard.required else "it would stop nothing"
-                    found.append(f"stage {number + 1}: {guard.name} would see {seen:.0f} requests: {effect}")
+                    found.append(
+                        f"stage {number + 1}: {guard.name} would see {expected:.0f} requests: {effect}"
+                    )
         return found
 
     async def start(self, arguments: Arguments) -> Any:
-        """Start a rollout, and return its id."""
+        """Start a rollout, and return its id and name."""
         plan, body, older, newer = self._read(arguments)
         why = await self._objections(body, older, newer)
         if why:
             raise CommandRefusedError("; ".join([*why, *self._split_advice(older, newer)]))
         member = self.group.member
         assert member is not None
-        base = member.state.newest.settings_at
+        base_version = member.state.newest.settings_at
         id = str(arguments.get("id") or uuid.uuid4().hex)
         reason = str(arguments.get("reason") or "")
-        await self.service.commands.start_rollout(id, plan, str(arguments["by"]), reason, base, body)
+        await self.service.commands.start_rollout(id, plan, str(arguments["by"]), reason, base_version, body)
         return {"id": id, "name": plan.name}
 
     async def steer(self, arguments: Arguments) -> Any:
@@ -168,7 +170,7 @@
         return {"id": rollout.id, "name": rollout.plan.name}
 
     async def status(self, arguments: Arguments) -> Any:
-        """Show the current rollout as this member sees it."""
+        """Return the current rollout and its status as this member sees it."""
         rollout = self.service.rollout
         status = self.service.status()
         return {
@@ -190,16 +192,16 @@
         }
 
     async def history(self, arguments: Arguments) -> Any:
-        """Show earlier rollouts and the current one."""
-        runs = [
+        """Return earlier rollouts and the current one."""
+        rollouts = [
             *self.service.stored.history,
             *([self.service.rollout] if self.service.rollout is not None else []),
         ]
-        return {"changes": [rollout_to_json(rollout) for rollout in runs]}
+        return {"changes": [rollout_to_json(rollout) for rollout in rollouts]}
 
 
 def rollout_to_json(rollout: RolloutState) -> dict[str, Any]:
-    """Return a rollout with the keys that operators' tools read."""
+    """Return a rollout as JSON, with the keys that operators' tools read."""
     return {
         "id": rollout.id,
         "name": rollout.plan.name,
--- a/badgergap/rollout/leader_commands.py
+++ b/badgergap/rollout/leader_commands.py
@@ -1,6 +1,7 @@
-"""The leader's side of operators' commands: starts, pauses, resumes, stops and undoes a rollout.
+"""Handles operators' commands on the leader: starts, pauses, resumes, stops and undoes a rollout.
 
-A command may arrive several times, as its sender repeats it until it is answered: answers are kept by id.
+The sender repeats a command until it gets a reply, so a command may arrive several times. Replies are kept by
+command id and sent again for duplicates.
 """
 
 from __future__ import annotations
@@ -22,30 +23,30 @@
 if TYPE_CHECKING:
     from badgergap.rollout.service import RolloutService
 
-# Keys of the group's log: the rollouts, and the settings of the current one.
+# Keys in the group's log: the record of rollouts, and the settings of the current rollout.
 COMPONENT, SETTINGS_COMPONENT = "staged", "staged body"
-RETRY_US = 1_000_000  # until a step that is not in the log is proposed again
+RETRY_US = 1_000_000  # delay before a step that is not in the log yet is proposed again
 MAX_REPLIES = 64
 
 
 class LeaderCommands:
-    """Commands that this member has received as the leader."""
+    """Executes the commands that this member receives as the leader."""
 
     def __init__(self, service: RolloutService) -> None:
         self._service = service
-        self.pending_start: StartRollout | None = None  # accepted, and not in the log yet
+        self.pending_start: StartRollout | None = None  # accepted, but not in the log yet
         self.pending_start_us = 0
-        self.replies: OrderedDict[str, str] = OrderedDict()  # by the id of the command; "": success
+        self.replies: OrderedDict[str, str] = OrderedDict()  # by command id; "" means success
 
     def _reply(self, name: str, id: str, why: str) -> None:
-        """Answer a command, and keep the answer for those that are sent again."""
+        """Reply to a command, and keep the reply for duplicates of it."""
         self.replies[id] = why
         while len(self.replies) > MAX_REPLIES:
             self.replies.popitem(last=False)
         self._service.send(name, CommandReply(id, why))
 
     def on_start(self, name: str, message: StartRollout) -> None:
-        """Accept the start of a rollout, or answer why not. Ignored where this member does not lead."""
+        """Accept the start of a rollout, or reply with the reason for refusal. Ignored unless leading."""
         if not self._service.is_leading:
             return
         rollout = self._service.rollout
@@ -61,9 +62,9 @@
             self.pending_start, self.pending_start_us = message, clock_us()
 
     def start_pending(self, now_us: int, message: StartRollout) -> None:
-        """Store the settings in the group's log first, then the rollout that names them.
+        """Store the settings in the group's log, then the rollout that refers to them.
 
-        Called on each tick until the rollout is stored, or the operator's request has timed out.
+        Called on each tick until the rollout is stored, or the operator's command has timed out.
         """
         rollout = self._service.rollout
         is_superseded = rollout is not None and (rollout.id == message.id or rollout.in_progress)
@@ -74,7 +75,7 @@
             self._store_settings(now_us, message)
             return
         try:
-            begun = controller.start_rollout(
+            started = controller.start_rollout(
                 message.id,
                 message.by,
                 message.reason,
@@ -88,10 +89,10 @@
             self.pending_start = None
             return
         history = self._service.stored.history + ((rollout,) if rollout is not None else ())
-        self._service.propose(now_us, StoredRollouts(rollout=begun, history=history[-MAX_HISTORY:]))
+        self._service.propose(now_us, StoredRollouts(rollout=started, history=history[-MAX_HISTORY:]))
 
     def _store_settings(self, now_us: int, message: StartRollout) -> None:
-        """Propose the rollout's settings to the log, at most once in RETRY_US."""
+        """Propose the rollout's settings to the log, at most once per RETRY_US."""
         service = self._service
         proposed_number, proposed_us = service.proposed
         if now_us - proposed_us > RETRY_US or proposed_number != 0:
@@ -100,7 +101,7 @@
             service.group.store_component_state(SETTINGS_COMPONENT, service.settings_number + 1, record)
 
     def on_command(self, name: str, message: OperatorCommand) -> None:
-        """Carry out an operator's command, or answer why not. Ignored where this member does not lead."""
+        """Execute an operator's command, or reply with the reason for refusal. Ignored unless leading."""
         if not self._service.is_leading:
             return
         if message.command_id in self.replies:
@@ -115,19 +116,19 @@
         except CommandNotAllowedError as error:
             self._reply(name, message.command_id, str(error))
             return
-        # It is answered once it is in the log: a leader that is none any more proposes in vain.
+        # Reply only once the step is in the log: proposals of a deposed leader are lost.
         self._service.proposed = (0, 0)
         self._service.propose(clock_us(), msgspec.structs.replace(self._service.stored, rollout=step))
-        self._service.spawn(self._reply_once_stored(name, message, self._service.number + 1, step))
+        self._service.spawn(self._reply_once_stored(name, message, self._service.record_number + 1, step))
 
     async def _reply_once_stored(
         self, name: str, message: OperatorCommand, number: int, step: RolloutState
     ) -> None:
-        """Answer with success once the group's log holds the step."""
-        until = time.monotonic() + RESEND_INTERVAL_S
-        while time.monotonic() < until:
-            if self._service.number >= number:
+        """Reply with success once the group's log holds the step."""
+        deadline_s = time.monotonic() + RESEND_INTERVAL_S
+        while time.monotonic() < deadline_s:
+            if self._service.record_number >= number:
                 if self._service.rollout == step:
                     self._reply(name, message.command_id, "")
-                return  # else another step came before it: it is said again
+                return  # if another step was stored first, the sender repeats the command
             await asyncio.sleep(0.01)
--- a/badgergap/rollout/messages.py
+++ b/badgergap/rollout/messages.py
@@ -12,7 +12,7 @@
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
     """Sent by the leader every HEARTBEAT_INTERVAL_US, with the number of the newest record in the log."""
 
-    number: int
+    record_number: int
 
 
 class BlockReport(msgspec.Struct, frozen=True, array_like=True, tag="d"):
--- a/badgergap/rollout/plan.py
+++ b/badgergap/rollout/plan.py
@@ -1,4 +1,4 @@
-"""Change files and rollout plans: stages, times and guards, and which members a stage treats. Pure functions.
+"""Change files and rollout plans: stages, durations, guards, and the members of each stage. Pure functions.
 
 Stages are cumulative. Each is a count, a percentage, "half", "all", or a list of names. The last is "all".
 """
@@ -17,9 +17,9 @@
 from badgergap.site.schema import Duration, decode
 
 Measure = Literal["service", "failed", "refused", "late", "latency", "tries", "memory", "cpu", "crashes"]
-# Differences are of shares, in points of one; the others are ratios.
+# Compared by the difference of shares, as fractions of 1; the other measures are compared as ratios.
 SHARE_MEASURES = frozenset(("service", "failed", "refused", "late"))
-MEMBER_MEASURES = frozenset(("memory", "crashes"))  # of a gateway as a whole, never of a class
+MEMBER_MEASURES = frozenset(("memory", "crashes"))  # of a whole gateway; cannot be limited to a class
 MAX_STAGES = 20
 MAX_GUARDS = 32
 
@@ -35,24 +35,24 @@
 ):
     """A limit on one measure that the treated members must keep.
 
-    `worse_by` is the smallest difference that matters, `hard` one that ends the rollout at once: both are
-    points of one for SHARE_MEASURES, otherwise ratios; 0 stands for the default. A stage does not pass
-    before each `required` guard has seen enough requests.
+    `worse_by` is the smallest relevant difference, `hard` the difference that ends the rollout at once. Both
+    are fractions of 1 for SHARE_MEASURES and ratios otherwise; 0 stands for the default. A stage does not
+    pass before each `required` guard has seen enough requests.
     """
 
     measure: Measure
-    request_class: str = ""  # "": all
+    request_class: str = ""  # "": all classes
     worse_by: Annotated[float, msgspec.Meta(gt=0.0)] = 0.0
     hard: Annotated[float, msgspec.Meta(gt=0.0)] = 0.0
     required: bool = True
 
     @property
     def name(self) -> str:
-        """The guard as operators see it: the measure, and the request class if there is one."""
+        """The name shown to operators: the measure, and the request class if there is one."""
         return f"{self.measure} of {self.request_class}" if self.request_class else self.measure
 
 
-# By measure: (worse_by, hard). Shares in points of one; ratios to the untouched members.
+# (worse_by, hard) by measure: shares as fractions of 1, others as ratios to the control members.
 DEFAULT_LIMITS: dict[str, tuple[float, float]] = {
     "service": (0.01, 0.2),
     "failed": (0.01, 0.2),
@@ -62,17 +62,17 @@
     "tries": (1.15, 3.0),
     "memory": (1.5, 3.0),
     "cpu": (1.3, 4.0),
-    "crashes": (1.0, 2.0),  # restarts of one member that is treated, within a stage
+    "crashes": (1.0, 2.0),  # restarts of one treated member within a stage
 }
 DEFAULT_GUARDS: tuple[Measure, ...] = ("service", "latency", "tries", "memory", "cpu", "crashes")
 REQUIRED_MEASURES: frozenset[str] = frozenset(("service",))
 
 
 class ChangeFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A change file (TOML) as operators write it. Durations are in microseconds once read."""
+    """A change file (TOML) as operators write it. Parsed durations are in microseconds."""
 
     name: Text
-    settings: Text  # an operator file; its own tables are left
+    settings: Text  # path of an operator file; tables not shared by the group are ignored
     reason: Annotated[str, msgspec.Meta(max_length=1000)] = ""
     stages: Annotated[list[Stage], msgspec.Meta(min_length=1, max_length=MAX_STAGES)] = msgspec.field(
         default_factory=lambda: [1, "half", "all"]
@@ -90,10 +90,10 @@
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True):
-    """A plan as the group's log stores it. Times are in microseconds."""
+    """A plan as stored in the group's log."""
 
     name: str
-    stages: tuple[str, ...]  # as `spelt` writes them
+    stages: tuple[str, ...]  # in the form that `to_plan` writes: names are joined by commas
     min_stage_us: int
     max_stage_us: int
     requests: int
@@ -105,14 +105,14 @@
 
 
 class MemberPlacement(msgspec.Struct, frozen=True, array_like=True):
-    """A member of the group and the zone that it stands in."""
+    """A member of the group and its zone."""
 
     name: str
     zone: str = ""
 
 
 def read_plan(text: str, file: str) -> tuple[Plan, ChangeFile]:
-    """Parse the text of a change file. Raises InvalidPlanError, which names the file and the key."""
+    """Parse the text of a change file. Raises InvalidPlanError with the file and the key in its message."""
     try:
         raw = tomllib.loads(text)
         change_file = msgspec.convert(raw, ChangeFile, dec_hook=decode)
@@ -120,12 +120,12 @@
         raise InvalidPlanError(f"{file}: no TOML: {error}") from None
     except msgspec.ValidationError as error:
         raise InvalidPlanError(f"{file}: {error}") from None
-    for key, why in _contradictions(change_file):
+    for key, why in _plan_errors(change_file):
         raise InvalidPlanError(f"{file}: {key}: {why}")
     return to_plan(change_file), change_file
 
 
-def _contradictions(change_file: ChangeFile) -> Iterable[tuple[str, str]]:
+def _plan_errors(change_file: ChangeFile) -> Iterable[tuple[str, str]]:
     for number, stage in enumerate(change_file.stages):
         why = _stage_error(stage)
         if why:
@@ -165,7 +165,7 @@
 
 
 def to_plan(change_file: ChangeFile) -> Plan:
-    """Build the stored plan of a change file, with default guards and limits filled in."""
+    """Return the plan of a change file, with default guards and limits filled in."""
     guards = change_file.guards or [
         Guard(measure, required=measure in REQUIRED_MEASURES) for measure in DEFAULT_GUARDS
     ]
@@ -189,7 +189,7 @@
 
 
 def interleave_zones(placements: Iterable[MemberPlacement]) -> list[MemberPlacement]:
-    """Order members by taking one of each zone in turn, so that each stage leaves a control in its zones."""
+    """Order members round-robin over zones, so that each stage leaves control members in its zones."""
     zones: dict[str, list[MemberPlacement]] = {}
     for placement in sorted(placements, key=lambda placement: placement.name):
         zones.setdefault(placement.zone, []).append(placement)
@@ -198,9 +198,10 @@
 
 
 def cumulative_stages(plan: Plan, placements: Sequence[MemberPlacement]) -> tuple[tuple[str, ...], ...]:
-    """Return who is treated at the end of each stage, in order. Raises InvalidPlanError for unknown names.
+    """Return the treated members at the end of each stage, in order of treatment.
 
-    Before the last stage no zone of two or more is treated whole, as far as a stage does not name who is.
+    Before the last stage, no zone of two or more members is treated completely, unless a stage names its
+    members. Raises InvalidPlanError for unknown names.
     """
     ordered, stages = interleave_zones(placements), []
     member_names = {placement.name for placement in ordered}
@@ -219,33 +220,33 @@
             for placement in ordered:
                 if len(treated) >= target_size:
                     break
-                if placement.name not in treated and not _last_of_zone(placement, ordered, treated):
+                if placement.name not in treated and not _is_last_of_zone(placement, ordered, treated):
                     treated.append(placement.name)
         stages.append(tuple(treated))
     return tuple(stages)
 
 
 def stage_size(stage: str, members: int) -> int:
-    """Return how many of `members` a stage that is no list of names treats: at least 1."""
+    """Return how many of `members` a stage without a list of names treats, at least 1."""
     if stage == "all":
         return members
     share = 0.5 if stage == "half" else float(stage.removesuffix("%")) / 100 if "%" in stage else 0.0
     return max(1, math.ceil(share * members)) if share else min(int(stage), members)
 
 
-def _last_of_zone(
+def _is_last_of_zone(
     placement: MemberPlacement, placements: Sequence[MemberPlacement], treated: Sequence[str]
 ) -> bool:
-    there = [other.name for other in placements if other.zone == placement.zone]
-    return len(there) > 1 and all(name in treated for name in there if name != placement.name)
+    zone_members = [other.name for other in placements if other.zone == placement.zone]
+    return len(zone_members) > 1 and all(name in treated for name in zone_members if name != placement.name)
 
 
-# Plan attributes whose key in the JSON of the admin socket is older than their name.
+# Plan attributes whose key in the admin socket's JSON differs from their name.
 _JSON_KEYS = {"min_stage_us": "least_us", "max_stage_us": "longest_us", "unreachable_us": "away_us"}
 
 
 def plan_to_json(plan: Plan) -> dict[str, Any]:
-    """Return the plan as the admin socket shows it; guards are given by name only."""
+    """Return the plan as shown on the admin socket, with guards by name only."""
     fields = {_JSON_KEYS.get(key, key): value for key, value in msgspec.structs.asdict(plan).items()}
     fields["guards"] = [guard.name for guard in plan.guards]
     return fields
--- a/badgergap/rollout/service.py
+++ b/badgergap/rollout/service.py
@@ -1,8 +1,8 @@
-"""Connects the rollout's state machine and analysis to the clock, the group's log and the links of a member.
+"""Connects the rollout's state machine and analysis to a member's clock, log and links.
 
-No decision is made here. Every member applies what the group's log says of the rollout for as long as it gets
-heartbeats from the leader. The leader also hands the members' reports to the analysis and the controller, and
-proposes the next step to the log.
+Decisions are made by the controller and the analysis. Every member applies the rollout in the group's log for
+as long as it gets heartbeats from the leader. The leader also passes the members' reports to the analysis and
+the controller, and proposes the next step to the log.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 class RolloutService:
-    """A member's part in rollouts; a component of its group and of its proxy."""
+    """Runs rollouts on one member. It is a component of the member's group and proxy."""
 
     def __init__(
         self,
@@ -64,72 +64,72 @@
         metrics: MetricsCollector,
         classes: Callable[[], tuple[tuple[str, int], ...]],
     ) -> None:
-        """`classes` gives the name and objective (µs) of the current classes, in the balancer's order."""
+        """`classes` returns the names and objectives (µs) of the current classes, in the balancer's order."""
         self.group, self.metrics, self.classes = group, metrics, classes
-        self.number, self.stored = 0, StoredRollouts()
-        self.settings_number, self.settings = 0, ("", "")  # rollout's id, and the settings
-        self.unreadable = ""  # why the log's record cannot be read: no rollout is taken part in
-        self.heartbeat_us = 0  # when the leader last confirmed that the log here is current
-        self.failed = ("", "")  # rollout's id, and why its settings cannot be loaded here
+        self.record_number, self.stored = 0, StoredRollouts()
+        self.settings_number, self.settings = 0, ("", "")  # the rollout's id, and its settings
+        self.unreadable = ""  # why the log's record cannot be read; if set, no rollout is applied here
+        self.heartbeat_us = 0  # when the leader last confirmed that this member's log is current
+        self.load_failure = ("", "")  # the rollout's id, and why its settings cannot be loaded
         self.blocks: deque[MetricsBlock] = deque(maxlen=BASELINE_BLOCKS)
         self.baseline: tuple[str, list[MetricsBlock]] = ("", [])
         self.next_block_us = 0
-        # As the leader
+        # State of the leader
         self.is_leading = False
-        self.since_us = 0
+        self.step_since_us = 0
         self.statuses: dict[str, tuple[MemberStatus, int]] = {}
         self.analysis: RolloutAnalysis | None = None
-        self.analysed_step: tuple[str, int] = ("", 0)  # rollout's id, and the record's number
-        self.history_requested_us: dict[str, int] = {}  # when each member was last asked for its history
+        self.analysed_step: tuple[str, int] = ("", 0)  # the rollout's id, and the number of the record
+        self.history_requested_us: dict[str, int] = {}  # last request to each member; -1: received
         self.verdict: Verdict | None = None
-        self.block = 0
+        self.last_block = 0
         self.next_heartbeat_us = 0
-        self.proposed: tuple[int, int] = (0, 0)  # the record's number, and when
-        self.publishing: asyncio.Task[None] | None = None
-        self.publish_error = ("", "")  # rollout's id, and why its settings became no version
+        self.proposed: tuple[int, int] = (0, 0)  # the number of the record, and when it was proposed
+        self.publish_task: asyncio.Task[None] | None = None
+        self.publish_error = ("", "")  # the rollout's id, and why its settings were not published
         self.commands = CommandClient(self.leader, self.send)
         self.leader_commands = LeaderCommands(self)
         self.tasks: set[asyncio.Task[Any]] = set()
         self.notify: Callable[[str], None] = lambda text: None
 
-    # Component of the group and the proxy
+    # Interface of components of the group and the proxy
 
     def join(self, proxy: Proxy) -> None:
-        """Register with the group, and overlay its settings with those of a rollout."""
+        """Register with the group, and overlay its settings with those of the rollout."""
         self.group.components[COMPONENT] = self
         self.group.versions.overlay = self.effective_settings
         self.group.versions.overlay_failed = self.overlay_failed
-        self._follow()
+        self._update_classes()
 
     async def start(self) -> None:
-        """Start the periodic work."""
+        """Start the periodic tick."""
         self.next_block_us = clock_us() + BLOCK_S * 1_000_000
         self.spawn(self._run_ticks())
 
     def reload(self, config: Config) -> None:
-        """Take up classes that have changed."""
-        self._follow()
+        """Update the request classes after a reload."""
+        self._update_classes()
 
     async def close(self) -> None:
-        """Cancel the periodic work."""
+        """Cancel all tasks."""
         for task in list(self.tasks):
             task.cancel()
 
-    def _follow(self) -> None:
-        """Analyse requests by the objectives of the settings that the group has agreed on."""
-        aims: dict[str, int] = {}
+    def _update_classes(self) -> None:
+        """Update the classes, with the objectives of the settings that the group has agreed on."""
+        objectives_us: dict[str, int] = {}
         try:
             for table in decode_tables(self.group.versions.acting_on.settings).get("class") or []:
-                aims[str(table["name"])] = int(parse_duration(table["wanted_within"]))
+                objectives_us[str(table["name"])] = int(parse_duration(table["wanted_within"]))
         except (KeyError, ValueError, TypeError, msgspec.MsgspecError):
-            aims = {}
-        self.metrics.set_classes(self.classes(), aims)
+            objectives_us = {}
+        self.metrics.set_classes(self.classes(), objectives_us)
 
-    # What this gateway acts on
+    # The settings in effect on this gateway
 
     @property
     def rollout(self) -> RolloutState | None:
-        """The current or last rollout, as this member knows it."""
+        """The current or last rollout in this member's log."""
         return self.stored.rollout
 
     @property
@@ -138,11 +138,11 @@
         return self.group.options.settings.name
 
     def _has_recent_heartbeat(self, now_us: int) -> bool:
-        """Whether the leader has said lately that what is in the log here is the newest."""
+        """Return whether the leader has recently confirmed that this member's log is current."""
         return self.heartbeat_us > 0 and now_us - self.heartbeat_us <= HEARTBEAT_TIMEOUT_US
 
     def effective_settings(self, settings: str) -> str:
-        """Return the settings to act on: those of the rollout if this member is treated, else `settings`."""
+        """Return the rollout's settings if this member has to apply them, else `settings`."""
         rollout = self.rollout
         if (
             rollout is None
@@ -152,7 +152,7 @@
         ):
             return settings
         if (
-            self.failed[0] == rollout.id
+            self.load_failure[0] == rollout.id
             or self.settings[0] != rollout.id
             or not self._has_recent_heartbeat(clock_us())
         ):
@@ -160,25 +160,25 @@
         return self.settings[1]
 
     def overlay_failed(self, why: str) -> None:
-        """Record that the rollout's settings cannot be loaded here."""
+        """Record that the rollout's settings cannot be loaded on this member."""
         rollout = self.rollout
         if rollout is not None:
-            self.failed = (rollout.id, why)
-            log.warning("the settings of the change %s cannot be acted on here: %s", rollout.plan.name, why)
+            self.load_failure = (rollout.id, why)
+            log.warning("the settings of rollout %s cannot be loaded: %s", rollout.plan.name, why)
 
     def status(self) -> MemberStatus:
-        """Return what this member reports to the leader."""
+        """Return this member's status for the leader."""
         rollout = self.rollout
         if rollout is None:
-            return MemberStatus(self.number, "", False)
+            return MemberStatus(self.record_number, "", False)
         treated = (
             self.settings[0] == rollout.id
             and self.group.versions.body == self.settings[1] != self.group.versions.acting_on.settings
         )
-        failed = self.failed[1] if self.failed[0] == rollout.id else self.unreadable
+        failed = self.load_failure[1] if self.load_failure[0] == rollout.id else self.unreadable
         expected = self.effective_settings(self.group.versions.acting_on.settings)
         return MemberStatus(
-            self.number,
+            self.record_number,
             rollout.id,
             treated,
             failed,
@@ -188,21 +188,21 @@
     # Messages and the group's log
 
     def on_message(self, name: str, data: bytes) -> None:
-        """Handle a message of the member `name`; one that cannot be decoded is logged."""
+        """Handle a message from the member `name`. A message that cannot be decoded is logged and dropped."""
         try:
             message = messages.decode(data)
         except msgspec.MsgspecError as error:
-            log.warning("a word on a change from %s that this program does not know: %s", name, error)
+            log.warning("ignored a rollout message from %s that cannot be decoded: %s", name, error)
             return
         self._receive(name, message)
 
     def _receive(self, name: str, message: Message) -> None:
-        """Handle one message; a leader's and a member's alike."""
+        """Handle a message to a leader or member."""
         now_us = clock_us()
         match message:
             case Heartbeat():
                 if name == self.leader():
-                    if message.number <= self.number:
+                    if message.record_number <= self.record_number:
                         self.heartbeat_us = now_us
                     self.send(name, self.status())
             case MemberStatus():
@@ -226,15 +226,15 @@
                 self.commands.on_reply(message)
 
     def on_group_changed(self) -> None:
-        """Read records of the group's log that are newer than those known here."""
+        """Read records in the group's log that are newer than the last ones read."""
         number, data = self.group.component_state(SETTINGS_COMPONENT)
         if number > self.settings_number:
             self.settings_number = number
             id, _, settings = data.decode().partition("\n")
             self.settings = (id, settings)
         number, data = self.group.component_state(COMPONENT)
-        if number > self.number:
-            self.number, self.since_us = number, clock_us()
+        if number > self.record_number:
+            self.record_number, self.step_since_us = number, clock_us()
             try:
                 stored: StoredRollouts = msgspec.msgpack.decode(data, type=StoredRollouts)
                 if stored.format > controller.FORMAT:
@@ -244,27 +244,29 @@
                 log.error("%s", self.unreadable)
                 return
             self.unreadable = ""
-            self._changed(stored)
+            self._apply_record(stored)
 
-    def _changed(self, stored: StoredRollouts) -> None:
-        """Take up the log's newest record, and notify operators of its events."""
+    def _apply_record(self, stored: StoredRollouts) -> None:
+        """Apply the newest record of the log, and notify operators of its new events."""
         before, self.stored = self.stored, stored
         rollout = stored.rollout
         if rollout is None:
             return
         if self.baseline[0] != rollout.id:
             self.baseline = (rollout.id, list(self.blocks))
-        seen = (
+        seen_events = (
             len(before.rollout.events)
             if before.rollout is not None and before.rollout.id == rollout.id
             else 0
         )
-        for event in rollout.events[seen:] if seen < len(rollout.events) else rollout.events[-1:]:
-            log.info("change %s: %s", rollout.plan.name, event.text)
+        for event in (
+            rollout.events[seen_events:] if seen_events < len(rollout.events) else rollout.events[-1:]
+        ):
+            log.info("rollout %s: %s", rollout.plan.name, event.text)
             self.notify(f"Change {rollout.plan.name}: {event.text}")
 
     def removal_objection(self, name: str) -> str:
-        """Rollouts never object to the removal of a member."""
+        """Return "": a rollout never prevents the removal of a member."""
         return ""
 
     def send(self, name: str, message: Message) -> None:
@@ -275,12 +277,12 @@
             self.group.send_to_component(name, COMPONENT, messages.encode(message))
 
     def leader(self) -> str:
-        """Return the name of the group's leader; empty while there is none."""
+        """Return the name of the group's leader, or "" while there is none."""
         member = self.group.member
         return member.leader_name if member is not None else ""
 
     def placements(self) -> list[MemberPlacement]:
-        """Return the members of the group; empty while this gateway is no member."""
+        """Return the members of the group; empty while this gateway is not a member."""
         member = self.group.member
         return (
             [MemberPlacement(peer.name, peer.zone) for peer in member.raft.log.configuration]
@@ -288,18 +290,18 @@
             else []
         )
 
-    # By the clock
+    # Periodic work
 
     async def _run_ticks(self) -> None:
         while True:
             try:
                 self._tick(clock_us())
             except Exception:
-                log.exception("the tick of changes failed")
+                log.exception("rollout tick failed")
             await asyncio.sleep(TICK_S)
 
     def _tick(self, now_us: int) -> None:
-        """Report a finished block, notice a change of leadership, and lead if this member is the leader."""
+        """Report finished blocks, detect changes of leadership, and lead if this member is the leader."""
         if now_us >= self.next_block_us:
             self.next_block_us += BLOCK_S * 1_000_000
             block = self.metrics.take_block()
@@ -311,7 +313,7 @@
         member = self.group.member
         leads = member is not None and member.raft.is_established_leader
         if leads and not self.is_leading:
-            self.since_us = now_us
+            self.step_since_us = now_us
             self.statuses.clear()
             self.analysis, self.analysed_step, self.verdict = None, ("", 0), None
         self.is_leading = leads
@@ -319,14 +321,14 @@
             self._lead(now_us)
         self.group.versions.refresh_overlay()
 
-    # As the leader
+    # Leader
 
     def _lead(self, now_us: int) -> None:
         """Send heartbeats, and propose the next step of the rollout."""
         if now_us >= self.next_heartbeat_us:
             self.next_heartbeat_us = now_us + HEARTBEAT_INTERVAL_US
             for placement in self.placements():
-                self.send(placement.name, Heartbeat(self.number))
+                self.send(placement.name, Heartbeat(self.record_number))
         if self.leader_commands.pending_start is not None:
             self.leader_commands.start_pending(now_us, self.leader_commands.pending_start)
         rollout = self.rollout
@@ -337,17 +339,19 @@
         step = controller.decide(rollout, view)
         if step is not None:
             self.propose(now_us, msgspec.structs.replace(self.stored, rollout=step))
-        elif rollout.phase == "finishing" and self.publishing is None and self.publish_error[0] != rollout.id:
-            self.publishing = self.spawn(self._publish(rollout))
+        elif (
+            rollout.phase == "finishing" and self.publish_task is None and self.publish_error[0] != rollout.id
+        ):
+            self.publish_task = self.spawn(self._publish(rollout))
 
     def _view(self, now_us: int, rollout: RolloutState) -> LeaderView:
-        """Collect what the controller decides by."""
+        """Return the input of the controller's decision."""
         member = self.group.member
         assert member is not None
         newest = member.state.newest
         return LeaderView(
             now_us,
-            self.since_us,
+            self.step_since_us,
             self.placements(),
             self.statuses,
             self.verdict,
@@ -356,12 +360,12 @@
             and newest.settings == self.settings[1]
             and self.settings[0] == rollout.id,
             self.publish_error[1] if self.publish_error[0] == rollout.id else "",
-            self.number,
+            self.record_number,
             time.time(),
         )
 
     def _update_analysis(self, now_us: int, rollout: RolloutState) -> None:
-        """Keep the analysis at the current stage, and fetch members' histories for it."""
+        """Move the analysis to the current stage, evaluate finished blocks, and request histories."""
         if self.analysis is None or self.analysed_step[0] != rollout.id:
             self.analysis, self.analysed_step, self.history_requested_us = (
                 RolloutAnalysis(rollout.plan, len(rollout.stages)),
@@ -370,33 +374,33 @@
             )
         if rollout.phase != "judging":
             self.verdict = None
-        elif self.analysed_step[1] != self.number:
-            self.analysed_step = (rollout.id, self.number)
+        elif self.analysed_step[1] != self.record_number:
+            self.analysed_step = (rollout.id, self.record_number)
             self.analysis.begin_stage(rollout.treated_members, rollout.previously_treated)
-            self.block = now_us // (BLOCK_S * 1_000_000)
-            self.analysis.close_block(self.block)  # mostly from before the stage
+            self.last_block = now_us // (BLOCK_S * 1_000_000)
+            self.analysis.close_block(self.last_block)  # mostly recorded before the stage
         for placement in self.placements():
             history_requested_us = self.history_requested_us.get(placement.name, 0)
             if history_requested_us >= 0 and now_us - history_requested_us > RETRY_US:
                 self.history_requested_us[placement.name] = now_us
                 self.send(placement.name, HistoryRequest(rollout.id))
         block = now_us // (BLOCK_S * 1_000_000)
-        if rollout.phase == "judging" and block > self.block + 1:
-            # The members' blocks do not begin with this one's, and come a moment after they end.
-            self.block = block - 1
-            self.analysis.close_block(self.block - 1)
+        if rollout.phase == "judging" and block > self.last_block + 1:
+            # Members' blocks are not aligned with the leader's, and arrive shortly after they end.
+            self.last_block = block - 1
+            self.analysis.close_block(self.last_block - 1)
             self.verdict = self.analysis.verdict()
 
     def propose(self, now_us: int, stored: StoredRollouts) -> None:
-        """Propose a record to the log, at most once in RETRY_US."""
-        number, at = self.proposed
-        if number == self.number + 1 and now_us - at < RETRY_US:
+        """Propose a record to the log; the same number at most once per RETRY_US."""
+        number, proposed_us = self.proposed
+        if number == self.record_number + 1 and now_us - proposed_us < RETRY_US:
             return
-        self.proposed = (self.number + 1, now_us)
-        self.group.store_component_state(COMPONENT, self.number + 1, msgspec.msgpack.encode(stored))
+        self.proposed = (self.record_number + 1, now_us)
+        self.group.store_component_state(COMPONENT, self.record_number + 1, msgspec.msgpack.encode(stored))
 
     async def _publish(self, rollout: RolloutState) -> None:
-        """Make the rollout's settings a version, once all stages have passed."""
+        """Publish the rollout's settings as a version after all stages have passed."""
         try:
             publish = ProposeVersion(
                 rollout.id,
@@ -411,10 +415,10 @@
             if outcome is not None and not outcome.version:
                 self.publish_error = (rollout.id, outcome.why)
         finally:
-            self.publishing = None
+            self.publish_task = None
 
     def status_line(self) -> str:
-        """Return one line for operators; empty while no rollout is in progress."""
+        """Return one line of status for operators; empty if no rollout is in progress."""
         rollout = self.rollout
         if rollout is None or not rollout.in_progress:
             return ""
@@ -423,7 +427,7 @@
         return f"change {rollout.plan.name}: {rollout.phase}, {where}{why}"
 
     def problems(self) -> list[str]:
-        """Return what operators must look at, in sentences."""
+        """Return the problems that need an operator's attention, as sentences."""
         rollout = self.rollout
         if self.unreadable:
             return [f"This gateway takes part in no change: {self.unreadable}."]
@@ -432,7 +436,7 @@
         return []
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
-        """Run a coroutine until it ends or the service is closed."""
+        """Start a task for a coroutine. It is cancelled when the service is closed."""
         task: asyncio.Task[Any] = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -19,7 +19,7 @@
 from badgergap.standins.rig import rig
 from benchmarks.copies import SITE, Load, box, cpu_of
 from tests.consensus.test_process import run
-from tests.rollout.simulation import S, World
+from tests.rollout.simulation import S, Simulation
 from tests.rollout.test_process import site
 
 CHANGE = 'name = "more"\nsettings = "new.toml"\nleast = "1h"\nlongest = "2h"\n'
@@ -87,12 +87,12 @@
     plan = to_plan(
         ChangeFile(name="x", settings="x", least=Duration(20 * S), settle=Duration(2 * S), at_once=5)
     )
-    world = World(1, members, plan)
-    began, start = time.monotonic(), world.now
-    phase = world.play(3600)
+    simulation = Simulation(1, members, plan)
+    began, start = time.monotonic(), simulation.now_us
+    phase = simulation.run_for(3600)
     print(
         f"{members} simulated members, 3 stages of 20 s at the least, 5 taken at a time: {phase} after "
-        f"{(world.now - start) / S:.0f} s, {len(world.log)} words in the log "
+        f"{(simulation.now_us - start) / S:.0f} s, {len(simulation.log)} words in the log "
         f"({time.monotonic() - began:.0f} s to simulate)"
     )
 
--- a/tests/compatibility/test_rollout_bytes.py
+++ b/tests/compatibility/test_rollout_bytes.py
@@ -20,9 +20,9 @@
 
 CASES: tuple[tuple[msgspec.Struct, str], ...] = (
     # rollout messages
-    (rollout_messages.Heartbeat(number=2), "92a16202"),
+    (rollout_messages.Heartbeat(record_number=2), "92a16202"),
     (
-        rollout_controller.MemberStatus(number=2, id="s3", treated=True, failed="s5", moving=True),
+        rollout_controller.MemberStatus(record_number=2, id="s3", treated=True, failed="s5", moving=True),
         "96a17302a27333c3a27335c3",
     ),
     (
--- a/tests/rollout/quick.py
+++ b/tests/rollout/quick.py
@@ -1,4 +1,4 @@
-"""`badgergap` whose changes are judged by blocks of a second, for tests that cannot wait for those of ten."""
+"""`badgergap` with blocks of one second instead of ten for the analysis of rollouts, to shorten tests."""
 
 from __future__ import annotations
 
--- a/tests/rollout/simulation.py
+++ b/tests/rollout/simulation.py
@@ -1,8 +1,10 @@
-"""Members of a group in simulated time round the real controller: a log, leaders, crashes and cuts.
+"""Simulates a group of members around the real controller: a log, leader changes, crashes and partitions.
 
-The log is as Agreement gives it: one order, a word that is not the next of its numbers is refused, members
-learn of a word late or, cut off, not at all. What is checked at every moment: no two stages at once, nobody
-on the new settings who was not told, or is not back in the time that is stated, and always an end.
+The log has one order and rejects a record that does not have the next number. Members get records with a
+delay or, while partitioned, not at all. These invariants are checked throughout: a stage does not begin
+before the previous one has been judged and applied, no member acts on the new settings without having been
+treated within REVERT_TIMEOUT_US, and an undone rollout leaves no member on them. `run_schedule` also checks
+that the rollout terminates.
 """
 
 from __future__ import annotations
@@ -41,33 +43,33 @@
 class Node:
     placement: MemberPlacement
     up: bool = True
-    cut: bool = False
-    number: int = 0  # of the word that it has
+    partitioned: bool = False
+    record_number: int = 0  # of the last record that it has read
     stored: StoredRollouts = field(default_factory=StoredRollouts)
     heartbeat_us: int = -HEARTBEAT_TIMEOUT_US
     treated: bool = False
-    changes_at: int = 0  # until then what it acts on stays: it is loading
-    broken: str = ""  # cannot load the new settings
-    stubborn: bool = False  # does not go back
-    # As leader
-    since_us: int = 0
-    seen: int = 0
+    switch_at_us: int = 0  # when the settings that it is loading take effect; 0: it is not loading
+    load_failure: str = ""  # why it cannot load the new settings
+    refuses_revert: bool = False
+    # State as the leader
+    step_since_us: int = 0
+    seen_number: int = 0
     statuses: dict[str, tuple[MemberStatus, int]] = field(default_factory=dict)
 
-    def wanted(self, now_us: int) -> bool:
+    def should_be_treated(self, now_us: int) -> bool:
         run = self.stored.rollout
         if (
             run is None
             or not run.in_progress
             or self.placement.name not in run.treated_members
-            or self.broken
+            or self.load_failure
         ):
             return False
         return now_us - self.heartbeat_us <= HEARTBEAT_TIMEOUT_US
 
 
-class World:
-    """`verdicts`: what the judge says of a stage, by its number."""
+class Simulation:
+    """A simulated group with one rollout. `verdicts` returns the verdict of the analysis on a stage."""
 
     def __init__(
         self,
@@ -79,11 +81,11 @@
     ) -> None:
         self.seed, self.random = seed, random.Random(seed)
         self.decide, self.verdicts = decide, verdicts
-        self.now = 100 * S
+        self.now_us = 100 * S
         self.log: list[bytes] = []
         self.nodes = {f"g{n}": Node(MemberPlacement(f"g{n}", f"z{n % 3}")) for n in range(members)}
         self.leader = "g0"
-        self.newest, self.finished, self.refuses = 1, False, ""
+        self.newest_version, self.is_published, self.publish_error = 1, False, ""
         self.plan = plan or to_plan(
             ChangeFile(
                 name="x",
@@ -97,7 +99,7 @@
         run = controller.start_rollout("c1", "anna", "", self.plan, 1, self.placements, 0.0)
         self.log.append(msgspec.msgpack.encode(StoredRollouts(rollout=run)))
         self.stages_seen: list[int] = []
-        self.told_us: dict[str, int] = {}  # when a member that acts on the new ones was last told to
+        self.last_treated_us: dict[str, int] = {}  # when each member was last treated, by the log
 
     @property
     def placements(self) -> list[MemberPlacement]:
@@ -110,49 +112,51 @@
         return stored.rollout
 
     def fail(self, text: str) -> None:
-        raise Violation(f"seed {self.seed}, at {self.now / S:.1f} s: {text}")
+        raise Violation(f"seed {self.seed}, at {self.now_us / S:.1f} s: {text}")
 
     def reachable(self) -> list[Node]:
-        return [node for node in self.nodes.values() if node.up and not node.cut]
+        return [node for node in self.nodes.values() if node.up and not node.partitioned]
 
     def tick(self) -> None:
-        self.now += TICK_US
-        there = self.reachable()
-        if len(there) * 2 > len(self.nodes):
-            if self.nodes[self.leader] not in there:
-                if self.random.random() < 0.1:  # about a second without one
-                    self.leader = self.random.choice(there).placement.name
+        self.now_us += TICK_US
+        reachable = self.reachable()
+        if len(reachable) * 2 > len(self.nodes):
+            if self.nodes[self.leader] not in reachable:
+                if self.random.random() < 0.1:  # the group has no leader for about a second
+                    self.leader = self.random.choice(reachable).placement.name
                     new = self.nodes[self.leader]
-                    new.since_us, new.statuses, new.seen = self.now, {}, 0
+                    new.step_since_us, new.statuses, new.seen_number = self.now_us, {}, 0
             else:
-                self.lead(self.nodes[self.leader], there)
+                self.lead(self.nodes[self.leader], reachable)
         for node in self.nodes.values():
             self.follow(node)
-        self.check()
+        self.check_invariants()
 
-    def lead(self, leader: Node, there: list[Node]) -> None:
-        for node in there:
-            if self.random.random() < 0.8:  # what the log says comes a moment late
-                node.number, node.stored = (
+    def lead(self, leader: Node, reachable: list[Node]) -> None:
+        for node in reachable:
+            if self.random.random() < 0.8:  # records arrive with a delay
+                node.record_number, node.stored = (
                     len(self.log),
                     msgspec.msgpack.decode(self.log[-1], type=StoredRollouts),
                 )
-            if self.now % (500 * MS) == 0 and self.random.random() < 0.95:
-                if node.number == len(self.log):
-                    node.heartbeat_us = self.now
+            if self.now_us % (500 * MS) == 0 and self.random.random() < 0.95:
+                if node.record_number == len(self.log):
+                    node.heartbeat_us = self.now_us
                 run = node.stored.rollout
                 id = run.id if run is not None else ""
                 if self.random.random() < 0.95:
                     failed = (
-                        node.broken if run is not None and node.placement.name in run.treated_members else ""
+                        node.load_failure
+                        if run is not None and node.placement.name in run.treated_members
+                        else ""
                     )
-                    moving = bool(node.changes_at) or node.wanted(self.now) != node.treated
-                    status = MemberStatus(node.number, id, node.treated, failed, moving)
-                    leader.statuses[node.placement.name] = (status, self.now)
-        if leader.number != len(self.log):
+                    moving = bool(node.switch_at_us) or node.should_be_treated(self.now_us) != node.treated
+                    status = MemberStatus(node.record_number, id, node.treated, failed, moving)
+                    leader.statuses[node.placement.name] = (status, self.now_us)
+        if leader.record_number != len(self.log):
             return
-        if leader.seen != leader.number:
-            leader.seen, leader.since_us = leader.number, self.now
+        if leader.seen_number != leader.record_number:
+            leader.seen_number, leader.step_since_us = leader.record_number, self.now_us
         run = leader.stored.rollout
         if run is None or not run.in_progress:
             return
@@ -160,22 +164,22 @@
         if run.phase == "judging":
             verdict_name = self.verdicts(run.stage)
             verdict = Verdict(verdict_name, "planted" if verdict_name == "worse" else "")
-        if run.phase == "finishing" and not self.refuses and self.random.random() < 0.05:
-            self.newest, self.finished = self.newest + 1, True
+        if run.phase == "finishing" and not self.publish_error and self.random.random() < 0.05:
+            self.newest_version, self.is_published = self.newest_version + 1, True
         view = LeaderView(
-            self.now,
-            leader.since_us,
+            self.now_us,
+            leader.step_since_us,
             self.placements,
             leader.statuses,
             verdict,
-            self.newest,
-            self.finished,
-            self.refuses,
-            number=leader.number,
+            self.newest_version,
+            self.is_published,
+            self.publish_error,
+            record_number=leader.record_number,
         )
         step = self.decide(run, view)
         if step is not None and self.random.random() < 0.9:  # a proposal may be lost
-            self.append(leader.number + 1, StoredRollouts(rollout=step))
+            self.append(leader.record_number + 1, StoredRollouts(rollout=step))
 
     def append(self, number: int, stored: StoredRollouts) -> None:
         if number == len(self.log) + 1:
@@ -183,110 +187,110 @@
             assert after is not None
             if after.stage > before.stage:
                 self.stages_seen.append(after.stage)
-                waits = [
+                waiting = [
                     name
                     for name in before.treated_members
                     if not self.nodes[name].treated and self.nodes[name] in self.reachable()
                 ]
-                if before.phase != "judging" or len(waits) > 1:
-                    self.fail(f"stage {after.stage} begins out of {before.phase}, {waits} not at it")
+                if before.phase != "judging" or len(waiting) > 1:
+                    self.fail(f"stage {after.stage} begins in phase {before.phase}, {waiting} not applied")
             self.log.append(msgspec.msgpack.encode(stored))
 
     def follow(self, node: Node) -> None:
         if not node.up:
             node.treated = False
             return
-        wanted = node.wanted(self.now)
-        if node.stubborn and node.treated:
+        should_be_treated = node.should_be_treated(self.now_us)
+        if node.refuses_revert and node.treated:
             return
-        if wanted != node.treated:
-            if not node.changes_at:
-                node.changes_at = self.now + self.random.randrange(50 * MS, 1500 * MS)
-            elif self.now >= node.changes_at:
-                node.treated, node.changes_at = wanted, 0
+        if should_be_treated != node.treated:
+            if not node.switch_at_us:
+                node.switch_at_us = self.now_us + self.random.randrange(50 * MS, 1500 * MS)
+            elif self.now_us >= node.switch_at_us:
+                node.treated, node.switch_at_us = should_be_treated, 0
         else:
-            node.changes_at = 0
+            node.switch_at_us = 0
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         run = self.run
         for name, node in self.nodes.items():
             if name in run.treated_members and run.in_progress:
-                self.told_us[name] = self.now
-            if node.treated and not node.stubborn and not self.finished:
-                late = self.now - self.told_us.get(name, -REVERT_TIMEOUT_US)
-                if late > REVERT_TIMEOUT_US:
+                self.last_treated_us[name] = self.now_us
+            if node.treated and not node.refuses_revert and not self.is_published:
+                since_treated_us = self.now_us - self.last_treated_us.get(name, -REVERT_TIMEOUT_US)
+                if since_treated_us > REVERT_TIMEOUT_US:
                     self.fail(
-                        f"{name} acts on the new settings {late / S:.1f} s after it was told to go back"
+                        f"{name} acts on the new settings {since_treated_us / S:.1f} s after treatment ended"
                     )
         if run.phase == "undone":
-            behind = [name for name, node in self.nodes.items() if node.treated]
-            if behind:
-                self.fail(f"undone, and {behind} act on the new settings")
+            still_treated = [name for name, node in self.nodes.items() if node.treated]
+            if still_treated:
+                self.fail(f"undone, but {still_treated} act on the new settings")
 
-    def play(self, for_s: float) -> str:
-        until = self.now + int(for_s * S)
-        while self.now < until and self.run.in_progress:
+    def run_for(self, for_s: float) -> str:
+        deadline_us = self.now_us + int(for_s * S)
+        while self.now_us < deadline_us and self.run.in_progress:
             self.tick()
         return self.run.phase
 
-    def trouble(self) -> None:
-        """One thing that happens, and what undoes it."""
+    def inject_fault(self) -> None:
+        """Inject one fault for a while: a crash, a partition of one or half the members, or a new leader."""
         node = self.random.choice(list(self.nodes.values()))
-        lasts = self.random.randrange(S // 2, 25 * S)
-        begun = self.now
+        duration_us = self.random.randrange(S // 2, 25 * S)
+        began_us = self.now_us
         match self.random.randrange(4):
             case 0:
-                node.up, node.number, node.stored, node.heartbeat_us = (
+                node.up, node.record_number, node.stored, node.heartbeat_us = (
                     False,
                     0,
                     StoredRollouts(),
                     -HEARTBEAT_TIMEOUT_US,
                 )
-                while self.now < begun + lasts and self.run.in_progress:
+                while self.now_us < began_us + duration_us and self.run.in_progress:
                     self.tick()
                 node.up = True
             case 1:
-                node.cut = True
-                while self.now < begun + lasts and self.run.in_progress:
+                node.partitioned = True
+                while self.now_us < began_us + duration_us and self.run.in_progress:
                     self.tick()
-                node.cut = False
+                node.partitioned = False
             case 2:
-                away = self.random.sample(list(self.nodes.values()), len(self.nodes) // 2)
-                for each in away:
-                    each.cut = True
-                while self.now < begun + lasts and self.run.in_progress:
+                partitioned_nodes = self.random.sample(list(self.nodes.values()), len(self.nodes) // 2)
+                for each in partitioned_nodes:
+                    each.partitioned = True
+                while self.now_us < began_us + duration_us and self.run.in_progress:
                     self.tick()
-                for each in away:
-                    each.cut = False
+                for each in partitioned_nodes:
+                    each.partitioned = False
             case _:
                 self.leader = ""
                 self.leader = self.random.choice(self.reachable() or list(self.nodes.values())).placement.name
                 new = self.nodes[self.leader]
-                new.since_us, new.statuses, new.seen = self.now, {}, 0
+                new.step_since_us, new.statuses, new.seen_number = self.now_us, {}, 0
 
 
-def schedule(seed: int, **more: object) -> World:
-    """Troubles drawn from the seed, then calm until the change has ended."""
-    world = World(seed, **more)  # type: ignore[arg-type]
-    for _ in range(world.random.randrange(2, 12)):
-        world.play(world.random.uniform(0.2, 15.0))
-        world.trouble()
-        if world.random.random() < 0.1:
-            command = world.random.choice(("pause", "resume", "stop", "undo"))
+def run_schedule(seed: int, **options: object) -> Simulation:
+    """Run a rollout with faults drawn from the seed, then without faults to its end."""
+    simulation = Simulation(seed, **options)  # type: ignore[arg-type]
+    for _ in range(simulation.random.randrange(2, 12)):
+        simulation.run_for(simulation.random.uniform(0.2, 15.0))
+        simulation.inject_fault()
+        if simulation.random.random() < 0.1:
+            command = simulation.random.choice(("pause", "resume", "stop", "undo"))
             with contextlib.suppress(CommandNotAllowedError):
-                step = controller.apply_command(world.run, command, "bert", 0.0)
-                world.append(len(world.log) + 1, StoredRollouts(rollout=step))
-    for node in world.nodes.values():
-        node.up, node.cut = True, False
-    world.play(1200)
-    if world.run.phase == "paused":
-        step = controller.apply_command(world.run, "undo", "bert", 0.0)
-        world.append(len(world.log) + 1, StoredRollouts(rollout=step))
-        world.play(1200)
-    if world.run.in_progress and world.run.phase != "stuck":
-        world.fail(f"no end: {world.run.phase}, told {world.run.treated_members}")
-    return world
+                step = controller.apply_command(simulation.run, command, "bert", 0.0)
+                simulation.append(len(simulation.log) + 1, StoredRollouts(rollout=step))
+    for node in simulation.nodes.values():
+        node.up, node.partitioned = True, False
+    simulation.run_for(1200)
+    if simulation.run.phase == "paused":
+        step = controller.apply_command(simulation.run, "undo", "bert", 0.0)
+        simulation.append(len(simulation.log) + 1, StoredRollouts(rollout=step))
+        simulation.run_for(1200)
+    if simulation.run.in_progress and simulation.run.phase != "stuck":
+        simulation.fail(f"did not end: {simulation.run.phase}, treated {simulation.run.treated_members}")
+    return simulation
 
 
-def ends(seeds: range, **more: object) -> Counter[str]:
-    return Counter(schedule(seed, **more).run.phase for seed in seeds)
+def outcomes(seeds: range, **options: object) -> Counter[str]:
+    return Counter(run_schedule(seed, **options).run.phase for seed in seeds)
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller of a change under schedules of crashes and cuts, and each case that it states."""
+"""Tests of the rollout controller: random schedules of crashes and partitions, and each documented case."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 from badgergap.rollout.errors import CommandNotAllowedError
 from badgergap.rollout.plan import ChangeFile, MemberPlacement, to_plan
 from badgergap.site.schema import Duration
-from tests.rollout.simulation import S, Violation, World, ends, schedule
+from tests.rollout.simulation import S, Simulation, Violation, outcomes, run_schedule
 
 
-def test_whatever_happens_a_change_ends_and_never_mixes_stages() -> None:
+def test_rollouts_end_and_never_mix_stages_under_random_faults() -> None:
     first = random.randrange(1 << 20)
     print("seeds from", first)
-    good = ends(range(first, first + 60))
-    worse = ends(range(first, first + 40), verdicts=lambda stage: "worse" if stage == 1 else "good")
-    more = ends(range(first, first + 8), verdicts=lambda stage: "more")
+    good = outcomes(range(first, first + 60))
+    worse = outcomes(range(first, first + 40), verdicts=lambda stage: "worse" if stage == 1 else "good")
+    more = outcomes(range(first, first + 8), verdicts=lambda stage: "more")
     print(good, worse, more)
     assert good["done"] > 20 and set(good) <= {"done", "undone"}
     assert set(worse) == {"undone"} and set(more) == {"undone"}
 
 
-def test_a_quiet_change_goes_through_its_stages_in_order() -> None:
-    world = World(1)
-    assert world.play(600) == "done"
-    assert world.stages_seen == [1, 2] and world.newest == 2
-    texts = [event.text for event in world.run.events]
+def test_rollout_without_faults_runs_its_stages_in_order() -> None:
+    simulation = Simulation(1)
+    assert simulation.run_for(600) == "done"
+    assert simulation.stages_seen == [1, 2] and simulation.newest_version == 2
+    texts = [event.text for event in simulation.run.events]
     assert texts[0] == "begun by anna: x" and texts[-1] == "done: version 2"
     assert next(text for text in texts if "told" in text) == "stage 1: g0 told"
 
 
-def test_one_that_cannot_load_it_stops_it_before_the_next_is_told() -> None:
-    world = World(2)
-    world.nodes["g0"].broken = "route[0].pool: no such pool"
-    assert world.play(600) == "undone"
-    assert "g0 cannot act on it: route[0].pool" in world.run.why
-    assert not [event for event in world.run.events if "g1" in event.text]
+def test_load_failure_undoes_the_rollout_before_the_next_member_is_treated() -> None:
+    simulation = Simulation(2)
+    simulation.nodes["g0"].load_failure = "route[0].pool: no such pool"
+    assert simulation.run_for(600) == "undone"
+    assert "g0 cannot act on it: route[0].pool" in simulation.run.why
+    assert not [event for event in simulation.run.events if "g1" in event.text]
 
 
-def test_one_that_is_away_is_passed_over_and_two_stop_it() -> None:
-    """Of the treated alone: where others are away as well, nothing is concluded."""
+def test_one_unreachable_treated_member_is_tolerated_and_two_undo_the_rollout() -> None:
+    """Only if no other members are unreachable: otherwise nothing is concluded."""
     plan = to_plan(
         ChangeFile(
             name="x",
@@ -55,88 +55,91 @@
             unreachable_after=Duration(10 * S),
         )
     )
-    one = World(3, 9, plan)
-    one.leader = "g8"
-    while len(one.run.treated_members) < 2:
-        one.tick()
-    one.nodes[one.run.treated_members[0]].cut = True
-    assert one.play(600) == "done"
-    both = World(3, 9, plan)
-    both.leader = "g8"
-    while both.run.phase != "judging":
-        both.tick()
-    for name in both.run.treated_members:
-        both.nodes[name].up = False
-    assert both.play(600) == "undone" and "cannot be reached since they were told" in both.run.why
-    all_alike = World(3, 9, plan)
-    all_alike.leader = "g8"
-    while all_alike.run.phase != "judging" or all_alike.run.stage != 1:
-        all_alike.tick()
+    one_unreachable = Simulation(3, 9, plan)
+    one_unreachable.leader = "g8"
+    while len(one_unreachable.run.treated_members) < 2:
+        one_unreachable.tick()
+    one_unreachable.nodes[one_unreachable.run.treated_members[0]].partitioned = True
+    assert one_unreachable.run_for(600) == "done"
+    two_down = Simulation(3, 9, plan)
+    two_down.leader = "g8"
+    while two_down.run.phase != "judging":
+        two_down.tick()
+    for name in two_down.run.treated_members:
+        two_down.nodes[name].up = False
+    assert two_down.run_for(600) == "undone" and "cannot be reached since they were told" in two_down.run.why
+    both_sides = Simulation(3, 9, plan)
+    both_sides.leader = "g8"
+    while both_sides.run.phase != "judging" or both_sides.run.stage != 1:
+        both_sides.tick()
     untouched = [
-        name for name in all_alike.nodes if name not in all_alike.run.treated_members and name != "g8"
+        name for name in both_sides.nodes if name not in both_sides.run.treated_members and name != "g8"
     ]
-    for name in [*all_alike.run.treated_members[:2], *untouched[:2]]:
-        all_alike.nodes[name].cut = True
-    assert all_alike.play(100) == "judging" and all_alike.run.stage == 1
-
-
-def test_a_version_that_comes_in_between_ends_it() -> None:
-    world = World(4)
-    while world.run.phase != "judging":
-        world.tick()
-    world.newest = 7
-    assert world.play(600) == "undone" and "version 7 of the settings was published" in world.run.why
-
-
-def test_settings_that_do_not_become_a_version_are_undone() -> None:
-    world = World(5)
-    world.refuses = "conflict: version 9 has come in between"
-    assert world.play(600) == "undone" and world.run.why.startswith("conflict")
-
-
-def test_an_undo_that_fails_is_stuck_and_says_who_runs_what() -> None:
-    world = World(6, verdicts=lambda stage: "worse")
-    while not world.nodes["g0"].treated:
-        world.tick()
-    world.nodes["g0"].stubborn = True
-    assert world.play(600) == "stuck" or world.run.phase == "stuck"
-    assert "g0 still acts on the stopped settings" in world.run.why
-    world.nodes["g0"].stubborn, world.told_us["g0"] = False, world.now
-    step = apply_command(world.run, "undo", "bert", 0.0)
-    world.append(len(world.log) + 1, controller.StoredRollouts(rollout=step))
-    assert world.play(100) == "undone"
-
-
-def test_who_joins_is_taken_last_and_who_is_taken_out_is_forgotten() -> None:
-    world = World(7)
-    while world.run.stage < 1:
-        world.tick()
-    world.nodes["g9"] = type(world.nodes["g0"])(MemberPlacement("g9", "z0"))
-    world.nodes.pop("g5")
-    assert world.play(600) == "done"
-    assert "g9" in world.run.stages[-1] and all("g5" not in stage for stage in world.run.stages)
-    assert "g9" not in world.run.stages[1]
-
-
-def test_undo_in_reverse_goes_back_as_it_came() -> None:
+    for name in [*both_sides.run.treated_members[:2], *untouched[:2]]:
+        both_sides.nodes[name].partitioned = True
+    assert both_sides.run_for(100) == "judging" and both_sides.run.stage == 1
+
+
+def test_version_published_meanwhile_undoes_the_rollout() -> None:
+    simulation = Simulation(4)
+    while simulation.run.phase != "judging":
+        simulation.tick()
+    simulation.newest_version = 7
+    assert (
+        simulation.run_for(600) == "undone"
+        and "version 7 of the settings was published" in simulation.run.why
+    )
+
+
+def test_settings_that_cannot_be_published_are_undone() -> None:
+    simulation = Simulation(5)
+    simulation.publish_error = "conflict: version 9 has come in between"
+    assert simulation.run_for(600) == "undone" and simulation.run.why.startswith("conflict")
+
+
+def test_failed_undo_is_stuck_and_names_the_member() -> None:
+    simulation = Simulation(6, verdicts=lambda stage: "worse")
+    while not simulation.nodes["g0"].treated:
+        simulation.tick()
+    simulation.nodes["g0"].refuses_revert = True
+    assert simulation.run_for(600) == "stuck" or simulation.run.phase == "stuck"
+    assert "g0 still acts on the stopped settings" in simulation.run.why
+    simulation.nodes["g0"].refuses_revert, simulation.last_treated_us["g0"] = False, simulation.now_us
+    step = apply_command(simulation.run, "undo", "bert", 0.0)
+    simulation.append(len(simulation.log) + 1, controller.StoredRollouts(rollout=step))
+    assert simulation.run_for(100) == "undone"
+
+
+def test_joined_member_is_treated_last_and_removed_member_is_dropped() -> None:
+    simulation = Simulation(7)
+    while simulation.run.stage < 1:
+        simulation.tick()
+    simulation.nodes["g9"] = type(simulation.nodes["g0"])(MemberPlacement("g9", "z0"))
+    simulation.nodes.pop("g5")
+    assert simulation.run_for(600) == "done"
+    assert "g9" in simulation.run.stages[-1] and all("g5" not in stage for stage in simulation.run.stages)
+    assert "g9" not in simulation.run.stages[1]
+
+
+def test_reverse_undo_reverts_members_in_reverse_order() -> None:
     plan = to_plan(
         ChangeFile(name="x", settings="x", stages=[3, "all"], least=20 * S, settle=2 * S, undo="reverse")  # type: ignore[arg-type]
     )
-    world = World(8, plan=plan)
-    while world.run.phase != "judging":
-        world.tick()
-    treated_members = world.run.treated_members
-    step = apply_command(world.run, "undo", "bert", 0.0)
-    world.append(len(world.log) + 1, controller.StoredRollouts(rollout=step))
-    assert world.play(100) == "undone"
-    back = [event.text.split()[0] for event in world.run.events if "told to go back" in event.text]
-    assert back == list(reversed(treated_members))
-
-
-@pytest.mark.parametrize("wish", ["pause", "resume", "stop", "undo"])
-def test_what_a_person_may_wish_and_when(wish: str) -> None:
-    world = World(9)
-    run = world.run
+    simulation = Simulation(8, plan=plan)
+    while simulation.run.phase != "judging":
+        simulation.tick()
+    treated_members = simulation.run.treated_members
+    step = apply_command(simulation.run, "undo", "bert", 0.0)
+    simulation.append(len(simulation.log) + 1, controller.StoredRollouts(rollout=step))
+    assert simulation.run_for(100) == "undone"
+    reverted = [event.text.split()[0] for event in simulation.run.events if "told to go back" in event.text]
+    assert reverted == list(reversed(treated_members))
+
+
+@pytest.mark.parametrize("command", ["pause", "resume", "stop", "undo"])
+def test_commands_allowed_in_each_phase(command: str) -> None:
+    simulation = Simulation(9)
+    run = simulation.run
     allowed = {
         "taking": {"pause", "stop", "undo"},
         "judging": {"pause", "stop", "undo"},
@@ -146,20 +149,20 @@
         "stuck": {"stop", "undo"},
         "done": set(),
     }
-    for phase, wishes in allowed.items():
+    for phase, commands in allowed.items():
         state = msgspec.structs.replace(run, phase=phase)
-        if wish in wishes:
-            assert isinstance(apply_command(state, wish, "bert", 0.0), RolloutState), phase
+        if command in commands:
+            assert isinstance(apply_command(state, command, "bert", 0.0), RolloutState), phase
         else:
             with pytest.raises(CommandNotAllowedError):
-                apply_command(state, wish, "bert", 0.0)
+                apply_command(state, command, "bert", 0.0)
 
 
-# Each guard of the controller, taken out, is found by a schedule.
+# The simulation must detect a controller that lacks one of its checks.
 
 
 def no_wait(run: RolloutState, view: LeaderView) -> RolloutState | None:
-    """The next stage begins though those that were told are not at it."""
+    """The next stage begins although treated members have not applied the settings."""
     if run.phase == "taking" and run.treated_members:
         left = [name for name in run.stages[run.stage] if name not in run.treated_members]
         if not left:
@@ -171,20 +174,20 @@
 
 
 def undone_at_once(run: RolloutState, view: LeaderView) -> RolloutState | None:
-    """It is called undone before all are back."""
+    """The rollout is reported as undone before all members have reverted."""
     if run.phase == "undoing":
         return controller.with_event(run, 0.0, "x", phase="undone", treated_members=())
     return controller.decide(run, view)
 
 
 @pytest.mark.parametrize("decide", [no_wait, undone_at_once])
-def test_a_guard_that_is_taken_out_is_found(decide: object) -> None:
-    found = ""
+def test_simulation_detects_a_broken_controller(decide: object) -> None:
+    violation_text = ""
     for seed in range(60):
         try:
-            schedule(seed, decide=decide, verdicts=lambda stage: "worse" if stage == 2 else "good")
+            run_schedule(seed, decide=decide, verdicts=lambda stage: "worse" if stage == 2 else "good")
         except Violation as violation:
-            found = str(violation)
+            violation_text = str(violation)
             break
-    print(found)
-    assert found
+    print(violation_text)
+    assert violation_text
--- a/tests/rollout/test_process.py
+++ b/tests/rollout/test_process.py
@@ -1,4 +1,4 @@
-"""Real gateways of one group: changes of settings by stages under load, with kills and cuts meanwhile."""
+"""Tests rollouts on a group of real gateways under load, with killed and partitioned members."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.consensus.load import Load
 from tests.consensus.test_process import run
 
-QUICK = (sys.executable, "-B", "-m", "tests.rollout.quick")
-CHANGE = """\
+SHORT_BLOCKS_PROGRAM = (sys.executable, "-B", "-m", "tests.rollout.quick")
+CHANGE_FILE = """\
 name = "{name}"
 settings = "{settings}"
 stages = {stages}
@@ -55,12 +55,12 @@
         (self.folder / f"{name}.settings.toml").write_text(self.it.text(first, settings))
         path = self.folder / f"{name}.toml"
         path.write_text(
-            CHANGE.format(name=name, settings=f"{name}.settings.toml", stages=stages, longest=longest)
+            CHANGE_FILE.format(name=name, settings=f"{name}.settings.toml", stages=stages, longest=longest)
         )
         return path
 
     def worse(self) -> str:
-        """All of a treated gateway's requests go to a box that answers too late."""
+        """Return settings that send all requests to an endpoint that answers too late."""
         box = f'[[box]]\nname = "slow"\naddress = "{self.slow.address}"\npool = "slow"\n'
         text = self.it.settings('[[pool]]\nname = "slow"\n' + box)
         return text.replace('name = "everything"\n', 'name = "everything"\npool = "slow"\n')
@@ -70,8 +70,8 @@
         return await asyncio.to_thread(run, "change", first, *others, "--file", str(gateway.file))
 
     async def status(self, gateway: Gateway) -> dict[str, Any]:
-        said = await self.change(gateway, "status", "--json")
-        return dict(json.loads(said.stdout)) if said.stdout else {}
+        result = await self.change(gateway, "status", "--json")
+        return dict(json.loads(result.stdout)) if result.stdout else {}
 
     async def until(self, gateway: Gateway, *phases: str, within_s: float = 60.0) -> dict[str, Any]:
         began = time.monotonic()
@@ -91,7 +91,12 @@
     await slow.start()
     try:
         async with rig(
-            folder, members=5, learners=members - 5, zones=3, extra="[changes]\n", program=QUICK
+            folder,
+            members=5,
+            learners=members - 5,
+            zones=3,
+            extra="[changes]\n",
+            program=SHORT_BLOCKS_PROGRAM,
         ) as it:
             await it.settled()
             yield Site(it, folder, slow)
@@ -99,7 +104,7 @@
         slow.die()
 
 
-def test_a_good_change_goes_through_with_its_leader_and_a_treated_one_killed(tmp_path: Path) -> None:
+def test_rollout_completes_although_leader_and_treated_member_are_killed(tmp_path: Path) -> None:
     async def play() -> None:
         async with site(tmp_path) as its:
             it, over = its.it, asyncio.Event()
@@ -132,7 +137,8 @@
             assert "open_requests = 2500" in shown.stdout
             lost = {s: n for s, n in load.counts().items() if s not in (200, 0, 503)}
             print(load.counts(), [text for _, text in change["events"]])
-            assert not lost, load.counts()  # 0 and 503: of those that were killed, and had no lease yet
+            # 0 and 503 come from gateways that were killed, and had no lease yet after the restart.
+            assert not lost, load.counts()
             page = tmp_path / "report.html"
             assert (await its.change(anyone, "report", str(page))).returncode == 0
             assert "stage 3 is good" not in page.read_text() and "it becomes a version" in page.read_text()
@@ -152,12 +158,12 @@
             began = time.monotonic()
             assert (await its.change(anyone, "start", str(its.file("slow", its.worse())))).returncode == 0
             change = await its.until(anyone, "undone", "done", "paused", "stuck")
-            took = time.monotonic() - began
+            elapsed_s = time.monotonic() - began
             hit = {each.target.split("from=")[1].split("&")[0] for each in its.slow.runs}
-            print(f"stopped after {took:.1f} s: {change['why']}; {len(its.slow.runs)} requests of {hit}")
+            print(f"stopped after {elapsed_s:.1f} s: {change['why']}; {len(its.slow.runs)} requests of {hit}")
             assert change["phase"] == "undone" and "service" in change["why"], change
-            assert hit == {"g0"} and took < 30.0
-            # Again, and this time the treated one is cut off when a person stops it.
+            assert hit == {"g0"} and elapsed_s < 30.0
+            # A second rollout: the treated member is partitioned when an operator stops the rollout.
             seen = len(its.slow.runs)
             path = its.file("again", its.worse(), longest="10min")
             assert (await its.change(anyone, "start", str(path))).returncode == 0
@@ -170,42 +176,44 @@
             change = await its.until(anyone, "undone", within_s=40.0)
             await asyncio.sleep(2.0)
             last = max(each.at for each in its.slow.runs)
-            print(f"the last request of the one cut off went out {last - cut:.1f} s after; {change['why']}")
+            print(
+                f"last request of the partitioned member: {last - cut:.1f} s after the cut; {change['why']}"
+            )
             assert last - cut < 8.0
             it.cut(it["g0"], False)
             await it.settled(30.0)
             seen = len(its.slow.runs)
             await asyncio.sleep(2.0)
-            assert len(its.slow.runs) == seen, "it takes the stopped settings up again"
+            assert len(its.slow.runs) == seen, "it applied the stopped settings again"
             over.set()
             await work
-            said = await its.change(anyone, "history")
-            assert said.stdout.count("undone") == 2, said
+            result = await its.change(anyone, "history")
+            assert result.stdout.count("undone") == 2, result
 
     asyncio.run(play())
 
 
-def test_what_cannot_live_side_by_side_and_wrong_files_are_refused_with_a_way_out(tmp_path: Path) -> None:
+def test_conflicting_settings_and_invalid_files_are_rejected_with_advice(tmp_path: Path) -> None:
     async def play() -> None:
         async with site(tmp_path) as its:
             it, anyone = its.it, its.it["g1"]
             gone = its.file("gone", it.settings(boxes=it.apps[1:]))
-            said = await its.change(anyone, "check", str(gone))
-            assert said.returncode == 1 and "cannot: box box-0 is gone" in said.stdout
-            assert "first, by stages, without" in said.stdout and "settings publish" in said.stdout
+            result = await its.change(anyone, "check", str(gone))
+            assert result.returncode == 1 and "cannot: box box-0 is gone" in result.stdout
+            assert "first, by stages, without" in result.stdout and "settings publish" in result.stdout
             refused = await its.change(anyone, "start", str(gone))
             assert refused.returncode == 1 and "box box-0 is gone" in refused.stderr
             same = await its.change(anyone, "start", str(its.file("same", it.settings())))
             assert same.returncode == 1 and "already" in same.stderr
             restart = its.file("restart", it.settings().replace("at_once = 64", "at_once = 65"))
-            said = await its.change(anyone, "start", str(restart))
-            assert said.returncode == 1 and "needs a restart" in said.stderr
+            result = await its.change(anyone, "start", str(restart))
+            assert result.returncode == 1 and "needs a restart" in result.stderr
             named = its.file("named", it.settings(requests=9), stages='[["nobody"], "all"]')
-            said = await its.change(anyone, "check", str(named))
-            assert said.returncode == 1 and "no member is called nobody" in said.stderr
+            result = await its.change(anyone, "check", str(named))
+            assert result.returncode == 1 and "no member is called nobody" in result.stderr
             wrong = its.file("wrong", it.settings(requests=9), stages="[1]")
-            said = await its.change(anyone, "check", str(wrong))
-            assert said.returncode == 2 and 'stages: the last one is "all"' in said.stderr
+            result = await its.change(anyone, "check", str(wrong))
+            assert result.returncode == 2 and 'stages: the last one is "all"' in result.stderr
             assert (await its.change(anyone, "pause")).returncode == 1
 
     asyncio.run(play())
--- a/tests/rollout/test_pure.py
+++ b/tests/rollout/test_pure.py
@@ -1,4 +1,4 @@
-"""Plans, what may live side by side, and the judge on counts that a member could tell."""
+"""Tests of plans, of the compatibility of settings, and of the analysis on synthetic metrics."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     to_plan,
 )
 
-SEATS = [MemberPlacement(f"g{n}", f"z{n % 3}") for n in range(9)]
+PLACEMENTS = [MemberPlacement(f"g{n}", f"z{n % 3}") for n in range(9)]
 FILE = 'name = "x"\nsettings = "y"\n'
 
 
@@ -30,27 +30,27 @@
     return to_plan(ChangeFile(name="x", settings="y", stages=[*stages, "all"], guards=list(guards)))
 
 
-def test_stages_grow_over_zones_and_leave_each_zone_somebody() -> None:
-    assert cumulative_stages(plan(1, "half"), SEATS) == (
+def test_stages_spread_over_zones_and_leave_controls_in_each() -> None:
+    assert cumulative_stages(plan(1, "half"), PLACEMENTS) == (
         ("g0",),
         ("g0", "g1", "g2", "g3", "g4"),
         tuple(f"g{n}" for n in range(9)),
     )
-    assert cumulative_stages(plan(["g7"], 2), SEATS)[:2] == (("g7",), ("g7", "g0"))
-    whole = cumulative_stages(plan(8), SEATS)[0]
+    assert cumulative_stages(plan(["g7"], 2), PLACEMENTS)[:2] == (("g7",), ("g7", "g0"))
+    treated = cumulative_stages(plan(8), PLACEMENTS)[0]
     assert all(
-        any(placement.zone == zone and placement.name not in whole for placement in SEATS)
+        any(placement.zone == zone and placement.name not in treated for placement in PLACEMENTS)
         for zone in ("z0", "z1", "z2")
     )
-    assert cumulative_stages(plan("10%"), SEATS)[0] == ("g0",) and cumulative_stages(plan("10%"), SEATS[:1])[
-        0
-    ] == ("g0",)
+    assert cumulative_stages(plan("10%"), PLACEMENTS)[0] == ("g0",) and cumulative_stages(
+        plan("10%"), PLACEMENTS[:1]
+    )[0] == ("g0",)
     with pytest.raises(InvalidPlanError, match="no member is called gx, gy"):
-        cumulative_stages(plan(["gx", "g1", "gy"]), SEATS)
+        cumulative_stages(plan(["gx", "g1", "gy"]), PLACEMENTS)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected"),
     [
         ("stages = [1]", 'the last one is "all"'),
         ("stages = []", "stages"),
@@ -71,10 +71,10 @@
         ("= 1", "no TOML"),
     ],
 )
-def test_a_wrong_change_file_is_one_error_that_names_the_place(text: str, says: str) -> None:
+def test_invalid_change_file_raises_one_error_that_names_the_key(text: str, expected: str) -> None:
     with pytest.raises(InvalidPlanError) as error:
         read_plan(FILE + text, "change.toml")
-    assert str(error.value).startswith("change.toml: ") and says in str(error.value)
+    assert str(error.value).startswith("change.toml: ") and expected in str(error.value)
 
 
 OLD: dict[str, Any] = {
@@ -89,7 +89,7 @@
 
 
 def changed(at: str, **to: object) -> dict[str, Any]:
-    """`at`: "section/name"; "" there: the section as a whole."""
+    """Return OLD with one table changed. `at` is "section/name", or "section" to replace it all."""
     section, _, name = at.partition("/")
     tables = dict(OLD)
     if not name:
@@ -102,13 +102,13 @@
     return dict(tables)
 
 
-def test_what_may_live_side_by_side() -> None:
-    more = {**OLD, "box": [*OLD["box"], {"name": "new", "address": "h:3"}]}
-    last = {**OLD, "route": [*OLD["route"], {"name": "new", "class": "d"}]}
-    for fine in (
+def test_compatibility_of_settings_side_by_side() -> None:
+    added_box = {**OLD, "box": [*OLD["box"], {"name": "new", "address": "h:3"}]}
+    added_last = {**OLD, "route": [*OLD["route"], {"name": "new", "class": "d"}]}
+    for compatible in (
         OLD,
-        more,
-        last,
+        added_box,
+        added_last,
         changed("limits", open_requests=5),
         changed("box/a", weight=2.0),
         changed("route/all", answer_within="1s"),
@@ -117,9 +117,9 @@
         changed("route/slips", answer_within="9s"),
         changed("class/d", repeats="safe"),
     ):
-        assert conflicts(OLD, fine) == [], fine
-    first = {**OLD, "route": [{"name": "new", "class": "d"}, *OLD["route"]]}
-    for wrong, says in (
+        assert conflicts(OLD, compatible) == [], compatible
+    added_first = {**OLD, "route": [{"name": "new", "class": "d"}, *OLD["route"]]}
+    for conflicting, expected in (
         (changed("box/a", address="h:9"), "box a: address"),
         ({**OLD, "box": OLD["box"][:1]}, "box b is gone"),
         (changed("route/slips", once="1min"), "route slips: once"),
@@ -129,100 +129,113 @@
         (changed("route/slips", prefix="/t"), "prefix has changed"),
         (changed("route/slips", methods=["PUT"]), "methods has changed"),
         (changed("class/c", repeats="safe"), "class c, of keyed requests"),
-        (first, "other routes stand before slips"),
+        (added_first, "other routes stand before slips"),
         ({**OLD, "route": OLD["route"][1:]}, "route slips, which keeps keys, is gone"),
         ({**OLD, "strange": 1}, "strange has changed"),
     ):
-        assert says in "; ".join(conflicts(OLD, wrong)), wrong
-        wide = split(OLD, wrong)
-        # The first half lives beside both.
-        assert wide is None or (conflicts(OLD, wide) == [] and wide != OLD)
+        assert expected in "; ".join(conflicts(OLD, conflicting)), conflicting
+        staged = split(OLD, conflicting)
+        # The staged part must be compatible with the old settings.
+        assert staged is None or (conflicts(OLD, staged) == [] and staged != OLD)
 
 
-def test_a_split_leaves_what_may_go_by_stages() -> None:
+def test_split_keeps_the_compatible_part() -> None:
     new = {**changed("limits", open_requests=5), "box": [{"name": "a", "address": "h:9"}]}
-    wide = split(OLD, new)
-    assert wide is not None and wide["limits"] == {"open_requests": 5}
-    assert sorted(box["address"] for box in wide["box"]) == ["h:1", "h:2"]
-    assert conflicts(OLD, wide) == []
+    staged = split(OLD, new)
+    assert staged is not None and staged["limits"] == {"open_requests": 5}
+    assert sorted(box["address"] for box in staged["box"]) == ["h:1", "h:2"]
+    assert conflicts(OLD, staged) == []
 
 
-# The judge
+# The analysis
 
 
-def member(
-    chance: random.Random, rate: int, bad: float, took: float = 20.0, rss_bytes: int = 50
+def member_block(
+    rng: random.Random, requests: int, failure_rate: float, latency_ms: float = 20.0, rss_bytes: int = 50
 ) -> MetricsBlock:
-    failed = sum(chance.random() < bad for _ in range(rate))
+    failed = sum(rng.random() < failure_rate for _ in range(requests))
     counts = RequestCounts(
-        rate, rate - failed, 0, 0, failed, took * (rate - failed) * chance.uniform(0.97, 1.03)
+        requests, requests - failed, 0, 0, failed, latency_ms * (requests - failed) * rng.uniform(0.97, 1.03)
     )
-    return MetricsBlock({"c": counts}, rate, rate * 300, rss_bytes, 1)
+    return MetricsBlock({"c": counts}, requests, requests * 300, rss_bytes, 1)
 
 
-def judged(
+def verdicts(
     guards: tuple[Guard, ...],
     treated: Callable[[random.Random, int], MetricsBlock],
-    rest: Callable[[random.Random, int], MetricsBlock],
+    control: Callable[[random.Random, int], MetricsBlock],
     blocks: int = 24,
-    rate: int = 200,
+    requests: int = 200,
 ) -> list[str]:
-    """The verdicts, block by block: g0 and g1 of nine are treated."""
-    chance = random.Random(7)
-    judge = RolloutAnalysis(plan(2, guards=guards), 2)
-    for placement in SEATS:
-        judge.set_baseline(placement.name, placement.zone, [member(chance, rate, 0.01) for _ in range(30)])
-    judge.begin_stage(("g0", "g1"))
-    found = []
+    """Return the verdict after each block, with g0 and g1 of nine members treated."""
+    rng = random.Random(7)
+    analysis = RolloutAnalysis(plan(2, guards=guards), 2)
+    for placement in PLACEMENTS:
+        analysis.set_baseline(
+            placement.name, placement.zone, [member_block(rng, requests, 0.01) for _ in range(30)]
+        )
+    analysis.begin_stage(("g0", "g1"))
+    results = []
     for number in range(blocks):
-        for placement in SEATS:
-            side = treated if placement.name in ("g0", "g1") else rest
-            judge.add_block(placement.name, number, side(chance, number))
-        judge.close_block(number)
-        found.append(judge.verdict().verdict)
-    return found
+        for placement in PLACEMENTS:
+            side = treated if placement.name in ("g0", "g1") else control
+            analysis.add_block(placement.name, number, side(rng, number))
+        analysis.close_block(number)
+        results.append(analysis.verdict().verdict)
+    return results
 
 
-def test_the_judge_tells_a_bad_change_from_a_bad_day() -> None:
+def test_analysis_distinguishes_a_regression_from_a_general_disturbance() -> None:
     service = (Guard("service"),)
 
-    def well(chance: random.Random, number: int) -> MetricsBlock:
-        return member(chance, 200, 0.01)
+    def healthy(rng: random.Random, number: int) -> MetricsBlock:
+        return member_block(rng, 200, 0.01)
 
-    def badly(chance: random.Random, number: int) -> MetricsBlock:
-        return member(chance, 200, 0.05)
+    def failing(rng: random.Random, number: int) -> MetricsBlock:
+        return member_block(rng, 200, 0.05)
 
-    def storm(chance: random.Random, number: int) -> MetricsBlock:
-        return member(chance, 200, 0.3 if 5 < number < 15 else 0.01)
+    def disturbance(rng: random.Random, number: int) -> MetricsBlock:
+        return member_block(rng, 200, 0.3 if 5 < number < 15 else 0.01)
 
-    assert set(judged(service, well, well)) == {"more", "good"} and judged(service, well, well)[-1] == "good"
-    assert "worse" in judged(service, badly, well)
-    assert "worse" not in judged(service, storm, storm), "bad for all"
-    assert "worse" not in judged(service, well, badly), "better than the others"
-    few = judged(service, lambda c, n: member(c, 3, 0.01), lambda c, n: member(c, 3, 0.01))
-    assert set(few) == {"more"}, "not enough seen never means good"
+    assert (
+        set(verdicts(service, healthy, healthy)) == {"more", "good"}
+        and verdicts(service, healthy, healthy)[-1] == "good"
+    )
+    assert "worse" in verdicts(service, failing, healthy)
+    assert "worse" not in verdicts(service, disturbance, disturbance), "as poor for all members"
+    assert "worse" not in verdicts(service, healthy, failing), "better than the control members"
+    little_traffic = verdicts(
+        service, lambda c, n: member_block(c, 3, 0.01), lambda c, n: member_block(c, 3, 0.01)
+    )
+    assert set(little_traffic) == {"more"}, "insufficient data never means good"
 
 
-def test_each_guard_sees_its_own() -> None:
-    def well(chance: random.Random, number: int) -> MetricsBlock:
-        return member(chance, 200, 0.01)
+def test_each_guard_detects_its_own_regression() -> None:
+    def healthy(rng: random.Random, number: int) -> MetricsBlock:
+        return member_block(rng, 200, 0.01)
 
-    late = (Guard("latency"),)
-    assert "worse" in judged(late, lambda c, n: member(c, 200, 0.01, took=40.0), well)
-    leak = (Guard("memory"),)
-    assert "worse" in judged(leak, lambda c, n: member(c, 200, 0.01, rss_bytes=50 + 10 * n), well)
-    assert "worse" not in judged(leak, well, well)
-    again = (Guard("crashes"),)
-    restarts = judged(
-        again, lambda c, n: MetricsBlock(member(c, 200, 0.01).classes, incarnation=1 + n // 5), well
+    latency = (Guard("latency"),)
+    assert "worse" in verdicts(latency, lambda c, n: member_block(c, 200, 0.01, latency_ms=40.0), healthy)
+    memory = (Guard("memory"),)
+    assert "worse" in verdicts(
+        memory, lambda c, n: member_block(c, 200, 0.01, rss_bytes=50 + 10 * n), healthy
+    )
+    assert "worse" not in verdicts(memory, healthy, healthy)
+    crashes = (Guard("crashes"),)
+    restarts = verdicts(
+        crashes,
+        lambda c, n: MetricsBlock(member_block(c, 200, 0.01).classes, incarnation=1 + n // 5),
+        healthy,
     )
     assert "worse" in restarts
-    # Faster because it refuses more: the service guard has the refusals.
-    refuses = judged(
+    # Latency improves because more requests are rejected: the service guard counts the rejections.
+    rejecting = verdicts(
         (Guard("service"), Guard("latency", required=False)),
         lambda c, n: MetricsBlock({"c": RequestCounts(200, 180, 0, 20, 0, 180 * 5.0)}, 200, 60_000, 50, 1),
-        well,
+        healthy,
+    )
+    assert "worse" in rejecting
+    begins_late = verdicts(
+        (Guard("service"),), lambda c, n: member_block(c, 200, 0.01 if n < 14 else 0.2), healthy
     )
-    assert "worse" in refuses
-    begins_late = judged((Guard("service"),), lambda c, n: member(c, 200, 0.01 if n < 14 else 0.2), well)
     assert begins_late[13] in ("more", "good") and "worse" in begins_late[14:]
