--- a/badgergap/rollout/analysis.py
+++ b/badgergap/rollout/analysis.py
@@ -48,7 +48,7 @@
 ALPHA = 0.004  # probability of a false stop per rollout, over all guards, stages and windows
 PASS_ALPHA = 0.05  # probability that a guard passes although it is worse by the limit
 MAX_SLACK = 4.0
-MIN_CERTAIN_FRACTION = 0.25  # of `worse_by`: treated members must surely be worse by this much for a stop
+MIN_CERTAIN_FRACTION = 0.25  # of `worse_by`: the lower confidence bound must exceed this for a stop
 HARD_REQUESTS = 40  # by treated members in HARD_BLOCKS, before a hard limit is checked
 HARD_BLOCKS = 2
 HARD_SIGMAS = 5.0
@@ -227,7 +227,7 @@
         treated_names: Sequence[str],
         control_names: Sequence[str],
     ) -> ComparisonPoint | None:
-        """Compare treated with control members in one block; None if there is no data for either side."""
+        """Compare treated with control members in one block; None if a side with members has no data."""
         treated = weighted_mean(differences[name] for name in treated_names)
         if treated is None:
             return None
--- a/badgergap/rollout/controller.py
+++ b/badgergap/rollout/controller.py
@@ -11,7 +11,7 @@
 settling   `settle` has passed                                                  judging
 judging    the verdict of the analysis, and for at least `least`                the next stage; the last one:
                                                                                 finishing; worse: undoing;
-                                                                                none in `longest`: paused
+                                                                                neither in `longest`: paused
 paused     an operator                                                          resume, undo
 finishing  the new settings are the group's newest version                      done
 undoing    each member reports that it acts on the old settings, or has been    undone; otherwise: stuck
--- a/badgergap/rollout/metrics.py
+++ b/badgergap/rollout/metrics.py
@@ -66,7 +66,7 @@
         return counts
 
     def on_client_left(self, now_us: int, request_class: int, tenant: int) -> None:
-        """Forward the event without counting it: a disconnect says nothing about the settings."""
+        """Forward the event without counting it: a disconnect is no evidence about the settings."""
         self.next_observer.on_client_left(now_us, request_class, tenant)
 
     def on_attempt_ended(self, now_us: int, endpoint_id: int, outcome: Outcome, latency_us: int) -> None:
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -71,11 +71,11 @@
             from tests.consensus.load import Load as Clients
 
             over = asyncio.Event()
-            work = asyncio.create_task(Clients(its.it, 150.0, 1).play(over))
-            path = its.file("more", its.it.settings(requests=2500))
+            work = asyncio.create_task(Clients(its.group, 150.0, 1).play(over))
+            path = its.file("more", its.group.settings(requests=2500))
             began = time.monotonic()
-            assert (await its.change(its.it["g1"], "start", str(path))).returncode == 0
-            change = await its.until(its.it["g1"], "done", "undone", "paused", "stuck", within_s=300.0)
+            assert (await its.change(its.group["g1"], "start", str(path))).returncode == 0
+            change = await its.until(its.group["g1"], "done", "undone", "paused", "stuck", within_s=300.0)
             took = time.monotonic() - began
             over.set()
             await work
--- a/tests/rollout/test_controller.py
+++ b/tests/rollout/test_controller.py
@@ -44,7 +44,7 @@
 
 
 def test_one_unreachable_treated_member_is_tolerated_and_two_undo_the_rollout() -> None:
-    """Only if no other members are unreachable: otherwise nothing is concluded."""
+    """If other members are unreachable as well, the rollout is neither undone nor continued."""
     plan = to_plan(
         ChangeFile(
             name="x",
