--- a/badgergap/hot_restart/coordinator.py
+++ b/badgergap/hot_restart/coordinator.py
@@ -209,7 +209,7 @@
     def close_unused_listeners(self) -> None:
         """Close the received listeners that no component uses; the settings may no longer contain them."""
         for name, sock in self.component_listeners.items():
-            log.info("closing the transferred listener %s, which no component uses", name)
+            log.info("%s is not listened on any more, as it was handed over", name)
             sock.close()
         self.component_listeners.clear()
 
--- a/badgergap/hot_restart/learned_state_import.py
+++ b/badgergap/hot_restart/learned_state_import.py
@@ -55,7 +55,7 @@
             await asyncio.sleep(ENDPOINTS_POLL_S)
         empty = self._empty_pools()
         if empty:
-            log.warning("no endpoints are listed yet in these pools: %s", ", ".join(empty))
+            log.warning("no hosts are known yet in: %s", ", ".join(empty))
 
     def _empty_pools(self) -> list[str]:
         proxies = self.proxies()
