--- a/badgergap/balancing/circuit_breaker.py
+++ b/badgergap/balancing/circuit_breaker.py
@@ -104,9 +104,8 @@
             return None  # sent before this half-open episode: says nothing about the current state
         self.trials_in_flight -= 1
         self.trial_results.append(failed)
-        if (
-            sum(self.trial_results) / TRIAL_COUNT >= FAILURE_THRESHOLD
-        ):  # the remaining trials cannot change the result
+        # The remaining trials cannot change the result.
+        if sum(self.trial_results) / TRIAL_COUNT >= FAILURE_THRESHOLD:
             self.cooldown_us = min(2 * self.cooldown_us, MAX_COOLDOWN_US)
             return self._open(now_us)
         return self._close() if len(self.trial_results) == TRIAL_COUNT else None
--- a/badgergap/balancing/latency_model.py
+++ b/badgergap/balancing/latency_model.py
@@ -18,9 +18,8 @@
 BASELINE_FALL = 0.05  # share of the difference to a lower recent mean by which the baseline falls
 # Relative rise per response: an overload must not be learned as the baseline within seconds.
 BASELINE_RISE = 0.0005
-BASELINE_PRIOR_ANSWERS = (
-    5  # the first response moves the baseline by a sixth of the difference, later ones less
-)
+# The first response moves the baseline by a sixth of the difference, later ones less.
+BASELINE_PRIOR_ANSWERS = 5
 INITIAL_OBJECTIVE_DIVISOR = 4  # initial latencies are the objective divided by this, likely too high
 SAME_TIMEOUT_TOLERANCE = 0.02  # client timeouts within this relative difference are the same
 
--- a/badgergap/consensus/persistent_state.py
+++ b/badgergap/consensus/persistent_state.py
@@ -47,9 +47,8 @@
         self.durable_index = durable_index
         self.newest_token = 0
         self.durable_token = 0
-        self._pending: list[
-            tuple[int, int]
-        ] = []  # token, and the last index on disk once that write is durable
+        # The token of each pending write, and the last index on disk once that write is durable.
+        self._pending: list[tuple[int, int]] = []
 
     def issue(self, last_index: int) -> int:
         """Return the token of a new write, after which the log on disk ends at `last_index`."""
--- a/badgergap/replication/service.py
+++ b/badgergap/replication/service.py
@@ -68,9 +68,8 @@
         self.rewriting = False
         self.tasks: set[asyncio.Task[Any]] = set()
         self.on_alert: Callable[[str], None] = lambda text: None
-        self.listeners: list[
-            Callable[[str, Message], None]
-        ] = []  # called with each message received; used for snapshots
+        # Called with each message received; used for snapshots.
+        self.listeners: list[Callable[[str, Message], None]] = []
 
     # Component
 
--- a/badgergap/storage/log_session.py
+++ b/badgergap/storage/log_session.py
@@ -41,9 +41,8 @@
         self._on_durable = on_durable
         self._on_failed = on_failed
         self._durable_token = 0
-        self._pending: deque[tuple[int, Message]] = (
-            deque()
-        )  # each with the token of the write that it depends on
+        # Each with the token of the write that it depends on.
+        self._pending: deque[tuple[int, Message]] = deque()
         self._generation = 0  # incremented per writer; callbacks of earlier writers are ignored
 
     def open(self) -> OpenedLog:
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -446,9 +446,8 @@
     """Only new requests counted: the class with most client retries was taken for the worst served."""
     for duration_us, served in ((20_000, 1.0), (150_000, 0.0)):
         driver = Driver()
-        name, actions = driver.arrive(
-            client_timeout_us=300_000, is_retry=True
-        )  # 100 ms of the objective are left
+        # 100 ms of the objective are left.
+        name, actions = driver.arrive(client_timeout_us=300_000, is_retry=True)
         driver.now_us += duration_us
         driver.end(name, sends(actions)[0].endpoint_id)
         assert driver.balancer.admission.served[0] == served
--- a/tests/storage/test_record_log.py
+++ b/tests/storage/test_record_log.py
@@ -71,9 +71,8 @@
         assert not without.damage and without.torn_bytes == length - without.complete_length
         assert without.records == RECORDS[: len(without.records)]
         assert known.damage and not known.torn_bytes
-    assert len(ends) == 1 + len(
-        GROUPS
-    )  # after the header, the batch from opening, and each batch but the last
+    # After the header, the batch from opening, and each batch but the last.
+    assert len(ends) == 1 + len(GROUPS)
 
 
 def test_every_flipped_byte_is_detected(tmp_path: Path) -> None:
